--- a/bench/fleet_fuzz.cpp
+++ b/bench/gossip_fuzz.cpp
@@ -8,7 +8,7 @@
 #include <cstdlib>
 #include <memory>
 
-#include "fleet/view.hpp"
+#include "membership/membership_table.hpp"
 
 namespace {
 
@@ -19,14 +19,14 @@
 }
 
 struct Town {
-    fleet::Names names;
-    fleet::Rules rules;
-    core::Time now{1'000'000'000};
-    std::unique_ptr<fleet::View> view;
+    membership::Names names;
+    membership::Rules rules;
+    base::Timestamp now{1'000'000'000};
+    std::unique_ptr<membership::View> view;
     Town() {
         rules.most_members = 50;
-        view = std::make_unique<fleet::View>(names, false, rules, fleet::Self{"me", {0x7F000001U, 7946}, 100},
-                                             std::vector<fleet::Place>{}, 1, now);
+        view = std::make_unique<membership::View>(names, false, rules, membership::Self{"me", {0x7F000001U, 7946}, 100},
+                                             std::vector<membership::Place>{}, 1, now);
     }
 };
 
@@ -35,23 +35,23 @@
 
 void feed(std::string_view bytes, bool whole_state) {
     static Town town;
-    const auto what = fleet::decode(bytes, "maps", whole_state ? fleet::most_exchange : fleet::most_datagram);
+    const auto what = membership::decode(bytes, "maps", whole_state ? membership::most_exchange : membership::most_datagram);
     const std::size_t before = town.view->live();
-    const auto* m = std::get_if<fleet::Message>(&what);
+    const auto* m = std::get_if<membership::Message>(&what);
     if (m == nullptr) return must(town.view->live() == before);
     // What was read says the same when it is told again.
     if (m->updates.size() < 20) {
-        const auto again = fleet::decode(fleet::encode(*m, "maps"), "maps", fleet::most_exchange);
-        must(std::holds_alternative<fleet::Message>(again) && std::get<fleet::Message>(again) == *m);
+        const auto again = membership::decode(membership::encode(*m, "maps"), "maps", membership::most_exchange);
+        must(std::holds_alternative<membership::Message>(again) && std::get<membership::Message>(again) == *m);
     }
-    fleet::View::Out out;
+    membership::View::Out out;
     if (whole_state)
         town.view->merge(town.now, *m, out);
     else
         town.view->received(town.now, *m, {0x7F000002U, 7946}, out);
-    town.now += core::Span(10'000);
+    town.now += base::Duration(10'000);
     town.view->tick(town.now, out);
-    for (const auto& s : out.sends) must(fleet::encode(s.message, "maps").size() <= fleet::most_datagram);
+    for (const auto& s : out.sends) must(membership::encode(s.message, "maps").size() <= membership::most_datagram);
     must(town.view->live() <= town.rules.most_members);
 }
 
--- a/bench/gossip_sim.cpp
+++ b/bench/gossip_sim.cpp
@@ -17,13 +17,13 @@
 
 using namespace cressledge;
 using emulator::Fleet;
-using fleet::State;
+using membership::MemberState;
 
-core::Span ms(std::int64_t n) { return core::Span(n * 1000); }
+base::Duration ms(std::int64_t n) { return base::Duration(n * 1000); }
 
-fleet::Rules rules(std::int64_t probe) {
-    fleet::Rules r;
-    r.probe_every = ms(probe);
+membership::MembershipSettings rules(std::int64_t probe) {
+    membership::MembershipSettings r;
+    r.probe_interval = ms(probe);
     return r;
 }
 
@@ -32,8 +32,8 @@
 };
 
 // When the first and when all other running views say `state` (or hold no such live member) of `no`.
-Spread until_known(Fleet& f, std::size_t no, State state, int bound_ms) {
-    const core::Time from = f.now();
+Spread until_known(Fleet& f, std::size_t no, MemberState state, int bound_ms) {
+    const base::Timestamp from = f.now();
     Spread s;
     f.run(from + ms(bound_ms), ms(10), [&] {
         std::size_t knowing = 0, running = 0;
@@ -69,12 +69,12 @@
         for (int k = 0; k < repeats; ++k) {
             const auto victim = static_cast<std::size_t>(k) * 4 + 3;
             f.crash(victim);
-            const Spread c = until_known(f, victim, State::dead, 30'000);
+            const Spread c = until_known(f, victim, MemberState::dead, 30'000);
             first.push_back(c.first), all.push_back(c.all);
-            join.push_back(until_known(f, f.start({0}), State::alive, 30'000).all);
+            join.push_back(until_known(f, f.start({0}), MemberState::alive, 30'000).all);
             const std::size_t goer = victim + 1;
             f.leave(goer);
-            leave.push_back(until_known(f, goer, State::left, 30'000).all);
+            leave.push_back(until_known(f, goer, MemberState::left, 30'000).all);
         }
         const std::uint64_t wrong = f.false_deaths();
         const auto cell = [](const std::vector<double>& v) {
@@ -90,7 +90,7 @@
 int runs(int count, double loss, std::size_t n, std::int64_t probe) {
     std::uint64_t wrong = 0, bad = 0, suspicions = 0, refutations = 0;
     for (int seed = 1; seed <= count; ++seed) {
-        Fleet f(n + 4, rules(probe), {loss / 100.0, core::Span(200), core::Span(2'000)}, static_cast<std::uint64_t>(seed));
+        Fleet f(n + 4, rules(probe), {loss / 100.0, base::Duration(200), base::Duration(2'000)}, static_cast<std::uint64_t>(seed));
         f.start_agreed(n);
         f.run(f.now() + ms(10'000));
         f.crash(3);
@@ -98,7 +98,7 @@
         bad += !f.run(f.now() + ms(10'000), ms(50), [&] { return f.agreed(); });
         wrong += f.false_deaths();
         for (std::size_t i = 0; i < f.size(); ++i)
-            if (f.running(i)) suspicions += f.view(i).counts().suspicions, refutations += f.view(i).counts().refutations;
+            if (f.running(i)) suspicions += f.view(i).counters().suspicions_raised, refutations += f.view(i).counters().own_refutations;
         if (seed % 100 == 0) std::fprintf(stderr, "%d runs, %llu false deaths\n", seed, static_cast<unsigned long long>(wrong));
     }
     std::printf("%d seeded runs of %zu members at %.1f%% loss: %llu live members declared dead (in any view), %llu runs without "
@@ -110,9 +110,9 @@
 
 // The plain way: each tells each other, every period, that it is there. One datagram holds its own entry only.
 double heartbeat(std::size_t n, std::int64_t probe) {
-    fleet::Message m;
-    m.sender = {"n100", {1, 1}, 1, 0, State::alive, {}};
-    return static_cast<double>((n - 1) * fleet::size_of(m, 5)) * 1000.0 / static_cast<double>(probe);
+    membership::Message m;
+    m.sender = {"n100", {1, 1}, 1, 0, MemberState::alive, {}};
+    return static_cast<double>((n - 1) * membership::max_encoded_size(m, 5)) * 1000.0 / static_cast<double>(probe);
 }
 
 int bytes(std::int64_t probe) {
--- a/bench/spread_sim.cpp
+++ b/bench/load_spread_sim.cpp
@@ -57,7 +57,7 @@
             s.load = load / 100.0;
             s.probes = given["probes"].as<unsigned>();
             s.expected = given.count("unexpected") == 0;
-            s.pool.hot = given["hot"].as<double>();
+            s.pool.hot_quantile = given["hot"].as<double>();
             s.subset = given["subset"].as<std::size_t>();
             s.seed = given["seed"].as<std::uint64_t>();
             const auto trouble = given["trouble"].as<std::string>();
--- a/bench/fleet_rig.cpp
+++ b/bench/membership_rig.cpp
@@ -14,38 +14,38 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "rig/crowd.hpp"
+#include "fault_injection/crowd.hpp"
 
 namespace {
 
 using namespace cressledge;
-using core::Span;
-using core::Time;
+using base::Duration;
+using base::Timestamp;
 using nlohmann::ordered_json;
 
 struct Rig {
-    core::Deadlines deadlines;
-    net::Loop loop{deadlines};
-    rig::Crowd crowd;
+    base::TimerQueue timers;
+    net::Loop loop{timers};
+    fault_injection::Crowd crowd;
     std::size_t seeds = 3;
-    explicit Rig(const rig::Plan& plan) : crowd(loop, deadlines, plan) {}
-    Time now() { return loop.unix_now(); }
+    explicit Rig(const fault_injection::Plan& plan) : crowd(loop, timers, plan) {}
+    Timestamp now() { return loop.unix_now(); }
     void say(const ordered_json& j) {
         std::printf("%s\n", j.dump().c_str());
         std::fflush(stdout);
     }
-    void wait(double seconds) { crowd.run(now() + Span(static_cast<std::int64_t>(seconds * 1e6))); }
+    void wait(double seconds) { crowd.run(now() + Duration(static_cast<std::int64_t>(seconds * 1e6))); }
     std::size_t add() {
         std::vector<std::size_t> at;
         for (std::size_t s = 0; s < std::min(seeds, crowd.size()); ++s) at.push_back(s);
         return crowd.add(at);
     }
     // Ms from `since` until each of `whom` saw `expected`; reports median and worst, and who did not by the bound.
-    ordered_json spread(const std::vector<std::size_t>& whom, const std::vector<std::size_t>& expected, Time since,
+    ordered_json spread(const std::vector<std::size_t>& whom, const std::vector<std::size_t>& expected, Timestamp since,
                         double bound_s) {
         std::vector<double> ms;
         std::size_t missing = 0;
-        for (const auto& s : crowd.until_seen(whom, expected, now() + Span(static_cast<std::int64_t>(bound_s * 1e6)))) {
+        for (const auto& s : crowd.until_seen(whom, expected, now() + Duration(static_cast<std::int64_t>(bound_s * 1e6)))) {
             if (s)
                 ms.push_back(static_cast<double>((*s - since).count()) / 1000.0);
             else
@@ -58,15 +58,15 @@
         if (!ms.empty()) j["median_ms"] = std::lround(ms[ms.size() / 2]), j["worst_ms"] = std::lround(ms.back());
         return j;
     }
-    ordered_json spread(Time since, double bound_s) {
+    ordered_json spread(Timestamp since, double bound_s) {
         const auto all = crowd.all_running();
         return spread(all, all, since, bound_s);
     }
     // Starts all and waits for them; the time counts from when the last process was started.
     void gather(std::size_t n) {
-        const Time from = now();
+        const Timestamp from = now();
         for (std::size_t i = 0; i < n; ++i) add();
-        const Time started = now();
+        const Timestamp started = now();
         auto j = spread(started, 60);
         j["what"] = "join";
         j["processes"] = n;
@@ -91,7 +91,7 @@
     std::vector<long> worst;
     for (int k = 0; k < times; ++k) {
         const std::size_t victim = r.seeds + static_cast<std::size_t>(k);
-        const Time at = r.now();
+        const Timestamp at = r.now();
         r.crowd.signal(victim, SIGKILL);
         auto j = r.spread(at, 30);
         worst.push_back(j["not_agreed"] == 0 ? j["worst_ms"].get<long>() : -1);
@@ -109,7 +109,7 @@
     for (int k = 0; k < times; ++k) {
         const std::size_t goer = r.seeds + 40 + static_cast<std::size_t>(k);
         if (goer >= r.crowd.size()) break;
-        const Time at = r.now();
+        const Timestamp at = r.now();
         r.crowd.signal(goer, SIGTERM);
         worst.push_back(r.spread(at, 30).value("worst_ms", -1L));
     }
@@ -119,8 +119,8 @@
 
 void loss(Rig& r, double seconds, double share) {
     const auto names = {"dead", "suspicions", "suspected", "refuted", "refutations", "standstills", "probes", "indirect_probes"};
-    r.crowd.relay().harm({share, 0.0, Span(0), Span(0)});
-    const Time end = r.now() + Span(static_cast<std::int64_t>(seconds * 1e6));
+    r.crowd.relay().harm({share, 0.0, Duration(0), Duration(0)});
+    const Timestamp end = r.now() + Duration(static_cast<std::int64_t>(seconds * 1e6));
     while (r.now() < end) {
         r.wait(std::min(30.0, static_cast<double>((end - r.now()).count()) / 1e6));
         auto j = r.sums(names);
@@ -145,7 +145,7 @@
         halves[i % 2].push_back(all[i]);
         if (i % 2 == 0) names.insert(r.crowd.id(all[i]));
     }
-    const Time cut = r.now();
+    const Timestamp cut = r.now();
     r.crowd.relay().part(names);
     for (int h = 0; h < 2; ++h) {
         auto j = r.spread(halves[h], halves[h], cut, seconds);
@@ -153,7 +153,7 @@
         r.say(j);
     }
     r.wait(std::max(0.0, seconds - static_cast<double>((r.now() - cut).count()) / 1e6));
-    const Time healed = r.now();
+    const Timestamp healed = r.now();
     r.crowd.relay().heal();
     auto j = r.spread(healed, 60);
     j["what"] = "heal";
@@ -166,7 +166,7 @@
     const std::uint64_t before = r.crowd.figures(who)["fleet.suspicions"];
     r.crowd.signal(who, SIGSTOP);
     r.wait(seconds);
-    const Time on = r.now();
+    const Timestamp on = r.now();
     r.crowd.signal(who, SIGCONT);
     auto j = r.spread(on, 30);
     j["what"] = "pause";
@@ -177,14 +177,14 @@
 
 void replace(Rig& r, double seconds) {
     const std::size_t n = r.crowd.size(), gone = n * 6 / 10;
-    const Time from = r.now();
+    const Timestamp from = r.now();
     for (std::size_t k = 0; k < gone; ++k) {
         r.crowd.signal(n - 1 - k, k % 2 == 0 ? SIGTERM : SIGKILL);
         r.add();
-        const Time due = from + Span(static_cast<std::int64_t>(seconds * 1e6 * static_cast<double>(k + 1) / static_cast<double>(gone)));
+        const Timestamp due = from + Duration(static_cast<std::int64_t>(seconds * 1e6 * static_cast<double>(k + 1) / static_cast<double>(gone)));
         if (r.now() < due) r.crowd.run(due);
     }
-    const Time done = r.now();
+    const Timestamp done = r.now();
     auto j = r.spread(done, 60);
     j["what"] = "replace";
     j["replaced"] = gone;
@@ -195,7 +195,7 @@
 void bytes(Rig& r, double seconds) {
     r.wait(10);  // newcomers exchange more
     const auto before = r.sums({"bytes_sent", "bytes_received", "datagrams_sent"});
-    const Time from = r.now();
+    const Timestamp from = r.now();
     r.wait(seconds);
     const auto after = r.sums({"bytes_sent", "bytes_received", "datagrams_sent"});
     const double s = static_cast<double>((r.now() - from).count()) / 1e6 * static_cast<double>(r.crowd.all_running().size());
@@ -224,7 +224,7 @@
     options.parse_positional({"what"});
     try {
         const auto given = options.parse(argc, argv);
-        rig::Plan plan;
+        fault_injection::Plan plan;
         plan.program = std::filesystem::absolute(given["program"].as<std::string>());
         plan.probe_ms = given["probe"].as<int>();
         plan.seed = given["seed"].as<std::uint64_t>();
--- a/bench/roll_rig.cpp
+++ b/bench/rollout_rig.cpp
@@ -11,7 +11,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "lab/rehearsal.hpp"
+#include "experiment/rehearsal.hpp"
 
 namespace {
 
@@ -24,7 +24,7 @@
     std::fflush(stdout);
 }
 
-ordered_json judged(lab::Rehearsal& r, const std::string& plan, int status) {
+ordered_json judged(experiment::Rehearsal& r, const std::string& plan, int status) {
     ordered_json j = {{"status", status}};
     const json report = r.report(plan);
     if (!report.is_object()) return j;
@@ -40,7 +40,7 @@
 }
 
 // One roll from beginning to end.
-void one(lab::Rehearsal& r, const std::string& what, const std::string& change, double most_s) {
+void one(experiment::Rehearsal& r, const std::string& what, const std::string& change, double most_s) {
     const std::string plan = r.plan(what, change);
     r.forget();
     const auto before = r.driver().total();
@@ -65,12 +65,12 @@
     j["astray"] = r.astray(plan, true);
     const auto after = r.driver().total();
     j["requests"] = after.all() - before.all();
-    j["lost"] = after.count(load::End::lost) - before.count(load::End::lost);
+    j["lost"] = after.count(load_generator::End::lost) - before.count(load_generator::End::lost);
     j["doubled"] = r.servers().counts().doubled;
     say(j);
 }
 
-void kills(lab::Rehearsal& r, int times, std::uint64_t seed) {
+void kills(experiment::Rehearsal& r, int times, std::uint64_t seed) {
     pcg32 random(seed, 31);
     int resumed = 0, astray = 0, done = 0, reverted = 0;
     for (int k = 0; k < times; ++k) {
@@ -117,7 +117,7 @@
     options.parse_positional({"what"});
     try {
         const auto given = options.parse(argc, argv);
-        lab::Scene scene;
+        experiment::Scene scene;
         scene.program = std::filesystem::canonical(given["program"].as<std::string>());
         scene.faulty = std::filesystem::canonical(given["faulty"].as<std::string>());
         scene.processes = given["processes"].as<std::size_t>();
@@ -136,9 +136,9 @@
         scene.folder = keep ? given["keep"].as<std::string>() : mkdtemp(name);
         std::filesystem::create_directories(scene.folder);
         {
-            core::Deadlines deadlines;
-            net::Loop loop(deadlines);
-            lab::Rehearsal r(loop, deadlines, scene);
+            base::TimerQueue timers;
+            net::Loop loop(timers);
+            experiment::Rehearsal r(loop, timers, scene);
             r.up();
             r.run(3.0);
             std::ofstream(scene.folder + "/good-settings.yaml") << "routing: {policy: probe-pool}\n";
--- a/bench/roll_sim.cpp
+++ b/bench/rollout_sim.cpp
@@ -43,7 +43,7 @@
             c.fresh = version;
             c.plan.name = name;
             c.plan.stages = {{0.0, 1}, {0.05, 0}, {0.25, 0}, {0.5, 0}, {1.0, 0}};
-            c.plan.bake = cressledge::core::Span(static_cast<std::int64_t>(given["bake"].as<double>() * 1e6));
+            c.plan.bake_time = cressledge::base::Duration(static_cast<std::int64_t>(given["bake"].as<double>() * 1e6));
             if (name == "noisy") c.machines = 0.3, c.weather = 0.2, c.cut_off = true;
             std::uint64_t done = 0, reverted = 0, first = 0, next = 1;
             double met = 0.0, seconds = 0.0;
--- a/bench/save_bench.cpp
+++ b/bench/save_bench.cpp
@@ -6,10 +6,10 @@
 #include <iostream>
 #include <vector>
 
-#include "learning/knowledge.hpp"
+#include "learned_state/learned_state.hpp"
 #include "net/loop.hpp"
-#include "store/posix_files.hpp"
-#include "store/writer.hpp"
+#include "store/posix_file_system.hpp"
+#include "store/background_writer.hpp"
 
 namespace {
 
@@ -33,32 +33,32 @@
         std::cerr << "save_bench FOLDER\n";
         return 2;
     }
-    core::Deadlines deadlines;
-    net::Loop loop(deadlines);
-    store::PosixFiles files(argv[1]);
+    base::TimerQueue timers;
+    net::Loop loop(timers);
+    store::PosixFileSystem files(argv[1]);
     store::Store store(files);
     if (const int bad = store.open(); bad != 0) {
         std::cerr << argv[1] << ": cannot be written to\n";
         return 2;
     }
     int failed = 0;
-    store::Writer writer(loop.uv(), store, [&](int bad) { failed += bad != 0 ? 1 : 0; });
-    curlewreel::Settings settings;
+    store::BackgroundWriter writer(loop.uv(), store, [&](int bad) { failed += bad != 0 ? 1 : 0; });
+    cressledge::policy::Settings settings;
     settings.cores = 4;
-    const auto whose = learning::identity_of("bench", settings);
-    learning::Knowledge k;
+    const auto whose = learned_state::identity_of("bench", settings);
+    learned_state::LearnedState k;
     for (const char* name : {"trail-sheet", "route-profile", "map-order"})
-        k.learned.classes.push_back({name, 0.3, 0.4, 1.0, 0.0});
+        k.controller_state.classes.push_back({name, 0.3, 0.4, 1.0, 0.0});
     store::Entries before;
     double longest_call_us = 0.0;
     const auto save = [&](int n) {
         const auto from = Clock::now();
-        k.saved = loop.unix_now();
-        for (auto& c : k.learned.classes) c.count += 1.0, c.quanta = 0.3 + 0.001 * (n % 50);
+        k.saved_at = loop.unix_now();
+        for (auto& c : k.controller_state.classes) c.completions += 1.0, c.price_seconds = 0.3 + 0.001 * (n % 50);
         for (int i = 0; i < servers; ++i)
-            k.servers["tiles-" + std::to_string(i) + ".thies.example.org"] = {0.2 + 0.001 * ((n + i) % 99), 0.01, 1.0 + n, k.saved};
-        auto after = learning::to_entries(k, whose, before);
-        writer.commit(learning::difference(before, after));
+            k.upstreams["tiles-" + std::to_string(i) + ".thies.example.org"] = {0.2 + 0.001 * ((n + i) % 99), 0.01, 1.0 + n, k.saved_at};
+        auto after = learned_state::to_entries(k, whose, before);
+        writer.commit(learned_state::difference(before, after));
         before = std::move(after);
         longest_call_us = std::max(longest_call_us, std::chrono::duration<double, std::micro>(Clock::now() - from).count());
     };
@@ -68,12 +68,12 @@
             const auto due = Clock::now() + std::chrono::milliseconds(1);
             if (seen == &with && n % saves_every_ms == 0) save(n);
             bool rung = false;
-            deadlines.at(loop.unix_now() + core::Span(1'000), [&] { rung = true; });
-            while (!rung) loop.turn(true);
+            timers.schedule(loop.unix_now() + base::Duration(1'000), [&] { rung = true; });
+            while (!rung) loop.run_once(true);
             seen->late_us.push_back(std::chrono::duration<double, std::micro>(Clock::now() - due).count());
         }
     }
-    writer.finish();
+    writer.flush();
     std::cout << "lateness of the loop, us   p50    p99.9      max\n";
     for (const auto& [name, seen] : {std::pair("without saves", &without), std::pair("with saves   ", &with)})
         std::cout << name << "         " << static_cast<int>(seen->at(0.5)) << "      " << static_cast<int>(seen->at(0.999))
--- a/src/command/roll.cpp
+++ b/src/command/roll.cpp
@@ -5,21 +5,21 @@
 #include <fstream>
 
 #include "config/settings.hpp"
-#include "roll/controller.hpp"
+#include "rollout/rollout_controller.hpp"
 
 namespace cressledge::command {
 
-int roll(const std::string& plan, const std::string& folder, const std::string& report, bool take_back) {
-    core::Deadlines deadlines;
-    net::Loop loop(deadlines);
-    roll::Controller controller(loop, deadlines, config::load_roll(plan), folder);
+int roll(const std::string& plan_path, const std::string& state_directory, const std::string& report_path, bool rolls_back) {
+    base::TimerQueue timers;
+    net::Loop loop(timers);
+    rollout::RolloutController controller(loop, timers, config::load_rollout(plan_path), state_directory);
     for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { controller.interrupt(); });
-    if (take_back) controller.take_back("the operator's word");
-    const roll::End end = controller.run();
-    if (!report.empty()) {
-        const std::string fresh = report + ".new";
-        std::ofstream(fresh) << controller.report().dump(1) << '\n';
-        if (std::rename(fresh.c_str(), report.c_str()) != 0) throw config::Invalid(report + ": cannot be written");
+    if (rolls_back) controller.request_rollback("the operator's word");
+    const rollout::RolloutResult end = controller.run();
+    if (!report_path.empty()) {
+        const std::string temporary_path = report_path + ".new";
+        std::ofstream(temporary_path) << controller.report().dump(1) << '\n';
+        if (std::rename(temporary_path.c_str(), report_path.c_str()) != 0) throw config::ConfigError(report_path + ": cannot be written");
     }
     return static_cast<int>(end);
 }
--- a/src/command/supervise.cpp
+++ b/src/command/supervise.cpp
@@ -6,19 +6,19 @@
 
 namespace cressledge::command {
 
-int supervise(const std::string& path) {
-    const supervise::Settings settings = config::load_supervised(path);
-    core::Deadlines deadlines;
-    net::Loop loop(deadlines);
-    supervise::Supervisor supervisor(loop, deadlines, settings);
-    bool leaving = false;
+int supervise(const std::string& config_path) {
+    const supervisor::SupervisorSettings settings = config::load_supervisor(config_path);
+    base::TimerQueue timers;
+    net::Loop loop(timers);
+    supervisor::Supervisor supervisor(loop, timers, settings);
+    bool stopping = false;
     for (const int signal : {SIGTERM, SIGINT})
         loop.on_signal(signal, [&] {
-            leaving = true;
-            supervisor.end();
+            stopping = true;
+            supervisor.shut_down();
         });
     supervisor.start();
-    while (!leaving || !supervisor.over()) loop.turn(true);
+    while (!stopping || !supervisor.is_finished()) loop.run_once(true);
     return 0;
 }
 
--- a/src/command/supervise.hpp
+++ b/src/command/supervise.hpp
@@ -5,6 +5,6 @@
 
 namespace cressledge::command {
 
-int supervise(const std::string& path);
+int supervise(const std::string& config_path);
 
 }  // namespace cressledge::command
--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -5,83 +5,83 @@
 namespace cressledge::config {
 namespace {
 
-constexpr double many = 1e6;
+constexpr double max_count = 1e6;
 
-admission::Caps caps_from(const Reader& r, const YAML::Node& at) {
-    admission::Caps c;
-    c.open = r.whole(at, "open", 1.0, many, 0.0);
-    c.in_hand = r.whole(at, "in_hand", 1.0, many, 0.0);
+connection_admission::SourceLimits read_caps(const YamlReader& reader, const YAML::Node& at) {
+    connection_admission::SourceLimits caps;
+    caps.max_connections = reader.integer(at, "open", 1.0, max_count, 0.0);
+    caps.max_in_flight_requests = reader.integer(at, "in_hand", 1.0, max_count, 0.0);
     if (const YAML::Node rate = at["rate"]) {
-        r.only(rate, "rate", {"per_second", "burst"});
-        c.per_second = r.number(rate, "per_second", 0.001, many, needed);
-        c.burst = r.number(rate, "burst", 1.0, many, std::max(1.0, c.per_second));
+        reader.require_known_keys(rate, "rate", {"per_second", "burst"});
+        caps.connections_per_second = reader.number(rate, "per_second", 0.001, max_count, required);
+        caps.connection_burst = reader.number(rate, "burst", 1.0, max_count, std::max(1.0, caps.connections_per_second));
     }
-    return c;
+    return caps;
 }
 
-admission::Group group_from(const Reader& r, const YAML::Node& at, admission::GroupNo no,
-                            admission::Networks& networks) {
-    r.only(at, "groups", {"name", "networks", "reserve", "open", "rate", "in_hand"});
-    admission::Group g;
-    g.name = r.text(at, "name");
-    g.caps = caps_from(r, at);
+connection_admission::ClientGroup read_group(const YamlReader& reader, const YAML::Node& at, connection_admission::GroupIndex group_id,
+                            connection_admission::NetworkGroupTable& networks) {
+    reader.require_known_keys(at, "groups", {"name", "networks", "reserve", "open", "rate", "in_hand"});
+    connection_admission::ClientGroup group;
+    group.name = reader.text(at, "name");
+    group.source_limits = read_caps(reader, at);
     if (const YAML::Node reserve = at["reserve"]) {
-        r.only(reserve, "reserve", {"connections", "requests"});
-        g.connections = r.whole(reserve, "connections", 1.0, many, needed);
-        g.requests = r.whole(reserve, "requests", 1.0, many, g.connections);
+        reader.require_known_keys(reserve, "reserve", {"connections", "requests"});
+        group.reserved_connections = reader.integer(reserve, "connections", 1.0, max_count, required);
+        group.reserved_requests = reader.integer(reserve, "requests", 1.0, max_count, group.reserved_connections);
     }
-    const YAML::Node all = at["networks"];
-    if (!all || !all.IsSequence() || all.size() == 0) r.fail(all ? all : at, "networks", "no list");
-    for (const YAML::Node& n : all) {
-        std::string wrong;
-        if (!n.IsScalar()) r.fail(n, "networks", "not a text");
-        const auto network = admission::parse_network(n.Scalar(), wrong);
-        if (!network || !networks.add(*network, no, wrong)) r.fail(n, "networks", wrong);
+    const YAML::Node network_list = at["networks"];
+    if (!network_list || !network_list.IsSequence() || network_list.size() == 0) reader.fail(network_list ? network_list : at, "networks", "no list");
+    for (const YAML::Node& n : network_list) {
+        std::string error;
+        if (!n.IsScalar()) reader.fail(n, "networks", "not a text");
+        const auto network = connection_admission::parse_network(n.Scalar(), error);
+        if (!network || !networks.add(*network, group_id, error)) reader.fail(n, "networks", error);
     }
-    return g;
+    return group;
 }
 
 }  // namespace
 
-void read_admission(const Reader& r, const YAML::Node& doc, Operator& o) {
-    admission::Settings& s = o.admission;
-    s.hold_off = o.settings.max_retry_after;
-    s.lobby = std::max(4U, s.connections / 16);
-    const YAML::Node at = doc["admission"];
-    if (!at) return;
-    r.only(at, "admission",
+void read_admission(const YamlReader& reader, const YAML::Node& doc, OperatorConfig& config) {
+    connection_admission::Settings& settings = config.admission;
+    settings.max_retry_after = config.policy_settings.max_retry_after;
+    settings.rejection_slots = std::max(4U, settings.max_connections / 16);
+    const YAML::Node section = doc["admission"];
+    if (!section) return;
+    reader.require_known_keys(section, "admission",
            {"descriptors", "requests", "lobby", "source", "open", "rate", "in_hand", "share", "sources", "top",
             "groups"});
-    o.descriptors = r.whole(at, "descriptors", 16.0, many, 0.0);
-    o.top = r.whole(at, "top", 1.0, 1000.0, 10.0);
-    s.requests = r.whole(at, "requests", 1.0, many, 0.0);
-    s.lobby = r.whole(at, "lobby", 0.0, 1024.0, s.lobby);
-    s.source = caps_from(r, at);
-    s.share = r.number(at, "share", 0.0, 100.0, 1.0);
-    s.sources = r.whole(at, "sources", 64.0, 262'144.0, 16'384.0);
-    if (const YAML::Node source = at["source"]) {
-        r.only(source, "source", {"ipv4", "ipv6"});
-        s.v4_bits = r.whole(source, "ipv4", 8.0, 32.0, 32.0);
-        s.v6_bits = r.whole(source, "ipv6", 16.0, 128.0, 64.0);
+    config.max_descriptors = reader.integer(section, "descriptors", 16.0, max_count, 0.0);
+    config.max_reported_sources = reader.integer(section, "top", 1.0, 1000.0, 10.0);
+    settings.max_in_flight_requests = reader.integer(section, "requests", 1.0, max_count, 0.0);
+    settings.rejection_slots = reader.integer(section, "lobby", 0.0, 1024.0, settings.rejection_slots);
+    settings.unlisted_source_limits = read_caps(reader, section);
+    settings.free_connection_share = reader.number(section, "share", 0.0, 100.0, 1.0);
+    settings.tracked_sources = reader.integer(section, "sources", 64.0, 262'144.0, 16'384.0);
+    if (const YAML::Node source = section["source"]) {
+        reader.require_known_keys(source, "source", {"ipv4", "ipv6"});
+        settings.v4_prefix_length = reader.integer(source, "ipv4", 8.0, 32.0, 32.0);
+        settings.v6_prefix_length = reader.integer(source, "ipv6", 16.0, 128.0, 64.0);
     } else {
-        s.v6_bits = 64;  // one customer's network: within it an address costs nothing
+        settings.v6_prefix_length = 64;  // one customer's network: within it an address costs nothing
     }
-    const YAML::Node groups = at["groups"];
+    const YAML::Node groups = section["groups"];
     if (!groups) return;
-    if (!groups.IsSequence()) r.fail(groups, "groups", "no list");
+    if (!groups.IsSequence()) reader.fail(groups, "groups", "no list");
     std::set<std::string> names;
     std::size_t connections = 0, requests = 0;
     for (const YAML::Node& g : groups) {
-        s.groups.push_back(group_from(r, g, s.groups.size() + 1, s.networks));
-        const admission::Group& made = s.groups.back();
-        if (!names.insert(made.name).second) r.fail(g, "name", "a duplicate: " + made.name);
-        connections += made.connections;
-        requests += made.requests;
+        settings.groups.push_back(read_group(reader, g, settings.groups.size() + 1, settings.networks));
+        const connection_admission::ClientGroup& group = settings.groups.back();
+        if (!names.insert(group.name).second) reader.fail(g, "name", "a duplicate: " + group.name);
+        connections += group.reserved_connections;
+        requests += group.reserved_requests;
         // Something has to be left for whoever is not listed, or the reserve would be the whole of it.
-        if (connections >= s.connections)
-            r.fail(g, "reserve", "the reserves take all of the " + std::to_string(s.connections) + " connections");
-        if (s.requests != 0 && requests >= s.requests)
-            r.fail(g, "reserve", "the reserves take all of the " + std::to_string(s.requests) + " requests");
+        if (connections >= settings.max_connections)
+            reader.fail(g, "reserve", "the reserves take all of the " + std::to_string(settings.max_connections) + " connections");
+        if (settings.max_in_flight_requests != 0 && requests >= settings.max_in_flight_requests)
+            reader.fail(g, "reserve", "the reserves take all of the " + std::to_string(settings.max_in_flight_requests) + " requests");
     }
 }
 
--- a/src/config/admission.hpp
+++ b/src/config/admission.hpp
@@ -6,6 +6,6 @@
 
 namespace cressledge::config {
 
-void read_admission(const Reader& r, const YAML::Node& doc, Operator& o);  // throws Invalid
+void read_admission(const YamlReader& reader, const YAML::Node& doc, OperatorConfig& config);  // throws Invalid
 
 }  // namespace cressledge::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -8,114 +8,114 @@
 namespace cressledge::config {
 namespace {
 
-using curlewreel::Span;
+using policy::Duration;
 using nlohmann::json;
 
-const json& part(const json& o, const char* name) {
+const json& member(const json& object, const char* name) {
     static const json nothing;
-    const auto it = o.is_object() ? o.find(name) : o.end();
-    return o.is_object() && it != o.end() ? *it : nothing;
+    const auto it = object.is_object() ? object.find(name) : object.end();
+    return object.is_object() && it != object.end() ? *it : nothing;
 }
-double number(const json& o, const char* name, double otherwise) {
-    const json& v = part(o, name);
-    return v.is_number() ? v.get<double>() : otherwise;
+double number_or(const json& object, const char* name, double default_value) {
+    const json& value = member(object, name);
+    return value.is_number() ? value.get<double>() : default_value;
 }
-double needed(const json& o, const char* name) {
-    const json& v = part(o, name);
-    if (!v.is_number()) throw Invalid(std::string("missing number: ") + name);
-    return v.get<double>();
+double required(const json& object, const char* name) {
+    const json& value = member(object, name);
+    if (!value.is_number()) throw ConfigError(std::string("missing number: ") + name);
+    return value.get<double>();
 }
-bool flag(const json& o, const char* name) {
-    const json& v = part(o, name);
-    return v.is_boolean() && v.get<bool>();
+bool flag_or_false(const json& object, const char* name) {
+    const json& value = member(object, name);
+    return value.is_boolean() && value.get<bool>();
 }
-std::string text(const json& o, const char* name) {
-    const json& v = part(o, name);
-    return v.is_string() ? v.get<std::string>() : std::string();
+std::string text_or_empty(const json& object, const char* name) {
+    const json& value = member(object, name);
+    return value.is_string() ? value.get<std::string>() : std::string();
 }
-Span span(const json& o, const char* name, Span otherwise) {
-    const json& v = part(o, name);
-    return v.is_number() ? Span(std::llround(v.get<double>() * 1000.0)) : otherwise;
+Duration duration_or(const json& object, const char* name, Duration default_value) {
+    const json& value = member(object, name);
+    return value.is_number() ? Duration(std::llround(value.get<double>() * 1000.0)) : default_value;
 }
 template <class T>
-T choice(const std::string& word, std::initializer_list<std::pair<const char*, T>> words, T otherwise) {
-    for (const auto& [name, value] : words)
-        if (word == name) return value;
-    return otherwise;
+T parse_choice(const std::string& text, std::initializer_list<std::pair<const char*, T>> choices, T default_value) {
+    for (const auto& [name, value] : choices)
+        if (text == name) return value;
+    return default_value;
 }
 
-curlewreel::Class class_from(const json& c, const json& calls, const json& skip) {
-    using curlewreel::Effect;
-    curlewreel::Class k;
-    k.name = text(c, "name");
-    k.effect = choice<Effect>(text(c, "effect"), {{"free", Effect::safe}, {"guarded", Effect::keyed}},
-                              Effect::unsafe);
-    k.worth = number(c, "importance", k.worth);
-    k.late_worth = number(c, "late-worth", 0.0);
-    k.deadline = span(c, "deadline", k.deadline);
-    k.target = span(c, "target", k.deadline);
-    k.window = span(c, "repeat-window", k.deadline);
-    k.calls = calls.is_boolean() && calls.get<bool>();
-    if (skip.is_number()) k.skip_worth = skip.get<double>();
-    return k;
+policy::RequestClass read_class(const json& source, const json& calls, const json& skip) {
+    using policy::Idempotency;
+    policy::RequestClass request_class;
+    request_class.name = text_or_empty(source, "name");
+    request_class.idempotency = parse_choice<Idempotency>(text_or_empty(source, "effect"), {{"free", Idempotency::always}, {"guarded", Idempotency::with_key}},
+                              Idempotency::never);
+    request_class.priority_weight = number_or(source, "importance", request_class.priority_weight);
+    request_class.late_priority_weight = number_or(source, "late-worth", 0.0);
+    request_class.answer_deadline = duration_or(source, "deadline", request_class.answer_deadline);
+    request_class.latency_objective = duration_or(source, "target", request_class.answer_deadline);
+    request_class.idempotency_window = duration_or(source, "repeat-window", request_class.answer_deadline);
+    request_class.calls_dependency = calls.is_boolean() && calls.get<bool>();
+    if (skip.is_number()) request_class.skipped_call_weight = skip.get<double>();
+    return request_class;
 }
 
 }  // namespace
 
-curlewreel::Settings settings_from_json(std::string_view source) {
-    using curlewreel::Advert, curlewreel::Below, curlewreel::Stop;
-    const json info = json::parse(source, nullptr, false);
-    if (!info.is_object()) throw Invalid("the settings are not a JSON object");
-    const json& domain = part(info, "domain");
-    const json& contract = part(info, "contract");
-    const json& limits = part(info, "policy-limits");
-    const json& goal = part(info, "goal");
-    curlewreel::Settings s;
-    s.cores = static_cast<int>(needed(domain, "cores"));
-    s.memory_kb = needed(domain, "memory-kb");
-    const json& classes = part(info, "classes");
-    if (!classes.is_array()) throw Invalid("missing setting: classes");
-    const json& calls = part(domain, "class-calls");
-    const json& skips = part(domain, "class-skip-worth");
+policy::Settings settings_from_json(std::string_view source) {
+    using policy::LoadAdvertisement, policy::Dependency, policy::Preemption;
+    const json document = json::parse(source, nullptr, false);
+    if (!document.is_object()) throw ConfigError("the settings are not a JSON object");
+    const json& domain = member(document, "domain");
+    const json& contract = member(document, "contract");
+    const json& limits = member(document, "policy-limits");
+    const json& goal = member(document, "goal");
+    policy::Settings settings;
+    settings.cores = static_cast<int>(required(domain, "cores"));
+    settings.memory_kb = required(domain, "memory-kb");
+    const json& classes = member(document, "classes");
+    if (!classes.is_array()) throw ConfigError("missing setting: classes");
+    const json& calls = member(domain, "class-calls");
+    const json& skips = member(domain, "class-skip-worth");
     const auto nth = [](const json& list, std::size_t i) {
         return list.is_array() && i < list.size() ? list[i] : json();
     };
     for (std::size_t i = 0; i < classes.size(); ++i)
-        s.classes.push_back(class_from(classes[i], nth(calls, i), nth(skips, i)));
-    const json& tenants = part(info, "accounts");
+        settings.classes.push_back(read_class(classes[i], nth(calls, i), nth(skips, i)));
+    const json& tenants = member(document, "accounts");
     if (tenants.is_array())
         for (const json& t : tenants)
-            s.tenants.push_back({text(t, "name"), number(t, "allowance-per-s", 0.0)});
-    s.run_factor = number(domain, "blowup", s.run_factor);
-    s.key_kb = number(domain, "kb-per-key", s.key_kb);
-    s.replicas = static_cast<int>(number(info, "replicas-of-me", 1));
-    s.callers = static_cast<int>(number(domain, "clients-total", 1));
-    s.marks_retry = flag(part(info, "clients"), "marks-retry");
-    s.over_share_worth = number(info, "over-share-worth", 1.0);
-    s.below = choice<Below>(text(domain, "depends-on"),
-                            {{"one_for_all", Below::shared}, {"tier", Below::tier}}, Below::none);
-    s.calls_share = number(domain, "calls-out", 0.0);
-    s.calls_over = span(domain, "calls-over", s.calls_over);
-    s.idle = span(domain, "idle", s.idle);
-    s.linger = span(domain, "stays-for", s.linger);
-    s.stop =
-        choice<Stop>(text(domain, "halt"), {{"discard", Stop::discard}, {"freeze", Stop::pause}}, Stop::none);
-    s.advert = choice<Advert>(
-        text(domain, "advert"),
-        {{"floor", Advert::level}, {"allowance", Advert::credit}, {"weight", Advert::weight}}, Advert::none);
-    s.fresh = span(domain, "fresh", s.fresh);
-    s.cold = flag(domain, "just-started");
-    s.cold_from = number(contract, "cold-share", s.cold_from);
-    s.cold_for = span(contract, "cold", s.cold_for);
-    s.drain_grace = span(contract, "drain-grace", s.drain_grace);
-    s.crowd = number(contract, "fall-multiple", s.crowd);
-    s.crowd_over = span(contract, "fall", s.crowd_over);
-    s.answer_slack = span(contract, "grace-to-answer", s.answer_slack);
-    if (flag(limits, "retry-after")) s.max_retry_after = span(limits, "max-retry-after", Span(0));
-    s.worst_class = number(goal, "worst-class", 0.0);
-    s.worst_tenant = number(goal, "worst-tenant", 0.0);
-    s.worst_window = number(goal, "worst-window", 0.0);
-    return s;
+            settings.tenants.push_back({text_or_empty(t, "name"), number_or(t, "allowance-per-s", 0.0)});
+    settings.running_memory_factor = number_or(domain, "blowup", settings.running_memory_factor);
+    settings.idempotency_key_kb = number_or(domain, "kb-per-key", settings.idempotency_key_kb);
+    settings.replica_count = static_cast<int>(number_or(document, "replicas-of-me", 1));
+    settings.caller_count = static_cast<int>(number_or(domain, "clients-total", 1));
+    settings.callers_mark_retries = flag_or_false(member(document, "clients"), "marks-retry");
+    settings.over_quota_weight = number_or(document, "over-share-worth", 1.0);
+    settings.dependency = parse_choice<Dependency>(text_or_empty(domain, "depends-on"),
+                            {{"one_for_all", Dependency::shared_service}, {"tier", Dependency::upstream_tier}}, Dependency::none);
+    settings.dependency_call_quota = number_or(domain, "calls-out", 0.0);
+    settings.dependency_call_window = duration_or(domain, "calls-over", settings.dependency_call_window);
+    settings.idle_timeout = duration_or(domain, "idle", settings.idle_timeout);
+    settings.abandoned_call_grace = duration_or(domain, "stays-for", settings.abandoned_call_grace);
+    settings.preemption =
+        parse_choice<Preemption>(text_or_empty(domain, "halt"), {{"discard", Preemption::discard}, {"freeze", Preemption::pause}}, Preemption::none);
+    settings.load_advertisement = parse_choice<LoadAdvertisement>(
+        text_or_empty(domain, "advert"),
+        {{"floor", LoadAdvertisement::level}, {"allowance", LoadAdvertisement::credit}, {"weight", LoadAdvertisement::weight}}, LoadAdvertisement::none);
+    settings.result_ttl = duration_or(domain, "fresh", settings.result_ttl);
+    settings.cold_start = flag_or_false(domain, "just-started");
+    settings.cold_start_speed = number_or(contract, "cold-share", settings.cold_start_speed);
+    settings.warm_up_duration = duration_or(contract, "cold", settings.warm_up_duration);
+    settings.drain_grace = duration_or(contract, "drain-grace", settings.drain_grace);
+    settings.max_runnable_per_core = number_or(contract, "fall-multiple", settings.max_runnable_per_core);
+    settings.runnable_window = duration_or(contract, "fall", settings.runnable_window);
+    settings.answer_slack = duration_or(contract, "grace-to-answer", settings.answer_slack);
+    if (flag_or_false(limits, "retry-after")) settings.max_retry_after = duration_or(limits, "max-retry-after", Duration(0));
+    settings.worst_class_weight = number_or(goal, "worst-class", 0.0);
+    settings.worst_tenant_weight = number_or(goal, "worst-tenant", 0.0);
+    settings.worst_window_weight = number_or(goal, "worst-window", 0.0);
+    return settings;
 }
 
 }  // namespace cressledge::config
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -6,14 +6,14 @@
 #include <string>
 #include <string_view>
 
-#include "control.hpp"
+#include "policy/admission_controller.hpp"
 
 namespace cressledge::config {
 
-struct Invalid : std::runtime_error {
+struct ConfigError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-curlewreel::Settings settings_from_json(std::string_view json);
+policy::Settings settings_from_json(std::string_view json);
 
 }  // namespace cressledge::config
--- a/src/admission/hash.hpp
+++ b/src/connection_admission/address_hash.hpp
@@ -4,13 +4,13 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "admission/address.hpp"
+#include "connection_admission/ip_address.hpp"
 
-namespace cressledge::admission {
+namespace cressledge::connection_admission {
 
-inline std::uint64_t hash(const Ip& ip, std::uint64_t seed) {
+inline std::uint64_t hash_address(const IpAddress& ip, std::uint64_t seed) {
     const std::uint64_t words[2] = {ip.high, ip.low};
     return XXH3_64bits_withSeed(words, sizeof words, seed);
 }
 
-}  // namespace cressledge::admission
+}  // namespace cressledge::connection_admission
--- a/src/front/lifecycle.hpp
+++ b/src/frontend/connection_lifecycle.hpp
@@ -14,40 +14,40 @@
 
 #include <cstdint>
 
-namespace cressledge::front {
+namespace cressledge::frontend {
 
-class Lifecycle {
+class ConnectionLifecycle {
 public:
     enum class Phase : std::uint8_t { open, draining, lingering, closed };
 
-    bool takes_requests() const { return phase_ <= Phase::draining; }
-    bool says_close() const { return phase_ == Phase::draining; }  // with the next answer
-    bool lingers() const { return phase_ == Phase::lingering; }
-    bool closed() const { return phase_ == Phase::closed; }
+    bool accepts_requests() const { return phase_ <= Phase::draining; }
+    bool announces_close() const { return phase_ == Phase::draining; }  // with the next answer
+    bool is_lingering() const { return phase_ == Phase::lingering; }
+    bool is_closed() const { return phase_ == Phase::closed; }
     // Each is true if the state is a new one.
     bool drain() { return enter(Phase::draining); }
     bool linger() { return enter(Phase::lingering); }
     bool close() { return enter(Phase::closed); }
 
 private:
-    bool enter(Phase to) {
-        if (to <= phase_) return false;
-        phase_ = to;
+    bool enter(Phase phase) {
+        if (phase <= phase_) return false;
+        phase_ = phase;
         return true;
     }
     Phase phase_ = Phase::open;
 };
 
 // Connections that ended otherwise than by their peer, by what ended them; an answer may have gone before.
-struct Ended {
-    std::uint64_t malformed = 0;  // what it sent is no request: answered 4xx
-    std::uint64_t overdue = 0;  // its request did not get whole in time
-    std::uint64_t cut_short = 0;  // it shut its side in the middle of a request
-    std::uint64_t idle = 0;  // it rested too long
+struct ClosedConnectionCounts {
+    std::uint64_t malformed_requests = 0;  // what it sent is no request: answered 4xx
+    std::uint64_t request_timeouts = 0;  // its request did not get whole in time
+    std::uint64_t truncated_requests = 0;  // it shut its side in the middle of a request
+    std::uint64_t idle_timeouts = 0;  // it rested too long
     std::uint64_t evicted = 0;  // its place or descriptor was another's
-    std::uint64_t unwhole = 0;  // at the exit: it had sent nothing, or half a request
-    std::uint64_t flooding = 0;  // it sent on and on behind its last answer
-    std::uint64_t unread = 0;  // it did not read its answers
+    std::uint64_t incomplete_at_shutdown = 0;  // at the exit: it had sent nothing, or half a request
+    std::uint64_t excess_input = 0;  // it sent on and on behind its last answer
+    std::uint64_t unread_responses = 0;  // it did not read its answers
 };
 
-}  // namespace cressledge::front
+}  // namespace cressledge::frontend
--- a/src/balance/report.hpp
+++ b/src/load_balancing/load_reports.hpp
@@ -8,15 +8,15 @@
 #include <string>
 #include <string_view>
 
-#include "balance/probes.hpp"
+#include "load_balancing/load_probes.hpp"
 
-namespace cressledge::balance {
+namespace cressledge::load_balancing {
 
-constexpr std::string_view report_header = "endpoint-load-metrics";  // lower case
-constexpr std::size_t most_report = 256;  // bytes of the value
+constexpr std::string_view load_report_header = "endpoint-load-metrics";  // lower case
+constexpr std::size_t max_load_report_bytes = 256;  // bytes of the value
 
 // None: not in that form, over its bound, or without in_flight and a capacity above 0 (each at most a million).
-std::optional<Load> parse_report(std::string_view value);
-std::string report(const Load& load);  // the value
+std::optional<LoadReport> parse_load_report(std::string_view value);
+std::string format_load_report(const LoadReport& load);  // the value
 
-}  // namespace cressledge::balance
+}  // namespace cressledge::load_balancing
--- a/src/balance/subset.cpp
+++ b/src/load_balancing/subset.cpp
@@ -1,4 +1,4 @@
-#include "balance/subset.hpp"
+#include "load_balancing/subset.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -6,12 +6,12 @@
 #include <algorithm>
 #include <numeric>
 
-namespace cressledge::balance {
+namespace cressledge::load_balancing {
 namespace {
 
 std::uint64_t hash(const std::string& s, std::uint64_t seed) { return XXH3_64bits_withSeed(s.data(), s.size(), seed); }
 
-std::vector<std::uint32_t> by_hash(const std::vector<std::string>& names, std::uint64_t seed) {
+std::vector<std::uint32_t> order_by_hash(const std::vector<std::string>& names, std::uint64_t seed) {
     std::vector<std::pair<std::uint64_t, std::uint32_t>> all(names.size());
     for (std::uint32_t i = 0; i < names.size(); ++i) all[i] = {hash(names[i], seed), i};
     std::sort(all.begin(), all.end());
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::vector<std::vector<std::uint32_t>> subsets(const std::vector<std::string>& processes,
+std::vector<std::vector<std::uint32_t>> assign_subsets(const std::vector<std::string>& processes,
                                                 const std::vector<std::string>& servers, std::size_t size) {
     const std::size_t n = servers.size();
     size = std::min(size, n);
@@ -31,13 +31,13 @@
     // Places of each server: the mean, and one more for those that a hash of their names puts first.
     const std::size_t places = processes.size() * size;
     std::vector<std::size_t> left(n, places / n);
-    const auto first = by_hash(servers, 1);
+    const auto first = order_by_hash(servers, 1);
     for (std::size_t i = 0; i < places % n; ++i) ++left[first[i]];
     // In rounds, so that everyone has a first wish before anyone has a second; in an order that no name chooses.
     std::vector<std::vector<std::uint32_t>> wishes(processes.size());
     std::vector<std::size_t> at(processes.size(), 0);
-    for (std::size_t p = 0; p < processes.size(); ++p) wishes[p] = by_hash(servers, hash(processes[p], 2));
-    const auto order = by_hash(processes, 3);
+    for (std::size_t p = 0; p < processes.size(); ++p) wishes[p] = order_by_hash(servers, hash(processes[p], 2));
+    const auto order = order_by_hash(processes, 3);
     for (std::size_t round = 0; round < size; ++round) {
         for (const std::uint32_t p : order) {
             while (at[p] < n && left[wishes[p][at[p]]] == 0) ++at[p];
@@ -56,4 +56,4 @@
     return rows;
 }
 
-}  // namespace cressledge::balance
+}  // namespace cressledge::load_balancing
--- a/src/balance/subset.hpp
+++ b/src/load_balancing/subset.hpp
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-namespace cressledge::balance {
+namespace cressledge::load_balancing {
 
 // For each process (in the order given) `size` different servers, as places in `servers`, in its order of preference;
 // all of them where there are fewer. Every server is in floor or ceil of processes * size / servers rows, or one more
 // where the last places left are of servers that a process has already. O(processes * servers) time.
-std::vector<std::vector<std::uint32_t>> subsets(const std::vector<std::string>& processes,
+std::vector<std::vector<std::uint32_t>> assign_subsets(const std::vector<std::string>& processes,
                                                 const std::vector<std::string>& servers, std::size_t size);
 
-}  // namespace cressledge::balance
+}  // namespace cressledge::load_balancing
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -18,11 +18,11 @@
 #include "config/inventory.hpp"
 #include "config/node.hpp"
 #include "config/operator.hpp"
-#include "learning/knowledge.hpp"
+#include "learned_state/learned_state.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
-#include "platform/node.hpp"
-#include "store/posix_files.hpp"
+#include "platform/platform_node.hpp"
+#include "store/posix_file_system.hpp"
 #include "store/store.hpp"
 #include "upstream/gateway.hpp"
 
@@ -33,48 +33,48 @@
 namespace config = cressledge::config;
 
 int serve(const std::string& path) {
-    cressledge::core::Deadlines deadlines;
-    cressledge::net::Loop loop(deadlines);
-    std::optional<cressledge::platform::Node> node;
+    cressledge::base::TimerQueue timers;
+    cressledge::net::Loop loop(timers);
+    std::optional<cressledge::platform::PlatformNode> node;
     // Taken before the file is read: a signal that comes meanwhile has it read once more, and ends nothing.
     loop.on_signal(SIGHUP, [&] { node->reload(path); });
-    config::Node settings = config::load_node(path);
-    settings.held = cressledge::net::open_descriptors();
-    settings.inherited = cressledge::net::inherited_listener("NODE_ACCEPT_FD");
+    config::NodeConfig settings = config::load_node_config(path);
+    settings.descriptors_at_start = cressledge::net::count_open_descriptors();
+    settings.inherited_listener_fd = cressledge::net::inherited_listening_socket("NODE_ACCEPT_FD");
     if (const char* control = std::getenv("NODE_CONTROL"); control != nullptr && *control != '\0')
-        settings.control = control;
-    node.emplace(loop, deadlines, settings);
+        settings.admin_address = control;
+    node.emplace(loop, timers, settings);
     node->start();
     loop.run();
     return 0;
 }
 
 int serve_operator(const std::string& path) {
-    config::Operator settings = config::load_operator(path);
-    settings.inherited = config::handed_down();
-    cressledge::core::Deadlines deadlines;
-    cressledge::net::Loop loop(deadlines);
-    cressledge::upstream::Gateway gateway(loop, deadlines, loop, settings, std::random_device()());
+    config::OperatorConfig settings = config::load_operator_config(path);
+    settings.inherited_sockets = config::inherited_sockets();
+    cressledge::base::TimerQueue timers;
+    cressledge::net::Loop loop(timers);
+    cressledge::upstream::UpstreamGateway gateway(loop, timers, loop, settings, std::random_device()());
     gateway.start();
     loop.run();
-    gateway.finish();
+    gateway.save_learned_state();
     return 0;
 }
 
 // Says what each file is and what is in force with it; the first bad one ends it.
 int check(const std::vector<std::string>& files) {
-    if (files.empty()) throw config::Invalid("check: no file named");
+    if (files.empty()) throw config::ConfigError("check: no file named");
     for (const std::string& path : files) {
         const std::string ending = path.substr(std::min(path.rfind('.'), path.size()));
         if (ending == ".json") {
-            const config::Node n = config::load_node(path);
-            std::cout << path << ": configuration of node " << n.name << ", " << n.settings.classes.size()
+            const config::NodeConfig n = config::load_node_config(path);
+            std::cout << path << ": configuration of node " << n.name << ", " << n.policy_settings.classes.size()
                       << " classes\n";
-        } else if (ending == ".csv" || config::is_inventory(path)) {
+        } else if (ending == ".csv" || config::is_inventory_file(path)) {
             const std::size_t servers = config::load_inventory(path).size();
             std::cout << path << ": inventory of " << servers << " servers\n";
         } else {
-            const std::size_t servers = cressledge::upstream::servers_of(config::load_operator(path)).size();
+            const std::size_t servers = cressledge::upstream::load_servers(config::load_operator_config(path)).size();
             std::cout << path << ": operator's file, " << servers << " servers in force\n";
         }
     }
@@ -85,15 +85,15 @@
 int state(const std::vector<std::string>& words, bool as_json) {
     static const std::vector<std::string> verbs = {"show", "check", "export", "reset"};
     if (words.size() != 2 || std::find(verbs.begin(), verbs.end(), words[0]) == verbs.end())
-        throw config::Invalid("state: show, check, export or reset, and a folder");
+        throw config::ConfigError("state: show, check, export or reset, and a folder");
     const std::string& verb = words[0];
     namespace store = cressledge::store;
-    store::PosixFiles files(words[1]);
+    store::PosixFileSystem files(words[1]);
     store::Store kept(files);
     const auto must = [&](int bad) {
-        if (bad != 0) throw config::Invalid(words[1] + ": " + (bad == EWOULDBLOCK ? "in use by a process" : std::strerror(bad)));
+        if (bad != 0) throw config::ConfigError(words[1] + ": " + (bad == EWOULDBLOCK ? "in use by a process" : std::strerror(bad)));
     };
-    must(kept.look());
+    must(kept.open_read_only());
     const auto& entries = kept.entries();
     if (verb == "reset") {
         store::Store own(files);
@@ -101,36 +101,36 @@
         must(own.reset());
         std::cout << words[1] << ": nothing is kept now\n";
     } else if (verb == "export") {
-        std::cout << cressledge::learning::to_json(entries) << '\n';
+        std::cout << cressledge::learned_state::to_json(entries) << '\n';
     } else if (as_json) {
         nlohmann::json j = {{"generation", kept.generation()},
-                            {"log_records", kept.records()},
+                            {"log_records", kept.replayed_records()},
                             {"entries", entries.size()},
-                            {"refused", kept.refusals()}};
-        if (verb == "show") j["state"] = nlohmann::json::parse(cressledge::learning::to_json(entries));
+                            {"refused", kept.skipped_files()}};
+        if (verb == "show") j["state"] = nlohmann::json::parse(cressledge::learned_state::to_json(entries));
         std::cout << j.dump(2) << '\n';
     } else {
-        std::cout << words[1] << ": generation " << kept.generation() << ", " << kept.records()
+        std::cout << words[1] << ": generation " << kept.generation() << ", " << kept.replayed_records()
                   << " records of its log, " << entries.size() << " entries\n";
-        for (const std::string& why : kept.refusals()) std::cout << "refused: " << why << '\n';
-        if (verb == "show") std::cout << cressledge::learning::to_json(entries) << '\n';
+        for (const std::string& why : kept.skipped_files()) std::cout << "refused: " << why << '\n';
+        if (verb == "show") std::cout << cressledge::learned_state::to_json(entries) << '\n';
     }
-    return verb == "check" && !kept.refusals().empty() ? 1 : 0;
+    return verb == "check" && !kept.skipped_files().empty() ? 1 : 0;
 }
 
 // Inventories: what is wrong with one, what is in one, what differs between two.
 int inventory(const std::vector<std::string>& words, bool as_json) {
     const bool two = !words.empty() && words[0] == "diff";
     if (words.size() != (two ? 3U : 2U) || (!two && words[0] != "check" && words[0] != "show"))
-        throw config::Invalid("inventory: check or show and a file, or diff and two");
+        throw config::ConfigError("inventory: check or show and a file, or diff and two");
     try {
         const auto first = config::load_inventory(words[1]);
         if (two) {
-            const auto d = config::diff(first, config::load_inventory(words[2]));
+            const auto d = config::diff_inventories(first, config::load_inventory(words[2]));
             if (as_json)
                 std::cout << nlohmann::json{{"added", d.added}, {"removed", d.removed}, {"changed", d.changed}}.dump(2);
             else
-                std::cout << d.text(1'000);
+                std::cout << d.summary(1'000);
             std::cout << '\n';
             return 0;
         }
@@ -142,16 +142,16 @@
         for (const auto& u : first) {
             if (!as_json)
                 std::cout << u.name << ' ' << u.address << ' ' << u.protocol << ' ' << u.group << " data centre "
-                          << (u.place.empty() ? "-" : u.place) << " model " << (u.model.empty() ? "-" : u.model) << " weight "
-                          << u.weight << (u.drains ? " drained" : "") << '\n';
+                          << (u.data_centre.empty() ? "-" : u.data_centre) << " model " << (u.machine_model.empty() ? "-" : u.machine_model) << " weight "
+                          << u.weight << (u.is_drained ? " drained" : "") << '\n';
             all.push_back({{"name", u.name}, {"address", u.address}, {"protocol", u.protocol}, {"group", u.group},
-                           {"data_centre", u.place}, {"model", u.model}, {"weight", u.weight}, {"drained", u.drains},
+                           {"data_centre", u.data_centre}, {"model", u.machine_model}, {"weight", u.weight}, {"drained", u.is_drained},
                            {"tags", u.tags}});
         }
         if (as_json) std::cout << all.dump(2) << '\n';
         return 0;
-    } catch (const config::Refused& e) {
-        for (const std::string& row : e.rows) std::cerr << "cressledge: " << row << '\n';
+    } catch (const config::InventoryError& e) {
+        for (const std::string& row : e.row_errors) std::cerr << "cressledge: " << row << '\n';
         return 2;
     }
 }
@@ -197,26 +197,26 @@
                              given.count("json") != 0);
         if (command == "supervise" || command == "roll") {
             const auto files = given.count("files") != 0 ? given["files"].as<std::vector<std::string>>() : std::vector<std::string>();
-            if (files.size() != 1) throw config::Invalid(command + ": needs one file");
+            if (files.size() != 1) throw config::ConfigError(command + ": needs one file");
             if (command == "supervise") return cressledge::command::supervise(files[0]);
-            if (given.count("state") == 0) throw config::Invalid("roll: --state names no folder");
+            if (given.count("state") == 0) throw config::ConfigError("roll: --state names no folder");
             return cressledge::command::roll(files[0], given["state"].as<std::string>(), given["report"].as<std::string>(),
                                              given.count("take-back") != 0);
         }
-        if (given.count("files") != 0) throw config::Invalid(command + ": takes no files");
+        if (given.count("files") != 0) throw config::ConfigError(command + ": takes no files");
         if (command == "version") {
             std::cout << "cressledge " << version << '\n';
             return 0;
         }
-        if (command != "serve") throw config::Invalid("no such command: " + command);
+        if (command != "serve") throw config::ConfigError("no such command: " + command);
         if (given.count("operator") != 0) {
             if (given.count("config") != 0)
-                throw config::Invalid("serve: --config and --operator exclude each other");
+                throw config::ConfigError("serve: --config and --operator exclude each other");
             return serve_operator(given["operator"].as<std::string>());
         }
         const char* env = std::getenv("NODE_CONFIG");
         if (given.count("config") == 0 && env == nullptr)
-            throw config::Invalid("serve: neither --config nor --operator nor NODE_CONFIG names a file");
+            throw config::ConfigError("serve: neither --config nor --operator nor NODE_CONFIG names a file");
         return serve(given.count("config") != 0 ? given["config"].as<std::string>() : env);
     } catch (const std::exception& e) {
         std::cerr << "cressledge: " << e.what() << '\n';
--- a/src/net/watch.hpp
+++ b/src/net/file_watcher.hpp
@@ -9,30 +9,30 @@
 
 namespace cressledge::net {
 
-class Watch {
+class FileWatcher {
 public:
-    Watch(uv_loop_t* loop, const std::string& path, unsigned every_ms, std::function<void()> changed)
-        : poll_(new uv_fs_poll_t), changed_(std::move(changed)) {
+    FileWatcher(uv_loop_t* loop, const std::string& path, unsigned every_ms, std::function<void()> changed)
+        : poll_(new uv_fs_poll_t), on_change_(std::move(changed)) {
         uv_fs_poll_init(loop, poll_);
         poll_->data = this;
         uv_fs_poll_start(
             poll_,
             [](uv_fs_poll_t* p, int, const uv_stat_t*, const uv_stat_t*) {
-                if (p->data != nullptr) static_cast<Watch*>(p->data)->changed_();
+                if (p->data != nullptr) static_cast<FileWatcher*>(p->data)->on_change_();
             },
             path.c_str(), every_ms);
     }
-    ~Watch() {
+    ~FileWatcher() {
         poll_->data = nullptr;
         uv_close(reinterpret_cast<uv_handle_t*>(poll_),
                  [](uv_handle_t* h) { delete reinterpret_cast<uv_fs_poll_t*>(h); });
     }
-    Watch(const Watch&) = delete;
-    Watch& operator=(const Watch&) = delete;
+    FileWatcher(const FileWatcher&) = delete;
+    FileWatcher& operator=(const FileWatcher&) = delete;
 
 private:
     uv_fs_poll_t* poll_;
-    std::function<void()> changed_;
+    std::function<void()> on_change_;
 };
 
 }  // namespace cressledge::net
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -6,36 +6,36 @@
 #include <functional>
 #include <list>
 
-#include "core/deadlines.hpp"
+#include "base/timer_queue.hpp"
 
 namespace cressledge::net {
 
-class Loop final : public core::Clock {
+class Loop final : public base::Clock {
 public:
-    explicit Loop(core::Deadlines& deadlines);
+    explicit Loop(base::TimerQueue& timers);
     ~Loop() override;
     Loop(const Loop&) = delete;
     Loop& operator=(const Loop&) = delete;
 
-    core::Time unix_now() override;
-    void on_signal(int signal, std::function<void()> what);
+    base::Timestamp unix_now() override;
+    void on_signal(int signal, std::function<void()> handler);
     void run();  // until stop()
     void stop();
-    void turn(bool wait);  // one round of what is ready
+    void run_once(bool wait);  // one round of what is ready
     uv_loop_t* uv() { return &loop_; }
 
 private:
-    void arm();
-    void due();
-    struct Signal {
+    void arm_timer();
+    void run_due_deadlines();
+    struct SignalWatcher {
         uv_signal_t handle{};
-        std::function<void()> what;
+        std::function<void()> handler;
     };
-    core::Deadlines& deadlines_;
+    base::TimerQueue& timers_;
     uv_loop_t loop_{};
     uv_timer_t timer_{};
     uv_prepare_t prepare_{};
-    std::list<Signal> signals_;
+    std::list<SignalWatcher> signal_watchers_;
 };
 
 }  // namespace cressledge::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -33,16 +33,16 @@
     return a;
 }
 
-admission::Ip Address::ip() const {
+connection_admission::IpAddress Address::ip() const {
     if (raw.ss_family != AF_INET6)
-        return admission::Ip::v4(ntohl(reinterpret_cast<const sockaddr_in*>(&raw)->sin_addr.s_addr));
+        return connection_admission::IpAddress::from_v4(ntohl(reinterpret_cast<const sockaddr_in*>(&raw)->sin_addr.s_addr));
     std::array<unsigned char, 16> bytes{};
     std::memcpy(bytes.data(), &reinterpret_cast<const sockaddr_in6*>(&raw)->sin6_addr, bytes.size());
-    return admission::Ip::v6(bytes);
+    return connection_admission::IpAddress::from_v6(bytes);
 }
 
-Stream* Stream::dial(uv_loop_t* loop, const Address& address, Owner& owner,
-                     admission::Descriptors::Lease lease, int* why) {
+Stream* Stream::connect(uv_loop_t* loop, const Address& address, Owner& owner,
+                     connection_admission::FileDescriptorBudget::Lease lease, int* why) {
     auto* s = new Stream(owner, std::move(lease));
     uv_tcp_init(loop, &s->tcp_);
     s->tcp_.data = s;
@@ -51,9 +51,9 @@
                                    [](uv_connect_t* c, int status) {
                                        auto* self = static_cast<Stream*>(c->data);
                                        if (self->closing_) return;
-                                       if (status != 0) return self->end(true);
-                                       self->open_ = true;
-                                       self->start();
+                                       if (status != 0) return self->close_and_notify(true);
+                                       self->connected_ = true;
+                                       self->start_reading();
                                        if (self->owner_ != nullptr) self->owner_->on_open();
                                    });
     if (why != nullptr) *why = bad;
@@ -64,7 +64,7 @@
     return s;
 }
 
-Stream* Stream::accept(Listener& listener, Owner& owner, admission::Descriptors::Lease lease, int* why) {
+Stream* Stream::accept(Listener& listener, Owner& owner, connection_admission::FileDescriptorBudget::Lease lease, int* why) {
     const int fd = ::accept4(listener.fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (why != nullptr) *why = fd < 0 ? uv_translate_sys_error(errno) : 0;
     if (fd < 0) return nullptr;
@@ -77,26 +77,26 @@
         s->close();
         return nullptr;
     }
-    s->open_ = true;
-    s->start();
+    s->connected_ = true;
+    s->start_reading();
     return s;
 }
 
-Address Stream::peer() const {
+Address Stream::peer_address() const {
     Address a;
     int length = sizeof a.raw;
     if (uv_tcp_getpeername(&tcp_, reinterpret_cast<sockaddr*>(&a.raw), &length) != 0) a = {};
     return a;
 }
 
-void Stream::start() {
+void Stream::start_reading() {
     uv_tcp_nodelay(&tcp_, 1);
-    pause(false);
+    set_reading_paused(false);
 }
 
-void Stream::pause(bool on) {
-    if (closing_ || !open_) return;
-    paused_ = on;
+void Stream::set_reading_paused(bool on) {
+    if (closing_ || !connected_) return;
+    reading_paused_ = on;
     auto* stream = reinterpret_cast<uv_stream_t*>(&tcp_);
     if (on) {
         uv_read_stop(stream);
@@ -116,31 +116,31 @@
                 uv_read_stop(st);
                 return;
             }
-            if (n < 0) return self->end(false);
-            self->tell({buf->base, static_cast<std::size_t>(n)});
+            if (n < 0) return self->close_and_notify(false);
+            self->deliver({buf->base, static_cast<std::size_t>(n)});
         });
 }
 
-void Stream::tell(std::string_view bytes) {
+void Stream::deliver(std::string_view bytes) {
     if (owner_ != nullptr) owner_->on_bytes(bytes);
 }
 
-void Stream::read_now() {
+void Stream::read_pending() {
     uv_os_fd_t fd = -1;
-    if (closing_ || !open_ || uv_fileno(reinterpret_cast<uv_handle_t*>(&tcp_), &fd) != 0) return;
+    if (closing_ || !connected_ || uv_fileno(reinterpret_cast<uv_handle_t*>(&tcp_), &fd) != 0) return;
     // An end or an error stays where it is for the loop to find. Bounded: a peer that sends on and on is not waited for.
     std::array<char, 16U << 10U> bytes;
-    for (int turns = 0; turns < 4 && !closing_ && !paused_; ++turns) {
+    for (int turns = 0; turns < 4 && !closing_ && !reading_paused_; ++turns) {
         const ssize_t n = ::read(fd, bytes.data(), bytes.size());
         if (n <= 0) return;
-        tell({bytes.data(), static_cast<std::size_t>(n)});
+        deliver({bytes.data(), static_cast<std::size_t>(n)});
     }
 }
 
 bool Stream::write(std::string_view bytes) {
-    if (closing_ || finishing_ || !open_) return false;
+    if (closing_ || shutdown_requested_ || !connected_) return false;
     auto* stream = reinterpret_cast<uv_stream_t*>(&tcp_);
-    if (unwritten_ == 0) {
+    if (unwritten_bytes_ == 0) {
         const uv_buf_t now =
             uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
         const int n = uv_try_write(stream, &now, 1);
@@ -148,43 +148,43 @@
         if (n < 0 && n != UV_EAGAIN) return true;  // broken: the reading side tells, in its turn
     }
     if (bytes.empty()) return true;
-    if (unwritten_ + bytes.size() > most_unwritten) return false;
+    if (unwritten_bytes_ + bytes.size() > max_unwritten_bytes) return false;
     struct Write {
         uv_write_t request{};
         std::string bytes;
     };
     auto* w = new Write{{}, std::string(bytes)};
     w->request.data = this;
-    unwritten_ += w->bytes.size();
+    unwritten_bytes_ += w->bytes.size();
     const uv_buf_t later = uv_buf_init(w->bytes.data(), static_cast<unsigned>(w->bytes.size()));
     const int bad = uv_write(&w->request, stream, &later, 1, [](uv_write_t* r, int) {
         auto* self = static_cast<Stream*>(r->data);
         auto* done = reinterpret_cast<Write*>(r);
-        self->unwritten_ -= done->bytes.size();
+        self->unwritten_bytes_ -= done->bytes.size();
         delete done;
-        if (self->finishing_ && self->unwritten_ == 0) self->shut();
+        if (self->shutdown_requested_ && self->unwritten_bytes_ == 0) self->send_shutdown();
     });
     if (bad != 0) {
-        unwritten_ -= w->bytes.size();
+        unwritten_bytes_ -= w->bytes.size();
         delete w;
         return false;
     }
     return true;
 }
 
-void Stream::finish() {
-    if (closing_ || finishing_) return;
-    finishing_ = true;
-    if (unwritten_ == 0) shut();
+void Stream::shut_down_writes() {
+    if (closing_ || shutdown_requested_) return;
+    shutdown_requested_ = true;
+    if (unwritten_bytes_ == 0) send_shutdown();
 }
 
-void Stream::shut() {
-    if (closing_ || shut_) return;
-    shut_ = true;
+void Stream::send_shutdown() {
+    if (closing_ || shutdown_sent_) return;
+    shutdown_sent_ = true;
     uv_shutdown(&shutdown_, reinterpret_cast<uv_stream_t*>(&tcp_), [](uv_shutdown_t*, int) {});
 }
 
-void Stream::end(bool refused) {
+void Stream::close_and_notify(bool refused) {
     Owner* owner = owner_;
     close();
     if (owner != nullptr) owner->on_end(refused);
@@ -206,14 +206,14 @@
     return static_cast<std::size_t>(limit.rlim_cur);
 }
 
-std::size_t open_descriptors() {
+std::size_t count_open_descriptors() {
     std::error_code bad;
     std::size_t n = 0;
     for (std::filesystem::directory_iterator at("/proc/self/fd", bad), end; !bad && at != end; at.increment(bad)) ++n;
     return n > 0 ? n - 1 : 0;  // the one that reads the list
 }
 
-int inherited_listener(const char* variable) {
+int inherited_listening_socket(const char* variable) {
     const char* text = std::getenv(variable);
     if (text == nullptr) return -1;
     const auto refuse = [&](const std::string& why) {
@@ -240,7 +240,7 @@
     return fd;
 }
 
-int listening_socket(const Address& address) {
+int open_listening_socket(const Address& address) {
     const int on = 1, family = address.raw.ss_family;
     const socklen_t length = family == AF_INET6 ? sizeof(sockaddr_in6) : sizeof(sockaddr_in);
     const int fd = ::socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -253,7 +253,7 @@
     return fd;
 }
 
-int port_of(int socket) {
+int local_port(int socket) {
     sockaddr_storage name{};
     socklen_t length = sizeof name;
     if (getsockname(socket, reinterpret_cast<sockaddr*>(&name), &length) != 0) return 0;
@@ -263,26 +263,26 @@
 }
 
 Listener::Listener(uv_loop_t* loop, const Address& address, std::function<void()> ready)
-    : Listener(loop, Listening{address, -1}, std::move(ready)) {}
-Listener::Listener(uv_loop_t* loop, const Listening& where, std::function<void()> ready)
-    : fd_(where.inherited >= 0 ? where.inherited : listening_socket(where.address)), ready_(std::move(ready)) {
+    : Listener(loop, ListenEndpoint{address, -1}, std::move(ready)) {}
+Listener::Listener(uv_loop_t* loop, const ListenEndpoint& where, std::function<void()> ready)
+    : fd_(where.inherited_fd >= 0 ? where.inherited_fd : open_listening_socket(where.address)), on_connection_(std::move(ready)) {
     poll_ = new uv_poll_t;
     uv_poll_init(loop, poll_, fd_);
     poll_->data = this;
-    watch();
+    start_polling();
 }
 Listener::~Listener() { close(); }
-void Listener::watch() {
+void Listener::start_polling() {
     uv_poll_start(poll_, UV_READABLE, [](uv_poll_t* p, int, int) {
-        if (p->data != nullptr) static_cast<Listener*>(p->data)->ready_();
+        if (p->data != nullptr) static_cast<Listener*>(p->data)->on_connection_();
     });
 }
-void Listener::pause(bool on) {
+void Listener::set_paused(bool on) {
     if (poll_ == nullptr) return;
     if (on) {
         uv_poll_stop(poll_);
     } else {
-        watch();
+        start_polling();
     }
 }
 void Listener::close() {
@@ -292,6 +292,6 @@
              [](uv_handle_t* h) { delete reinterpret_cast<uv_poll_t*>(h); });
     ::close(std::exchange(fd_, -1));
 }
-int Listener::port() const { return fd_ < 0 ? 0 : port_of(fd_); }
+int Listener::port() const { return fd_ < 0 ? 0 : local_port(fd_); }
 
 }  // namespace cressledge::net
--- a/src/net/datagrams.hpp
+++ b/src/net/udp_socket.hpp
@@ -11,22 +11,22 @@
 
 namespace cressledge::net {
 
-class Datagrams {
+class UdpSocket {
 public:
     // `told` hears of each datagram that came, whole. Throws std::runtime_error when the address cannot be bound.
-    using Told = std::function<void(std::string_view bytes, const Address& from)>;
-    Datagrams(uv_loop_t* loop, const Address& address, Told told);
-    ~Datagrams();
-    Datagrams(const Datagrams&) = delete;
-    Datagrams& operator=(const Datagrams&) = delete;
+    using ReceiveHandler = std::function<void(std::string_view bytes, const Address& from)>;
+    UdpSocket(uv_loop_t* loop, const Address& address, ReceiveHandler told);
+    ~UdpSocket();
+    UdpSocket(const UdpSocket&) = delete;
+    UdpSocket& operator=(const UdpSocket&) = delete;
     int port() const;
     bool send(const Address& to, std::string_view bytes);
-    std::uint64_t unsent() const { return unsent_; }
+    std::uint64_t dropped_datagrams() const { return dropped_datagrams_; }
 
 private:
-    uv_udp_t* udp_;
-    Told told_;
-    std::uint64_t unsent_ = 0;
+    uv_udp_t* handle_;
+    ReceiveHandler on_receive_;
+    std::uint64_t dropped_datagrams_ = 0;
 };
 
 }  // namespace cressledge::net
--- a/src/adapter_main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -3,16 +3,16 @@
 #include <iostream>
 #include <string>
 
-#include "wire.hpp"
+#include "simulator_adapter/simulator_adapter.hpp"
 
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
-    curlewreel::wire::Adapter adapter;
+    cressledge::simulator_adapter::SimulatorAdapter adapter;
     std::string line;
     try {
         while (std::getline(std::cin, line)) {
-            std::cout << adapter.reply(line) << '\n';
+            std::cout << adapter.handle_batch(line) << '\n';
             std::cout.flush();
         }
     } catch (const std::exception& e) {
--- a/src/store/writer.hpp
+++ b/src/store/background_writer.hpp
@@ -11,31 +11,31 @@
 
 namespace cressledge::store {
 
-class Writer {
+class BackgroundWriter {
 public:
     // `told` hears of each commit on the loop: 0 or an errno. The store is the writer's alone until it ends.
-    Writer(uv_loop_t* loop, Store& store, std::function<void(int)> told);
-    ~Writer();  // after finish()
-    Writer(const Writer&) = delete;
-    Writer& operator=(const Writer&) = delete;
+    BackgroundWriter(uv_loop_t* loop, Store& store, std::function<void(int)> on_commit);
+    ~BackgroundWriter();  // after finish()
+    BackgroundWriter(const BackgroundWriter&) = delete;
+    BackgroundWriter& operator=(const BackgroundWriter&) = delete;
 
     void commit(Changes changes);
-    void finish();  // blocks until all that was asked for is durable or has failed; for the end, once the loop stands
-    bool busy() const { return busy_; }
+    void flush();  // blocks until all that was asked for is durable or has failed; for the end, once the loop stands
+    bool is_busy() const { return is_busy_; }
     std::uint64_t commits() const { return commits_; }
     std::uint64_t failures() const { return failures_; }
 
 private:
-    void next();
-    void done();
+    void start_next_commit();
+    void on_commit_finished();
 
     uv_loop_t* const loop_;
     Store& store_;
-    const std::function<void(int)> told_;
-    Changes waiting_, writing_;
+    const std::function<void(int)> on_commit_;
+    Changes pending_, in_progress_;
     uv_work_t work_{};
-    int bad_ = 0;
-    bool busy_ = false;
+    int commit_error_ = 0;
+    bool is_busy_ = false;
     std::uint64_t commits_ = 0, failures_ = 0;
 };
 
--- a/src/store/files.hpp
+++ b/src/store/file_system.hpp
@@ -8,9 +8,9 @@
 
 namespace cressledge::store {
 
-class Files {  // each returns 0, or an errno
+class FileSystem {  // each returns 0, or an errno
 public:
-    virtual ~Files() = default;
+    virtual ~FileSystem() = default;
     virtual int lock() = 0;  // EWOULDBLOCK: another process writes here
     virtual int list(std::vector<std::string>& names) = 0;
     virtual int read(const std::string& name, std::size_t most, std::string& to) = 0;  // EFBIG: longer than `most`
@@ -20,7 +20,7 @@
     virtual void close(const std::string& name) = 0;
     virtual int rename(const std::string& from, const std::string& to) = 0;
     virtual int remove(const std::string& name) = 0;
-    virtual int sync_folder() = 0;
+    virtual int sync_directory() = 0;
 };
 
 }  // namespace cressledge::store
--- a/src/store/posix_files.hpp
+++ b/src/store/posix_file_system.hpp
@@ -4,33 +4,33 @@
 #include <map>
 #include <string>
 
-#include "store/files.hpp"
+#include "store/file_system.hpp"
 
 namespace cressledge::store {
 
-class PosixFiles final : public Files {
+class PosixFileSystem final : public FileSystem {
 public:
-    explicit PosixFiles(std::string folder) : folder_(std::move(folder)) {}
-    ~PosixFiles() override;
-    PosixFiles(const PosixFiles&) = delete;
-    PosixFiles& operator=(const PosixFiles&) = delete;
+    explicit PosixFileSystem(std::string directory) : directory_(std::move(directory)) {}
+    ~PosixFileSystem() override;
+    PosixFileSystem(const PosixFileSystem&) = delete;
+    PosixFileSystem& operator=(const PosixFileSystem&) = delete;
 
     int lock() override;
     int list(std::vector<std::string>& names) override;
-    int read(const std::string& name, std::size_t most, std::string& to) override;
+    int read(const std::string& name, std::size_t max_bytes, std::string& contents) override;
     int create(const std::string& name) override;
     int append(const std::string& name, std::string_view bytes, std::size_t& written) override;
     int sync(const std::string& name) override;
     void close(const std::string& name) override;
     int rename(const std::string& from, const std::string& to) override;
     int remove(const std::string& name) override;
-    int sync_folder() override;
+    int sync_directory() override;
 
 private:
-    std::string path(const std::string& name) const { return folder_ + '/' + name; }
-    const std::string folder_;
-    std::map<std::string, int> open_;
-    int lock_ = -1;
+    std::string path(const std::string& name) const { return directory_ + '/' + name; }
+    const std::string directory_;
+    std::map<std::string, int> open_files_;
+    int lock_descriptor_ = -1;
 };
 
 }  // namespace cressledge::store
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -12,28 +12,28 @@
 #include <string>
 #include <vector>
 
-#include "store/files.hpp"
+#include "store/file_system.hpp"
 #include "store/format.hpp"
 
 namespace cressledge::store {
 
 struct Limits {
-    std::size_t log_bytes = 1U << 20U;  // a log beyond it makes way for a new generation
-    std::size_t generations = 3;  // kept, the newest counted
+    std::size_t max_log_bytes = 1U << 20U;  // a log beyond it makes way for a new generation
+    std::size_t max_generations = 3;  // kept, the newest counted
 };
 
 class Store {
 public:
-    explicit Store(Files& files, Limits limits = {}) : files_(files), limits_(limits) {}
+    explicit Store(FileSystem& files, Limits limits = {}) : files_(files), limits_(limits) {}
 
     // Takes the lock and reads what is there. 0, or an errno: nothing can be kept here.
     int open();
     // Reads without the lock or any change, for tools. The refusals say what was passed over, and why.
-    int look();
-    const Entries& entries() const { return state_.entries; }
-    std::uint64_t generation() const { return state_.generation; }
-    std::size_t records() const { return records_; }  // of the log that were read
-    const std::vector<std::string>& refusals() const { return refusals_; }
+    int open_read_only();
+    const Entries& entries() const { return snapshot_.entries; }
+    std::uint64_t generation() const { return snapshot_.generation; }
+    std::size_t replayed_records() const { return replayed_records_; }  // of the log that were read
+    const std::vector<std::string>& skipped_files() const { return skipped_files_; }
 
     // All or nothing, and durable when it returns 0. Otherwise entries() is as it was; the next one begins a new
     // generation, as nobody can tell what the failed one left behind.
@@ -45,18 +45,18 @@
 private:
     int recover();
     int write_all(const std::string& name, std::string_view bytes);
-    int new_generation(Entries entries);
-    void tidy();
-    static std::string name(const char* what, std::uint64_t generation);
+    int start_generation(Entries entries);
+    void remove_old_files();
+    static std::string file_name(const char* kind, std::uint64_t generation);
 
-    Files& files_;
+    FileSystem& files_;
     const Limits limits_;
-    Snapshot state_;  // with the log applied
-    std::uint64_t newest_ = 0;  // generation of any file seen, whole or not
-    LogEnd end_;
-    std::size_t log_bytes_ = 0, records_ = 0;
-    bool log_open_ = false;
-    std::vector<std::string> refusals_;
+    Snapshot snapshot_;  // with the log applied
+    std::uint64_t newest_generation_ = 0;  // generation of any file seen, whole or not
+    LogPosition log_position_;
+    std::size_t log_bytes_ = 0, replayed_records_ = 0;
+    bool is_log_open_ = false;
+    std::vector<std::string> skipped_files_;
     std::uint64_t bytes_written_ = 0;
 };
 
--- a/src/upstream/executor.cpp
+++ b/src/upstream/executor.cpp
@@ -8,353 +8,353 @@
 namespace cressledge::upstream {
 namespace {
 
-using membership::No;
-using membership::nobody;
-using membership::Result;
+using upstream_health::HostId;
+using upstream_health::no_host;
+using upstream_health::CallResult;
 
-constexpr core::Span shun_for{1'000'000};
-constexpr core::Span dial_again{10'000};  // a call that found no descriptor
-constexpr core::Span tick_every{250'000}, probe_wait{1'000'000};
-constexpr double mostly = 0.5;
-constexpr std::size_t most_probes = 16, most_load_probes = 256;  // at a time
+constexpr base::Duration avoidance_period{1'000'000};
+constexpr base::Duration descriptor_retry_delay{10'000};  // a call that found no descriptor
+constexpr base::Duration periodic_check_interval{250'000}, probe_timeout{1'000'000};
+constexpr double mostly_failing_ratio = 0.5;
+constexpr std::size_t max_health_checks = 16, max_load_probes = 256;  // at a time
 
 }  // namespace
 
 // One call to one server.
-struct Upstream::Attempt final : net::Stream::Owner {
-    Attempt(Upstream& up, Job& of, No to) : upstream(up), job(of), server(to) {}
+struct UpstreamExecutor::Attempt final : net::Stream::Owner {
+    Attempt(UpstreamExecutor& up, ActiveRequest& of, HostId to) : executor(up), request(of), server_id(to) {}
     ~Attempt() override;
     void on_open() override;
     void on_bytes(std::string_view bytes) override;
     bool on_eof() override {
-        ended = true;
+        closed_by_server = true;
         return false;
     }
     void on_end(bool refused) override;
-    void judge(Reader::Got got);
-    void send();
+    void on_decode_status(ResponseDecoder::Status got);
+    void send_request();
 
-    Upstream& upstream;
-    Job& job;
-    const No server;
+    UpstreamExecutor& executor;
+    ActiveRequest& request;
+    const HostId server_id;
     net::Stream* stream = nullptr;
-    std::unique_ptr<Reader> reader;
-    core::Time since{0}, born{0};
-    core::Deadlines::Handle late = 0;
-    bool sent = false, reused = false, answered = false, counted = false;  // answered: a byte has come back
-    bool ended = false;  // by the server's own last byte
+    std::unique_ptr<ResponseDecoder> decoder;
+    base::Timestamp started_at{0}, connected_at{0};
+    base::TimerQueue::Handle timeout_timer = 0;
+    bool request_sent = false, connection_reused = false, response_started = false, finished = false;  // answered: a byte has come back
+    bool closed_by_server = false;  // by the server's own last byte
 };
 
-struct Upstream::Job {
-    Job(Upstream& up, const core::Work& w)
-        : upstream(up), no(w.no), name(w.name), kind(w.kind), body(w.body), held_kb(w.held_kb), due(w.due),
-          accepted(w.accepted), key(up.rules_.affinity ? routing::key_of(w.key) : 0) {
-        const std::size_t k = up.server_.kind_of(kind);
-        safe = k != curlewreel::unknown && up.server_.settings().classes[k].effect == curlewreel::Effect::safe;
-        number = k == curlewreel::unknown ? 0 : k;
+struct UpstreamExecutor::ActiveRequest {
+    ActiveRequest(UpstreamExecutor& up, const request::Work& w)
+        : executor(up), request_id(w.request_id), name(w.external_id), class_name(w.class_name), body(w.body), held_kb(w.reserved_kb), deadline(w.deadline),
+          accepted_at(w.accepted_at), affinity_key(up.routing_.key_affinity_enabled ? load_balancing::affinity_key(w.affinity_key) : 0) {
+        const std::size_t k = up.request_manager_.class_index_of(class_name);
+        idempotent = k != policy::unknown_index && up.request_manager_.settings().classes[k].idempotency == policy::Idempotency::always;
+        class_index = k == policy::unknown_index ? 0 : k;
     }
-    ~Job() {
-        upstream.deadlines_.cancel(retry);
-        upstream.deadlines_.cancel(hedge);
-        upstream.deadlines_.cancel(patience);
+    ~ActiveRequest() {
+        executor.timers_.cancel(retry_timer);
+        executor.timers_.cancel(hedge_timer);
+        executor.timers_.cancel(probe_timer);
     }
-    core::Work work() const { return {no, name, kind, body, held_kb, accepted, due, {}}; }
+    request::Work work() const { return {request_id, name, class_name, body, held_kb, accepted_at, deadline, {}}; }
 
-    Upstream& upstream;
-    const core::RequestNo no;
-    const std::string name, kind, body;
+    UpstreamExecutor& executor;
+    const request::RequestId request_id;
+    const std::string name, class_name, body;
     const double held_kb;
-    const core::Time due, accepted;
-    const std::uint64_t key;
-    bool safe = false;
-    std::size_t number = 0;  // of its class
+    const base::Timestamp deadline, accepted_at;
+    const std::uint64_t affinity_key;
+    bool idempotent = false;
+    std::size_t class_index = 0;  // of its class
     std::vector<std::unique_ptr<Attempt>> attempts;  // under way: one, or two with a hedge
-    std::vector<No> tried;
-    std::uint32_t tries = 0;
-    core::Deadlines::Handle retry = 0, hedge = 0;
+    std::vector<HostId> tried_servers;
+    std::uint32_t attempt_count = 0;
+    base::TimerQueue::Handle retry_timer = 0, hedge_timer = 0;
     // Of its own probes: when it goes whoever has answered, how many are out, and who has said what.
-    core::Deadlines::Handle patience = 0;
-    std::size_t asked = 0;
-    std::vector<std::pair<No, balance::Load>> said;
-    bool ending = false, fresh = false;  // fresh: not on a kept connection
+    base::TimerQueue::Handle probe_timer = 0;
+    std::size_t outstanding_probes = 0;
+    std::vector<std::pair<HostId, load_balancing::LoadReport>> probed_loads;
+    bool completed = false, needs_new_connection = false;  // fresh: not on a kept connection
 };
 
-struct Upstream::Spare final : net::Stream::Owner {  // a kept connection that nobody uses
-    Spare(Upstream& up, No to, core::Time when) : upstream(up), server(to), born(when) {}
-    ~Spare() override {
-        upstream.deadlines_.cancel(end);
+struct UpstreamExecutor::IdleConnection final : net::Stream::Owner {  // a kept connection that nobody uses
+    IdleConnection(UpstreamExecutor& up, HostId to, base::Timestamp when) : executor(up), server_id(to), connected_at(when) {}
+    ~IdleConnection() override {
+        executor.timers_.cancel(expiry_timer);
         if (stream != nullptr) stream->close();
     }
-    void on_bytes(std::string_view) override { upstream.drop(*this); }  // it says what nobody asked
+    void on_bytes(std::string_view) override { executor.close_idle_connection(*this); }  // it says what nobody asked
     void on_end(bool) override {
         stream = nullptr;
-        upstream.drop(*this);
+        executor.close_idle_connection(*this);
     }
-    Upstream& upstream;
-    const No server;
-    const core::Time born;
+    UpstreamExecutor& executor;
+    const HostId server_id;
+    const base::Timestamp connected_at;
     net::Stream* stream = nullptr;
-    core::Deadlines::Handle end = 0;
+    base::TimerQueue::Handle expiry_timer = 0;
 };
 
-struct Upstream::Probe final : net::Stream::Owner {
-    Probe(Upstream& up, No to, bool load, core::RequestNo no)
-        : upstream(up), server(to), for_load(load), before(no), address(up.members_.at(to).spec.address) {}
+struct UpstreamExecutor::Probe final : net::Stream::Owner {
+    Probe(UpstreamExecutor& up, HostId to, bool load, request::RequestId no)
+        : executor(up), server_id(to), for_load(load), request_id(no), address(up.hosts_.at(to).spec.address) {}
     ~Probe() override {
-        upstream.deadlines_.cancel(late);
+        executor.timers_.cancel(timeout_timer);
         if (stream != nullptr) stream->close();
     }
     void on_open() override {
-        if (upstream.members_.at(server).spec.protocol == "scgi") return done(Result::ok);  // it has no word for it
-        const bool keep = for_load && upstream.rules_.kept > 0;
+        if (executor.hosts_.at(server_id).spec.protocol == "scgi") return finish(CallResult::ok);  // it has no word for it
+        const bool keep = for_load && executor.routing_.max_idle_connections_per_server > 0;
         stream->write("GET /healthz HTTP/1.1\r\nHost: " + address + (keep ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n"));
     }
     // Its answer is read whole, for its headers; the connection may serve again.
-    void on_load_bytes(std::string_view bytes) {
-        const Reader::Got read = reader->take(bytes);
-        if (read == Reader::Got::more) return;
-        const bool whole = read == Reader::Got::whole && reader->reply.status < 500;
-        if (whole) upstream.heard(server, reader->reply);
-        whole_ = whole;
-        if (whole && reader->stays() && upstream.rules_.kept > 0 && upstream.members_.at(server).spec.address == address)
-            upstream.keep(server, std::exchange(stream, nullptr), born);
-        done(whole ? Result::ok : Result::error);
+    void on_load_report_bytes(std::string_view bytes) {
+        const ResponseDecoder::Status read = decoder->decode(bytes);
+        if (read == ResponseDecoder::Status::incomplete) return;
+        const bool whole = read == ResponseDecoder::Status::complete && decoder->response.status < 500;
+        if (whole) executor.record_load_report(server_id, decoder->response);
+        response_complete = whole;
+        if (whole && decoder->can_reuse_connection() && executor.routing_.max_idle_connections_per_server > 0 && executor.hosts_.at(server_id).spec.address == address)
+            executor.keep_idle_connection(server_id, std::exchange(stream, nullptr), connected_at);
+        finish(whole ? CallResult::ok : CallResult::error);
     }
     void on_bytes(std::string_view bytes) override {
-        if (over) return;
-        if (for_load) return on_load_bytes(bytes);
-        got.append(bytes);
+        if (finished) return;
+        if (for_load) return on_load_report_bytes(bytes);
+        received.append(bytes);
         // Whatever it answers, it answers; only its own word that it is not well counts against it.
-        if (got.size() >= 12) done(got.compare(9, 1, "5") == 0 ? Result::error : Result::ok);
+        if (received.size() >= 12) finish(received.compare(9, 1, "5") == 0 ? CallResult::error : CallResult::ok);
     }
     void on_end(bool refused) override {
         stream = nullptr;
-        done(refused ? Result::refused : Result::error);
+        finish(refused ? CallResult::connection_refused : CallResult::error);
     }
-    void done(Result result) {
-        if (over) return;
-        over = true;
+    void finish(CallResult result) {
+        if (finished) return;
+        finished = true;
         if (stream != nullptr) std::exchange(stream, nullptr)->close();
         // Told and removed on the next turn: its own code is on the stack.
-        upstream.deadlines_.cancel(late);
-        late = upstream.deadlines_.at(core::Time(0), [this, result] {
-            late = 0;
-            Upstream& up = upstream;
-            const bool same = up.members_.at(server).spec.address == address;
-            if (before != 0) up.answered(before, server, same && whole_ ? &reader->reply : nullptr);
+        executor.timers_.cancel(timeout_timer);
+        timeout_timer = executor.timers_.schedule(base::Timestamp(0), [this, result] {
+            timeout_timer = 0;
+            UpstreamExecutor& up = executor;
+            const bool same = up.hosts_.at(server_id).spec.address == address;
+            if (request_id != 0) up.on_load_probe_result(request_id, server_id, same && response_complete ? &decoder->response : nullptr);
             // A kept connection may have been closed by its server: that says nothing of it.
-            if (same && !(reused && result == Result::error)) up.told(up.members_.probed(up.clock_.unix_now(), server, result));
+            if (same && !(connection_reused && result == CallResult::error)) up.apply_host_changes(up.hosts_.on_health_check(up.clock_.unix_now(), server_id, result));
             std::erase_if(up.probes_, [this](const auto& p) { return p.get() == this; });
         });
     }
-    Upstream& upstream;
-    const No server;
+    UpstreamExecutor& executor;
+    const HostId server_id;
     const bool for_load;
-    const core::RequestNo before;
+    const request::RequestId request_id;
     const std::string address;
-    const std::unique_ptr<Reader> reader = http_reader();
-    core::Time born{0};
-    std::string got;
-    bool reused = false, whole_ = false;
+    const std::unique_ptr<ResponseDecoder> decoder = make_http_decoder();
+    base::Timestamp connected_at{0};
+    std::string received;
+    bool connection_reused = false, response_complete = false;
     net::Stream* stream = nullptr;
-    core::Deadlines::Handle late = 0;
-    bool over = false;
+    base::TimerQueue::Handle timeout_timer = 0;
+    bool finished = false;
 };
 
 // ---- a call ----
 
-Upstream::Attempt::~Attempt() {
-    upstream.deadlines_.cancel(late);
+UpstreamExecutor::Attempt::~Attempt() {
+    executor.timers_.cancel(timeout_timer);
     if (stream != nullptr) stream->close();
-    if (!counted) {  // cancelled: it says nothing of the server
-        const core::Time now = upstream.clock_.unix_now();
-        upstream.balancer_.cancelled(now, server, now - since);
-        upstream.told(upstream.members_.cancelled(now, server));
+    if (!finished) {  // cancelled: it says nothing of the server
+        const base::Timestamp now = executor.clock_.unix_now();
+        executor.balancer_.on_call_cancelled(now, server_id, now - started_at);
+        executor.apply_host_changes(executor.hosts_.on_call_cancelled(now, server_id));
     }
 }
-void Upstream::Attempt::on_open() { send(); }
+void UpstreamExecutor::Attempt::on_open() { send_request(); }
 
-void Upstream::Attempt::send() {
-    const membership::Spec& spec = upstream.members_.at(server).spec;
+void UpstreamExecutor::Attempt::send_request() {
+    const upstream_health::HostSpec& spec = executor.hosts_.at(server_id).spec;
     const bool scgi = spec.protocol == "scgi";
-    reader = scgi ? scgi_reader() : http_reader();
-    sent = true;  // from here on nothing proves that it did not run
+    decoder = scgi ? make_scgi_decoder() : make_http_decoder();
+    request_sent = true;  // from here on nothing proves that it did not run
     // A write has a connection to itself, from its dial to its end: a reset on it is never one that had been kept.
-    const bool keep = job.safe && upstream.rules_.kept > 0;
-    const std::string call = scgi ? scgi_call(job.work()) : http_call(job.work(), spec.address, keep);
-    if (!stream->write(call)) upstream.settle(*this, Result::error, false);
+    const bool keep = request.idempotent && executor.routing_.max_idle_connections_per_server > 0;
+    const std::string call = scgi ? encode_scgi_request(request.work()) : encode_http_request(request.work(), spec.address, keep);
+    if (!stream->write(call)) executor.finish_attempt(*this, CallResult::error, false);
 }
-void Upstream::Attempt::on_bytes(std::string_view bytes) {
-    if (counted || !reader) return;
-    answered = true;
-    judge(reader->take(bytes));
+void UpstreamExecutor::Attempt::on_bytes(std::string_view bytes) {
+    if (finished || !decoder) return;
+    response_started = true;
+    on_decode_status(decoder->decode(bytes));
 }
-void Upstream::Attempt::on_end(bool refused) {
+void UpstreamExecutor::Attempt::on_end(bool refused) {
     stream = nullptr;
-    if (counted) return;
-    if (refused && !sent) return upstream.settle(*this, Result::refused, true);
+    if (finished) return;
+    if (refused && !request_sent) return executor.finish_attempt(*this, CallResult::connection_refused, true);
     // Guards against an answer up to the end of its connection that is cut off by a reset: it is not whole.
-    const Reader::Got got = reader && ended ? reader->end() : Reader::Got::broken;
-    judge(got == Reader::Got::more ? Reader::Got::broken : got);
+    const ResponseDecoder::Status got = decoder && closed_by_server ? decoder->finish() : ResponseDecoder::Status::malformed;
+    on_decode_status(got == ResponseDecoder::Status::incomplete ? ResponseDecoder::Status::malformed : got);
 }
-void Upstream::Attempt::judge(Reader::Got got) {
-    if (got == Reader::Got::more) return;
-    const bool whole = got == Reader::Got::whole && reader->reply.status >= 200 && reader->reply.status < 300;
-    upstream.settle(*this, whole ? Result::ok : Result::error, false);
+void UpstreamExecutor::Attempt::on_decode_status(ResponseDecoder::Status got) {
+    if (got == ResponseDecoder::Status::incomplete) return;
+    const bool whole = got == ResponseDecoder::Status::complete && decoder->response.status >= 200 && decoder->response.status < 300;
+    executor.finish_attempt(*this, whole ? CallResult::ok : CallResult::error, false);
 }
 
 // ---- the executor ----
 
-Upstream::Upstream(net::Loop& loop, core::Deadlines& deadlines, core::Server& server, core::Clock& clock,
-                   admission::Descriptors& descriptors, const config::Routing& routing, std::uint64_t seed)
-    : loop_(loop), deadlines_(deadlines), server_(server), clock_(clock), descriptors_(descriptors), rules_(routing),
-      random_(seed, 9), members_(routing.members), balancer_(members_, routing),
-      budget_(routing.retry_share) {
-    for (std::size_t i = 0; i < server.settings().classes.size(); ++i) hedges_.emplace_back(routing.attempts);
-}
-Upstream::~Upstream() {
-    deadlines_.cancel(retry_);
-    deadlines_.cancel(tick_);
-    jobs_.clear();
+UpstreamExecutor::UpstreamExecutor(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server, base::Clock& clock,
+                   connection_admission::FileDescriptorBudget& descriptors, const config::RoutingConfig& routing, std::uint64_t seed)
+    : loop_(loop), timers_(timers), request_manager_(server), clock_(clock), descriptors_(descriptors), routing_(routing),
+      random_(seed, 9), hosts_(routing.upstream_health), balancer_(hosts_, routing),
+      retry_budget_(routing.retry_budget_ratio) {
+    for (std::size_t i = 0; i < server.settings().classes.size(); ++i) hedge_policies_.emplace_back(routing.retry_policy);
+}
+UpstreamExecutor::~UpstreamExecutor() {
+    timers_.cancel(descriptor_retry_timer_);
+    timers_.cancel(periodic_timer_);
+    active_requests_.clear();
     probes_.clear();
-    spares_.clear();
+    idle_connections_.clear();
 }
 
-void Upstream::use(const std::vector<config::Upstream>& servers) {
-    std::vector<membership::Spec> all;
+void UpstreamExecutor::set_servers(const std::vector<config::Upstream>& servers) {
+    std::vector<upstream_health::HostSpec> all;
     for (const config::Upstream& s : servers)
-        all.push_back({s.name, s.address, s.protocol, s.place, s.model, s.weight, s.drains});
-    const auto changes = members_.use(clock_.unix_now(), all, random_);
-    spares_.resize(members_.numbers());
-    learned_.resize(members_.numbers());
+        all.push_back({s.name, s.address, s.protocol, s.data_centre, s.machine_model, s.weight, s.is_drained});
+    const auto changes = hosts_.update(clock_.unix_now(), all, random_);
+    idle_connections_.resize(hosts_.slot_count());
+    learned_servers_.resize(hosts_.slot_count());
     for (const auto& c : changes)
-        if (c.from == membership::State::gone || c.to == membership::State::gone) learned_[c.no] = {};
-    told(changes);
+        if (c.old_state == upstream_health::HostState::removed || c.new_state == upstream_health::HostState::removed) learned_servers_[c.host_id] = {};
+    apply_host_changes(changes);
     balancer_.refresh();
 }
 
-void Upstream::retune(const config::Routing& routing) {
-    rules_ = routing;
-    members_.retune(routing.members);
-    balancer_.retune(routing);
-    budget_.retune(routing.retry_share);
+void UpstreamExecutor::reconfigure(const config::RoutingConfig& routing) {
+    routing_ = routing;
+    hosts_.reconfigure(routing.upstream_health);
+    balancer_.reconfigure(routing);
+    retry_budget_.reconfigure(routing.retry_budget_ratio);
 }
 
-void Upstream::start() { tick(); }
+void UpstreamExecutor::start() { run_periodic_checks(); }
 
-void Upstream::tick() {
-    const core::Time now = clock_.unix_now();
-    told(members_.tick(now));
-    if (rules_.probes)
-        for (const No no : members_.due_probes(now, random_)) probe(no);
-    tick_ = deadlines_.at(now + tick_every, [this] { tick(); });
+void UpstreamExecutor::run_periodic_checks() {
+    const base::Timestamp now = clock_.unix_now();
+    apply_host_changes(hosts_.tick(now));
+    if (routing_.health_checks_enabled)
+        for (const HostId no : hosts_.take_due_health_checks(now, random_)) start_probe(no);
+    periodic_timer_ = timers_.schedule(now + periodic_check_interval, [this] { run_periodic_checks(); });
 }
 
-void Upstream::told(const std::vector<membership::Change>& changes) {
+void UpstreamExecutor::apply_host_changes(const std::vector<upstream_health::HostStateChange>& changes) {
     if (changes.empty()) return;
     balancer_.refresh();
     for (const auto& c : changes) {
-        if (c.to == membership::State::draining || c.to == membership::State::gone || c.to == membership::State::ejected)
-            if (c.no < spares_.size()) {
-                spare_count_ -= spares_[c.no].size();
-                spares_[c.no].clear();
+        if (c.new_state == upstream_health::HostState::draining || c.new_state == upstream_health::HostState::removed || c.new_state == upstream_health::HostState::ejected)
+            if (c.host_id < idle_connections_.size()) {
+                idle_connection_count_ -= idle_connections_[c.host_id].size();
+                idle_connections_[c.host_id].clear();
             }
         std::uint64_t passed = 0;
-        if (c.from == membership::State::gone || c.to == membership::State::gone) continue;  // the inventory's line says it
-        if (quiet_change_.may(server_.now(), passed))
-            spdlog::info("upstream {}: {} after {}: {}; {} more changes", members_.at(c.no).spec.name, word(c.to),
-                         word(c.from), c.why, passed);
+        if (c.old_state == upstream_health::HostState::removed || c.new_state == upstream_health::HostState::removed) continue;  // the inventory's line says it
+        if (change_log_limiter_.try_acquire(request_manager_.now(), passed))
+            spdlog::info("upstream {}: {} after {}: {}; {} more changes", hosts_.at(c.host_id).spec.name, to_string(c.new_state),
+                         to_string(c.old_state), c.reason, passed);
     }
-    if (spares_.size() < members_.numbers()) spares_.resize(members_.numbers());
+    if (idle_connections_.size() < hosts_.slot_count()) idle_connections_.resize(hosts_.slot_count());
 }
 
 // What a server says of its load, in an answer or to a probe.
-void Upstream::heard(No no, const Reply& reply) {
-    if (!reply.load_said) return;
-    ++(reply.load ? counts_.loads_heard : counts_.loads_bad);
-    if (reply.load) balancer_.heard(clock_.unix_now(), no, *reply.load);
+void UpstreamExecutor::record_load_report(HostId no, const Response& reply) {
+    if (!reply.has_load_report) return;
+    ++(reply.load ? counters_.load_reports : counters_.malformed_load_reports);
+    if (reply.load) balancer_.on_load_report(clock_.unix_now(), no, *reply.load);
 }
 
-bool Upstream::probe(No no, bool for_load, core::RequestNo before) {
-    if (probes_.size() >= (for_load ? most_load_probes : most_probes)) return false;
-    if (for_load && members_.at(no).spec.protocol != "http") return false;
+bool UpstreamExecutor::start_probe(HostId no, bool for_load, request::RequestId before) {
+    if (probes_.size() >= (for_load ? max_load_probes : max_health_checks)) return false;
+    if (for_load && hosts_.at(no).spec.protocol != "http") return false;
     auto made = std::make_unique<Probe>(*this, no, for_load, before);
     Probe& p = *made;
-    p.born = clock_.unix_now();
+    p.connected_at = clock_.unix_now();
     if (for_load) {
-        ++counts_.load_probes;
-        p.stream = spare(no, p, p.born);
-        p.reused = p.stream != nullptr;
+        ++counters_.load_probes;
+        p.stream = take_idle_connection(no, p, p.connected_at);
+        p.connection_reused = p.stream != nullptr;
     }
-    if (!p.reused) {
-        auto lease = descriptors_.take(p.born, admission::Purpose::upstream);
+    if (!p.connection_reused) {
+        auto lease = descriptors_.try_acquire(p.connected_at, connection_admission::DescriptorPurpose::upstream);
         if (!lease) return false;
-        p.stream = net::Stream::dial(loop_.uv(), *net::Address::parse(p.address), p, std::move(lease));
+        p.stream = net::Stream::connect(loop_.uv(), *net::Address::parse(p.address), p, std::move(lease));
     }
     probes_.push_back(std::move(made));
     if (p.stream == nullptr) {
-        p.done(Result::refused);
+        p.finish(CallResult::connection_refused);
         return true;
     }
-    p.late = deadlines_.at(clock_.unix_now() + probe_wait, [&p] {
-        p.late = 0;
-        p.done(Result::timeout);
+    p.timeout_timer = timers_.schedule(clock_.unix_now() + probe_timeout, [&p] {
+        p.timeout_timer = 0;
+        p.finish(CallResult::timeout);
     });
-    if (p.reused) p.on_open();
+    if (p.connection_reused) p.on_open();
     return true;
 }
 
 // ---- kept connections ----
 
-void Upstream::keep(No no, net::Stream* stream, core::Time born) {
-    const core::Time now = clock_.unix_now(), age = born + rules_.kept_age;
-    const auto state = members_.at(no).state;
-    const bool wanted = state == membership::State::ready || state == membership::State::joining;
-    if (!wanted || spares_[no].size() >= rules_.kept || spare_count_ >= rules_.kept_in_all || now >= age)
+void UpstreamExecutor::keep_idle_connection(HostId no, net::Stream* stream, base::Timestamp born) {
+    const base::Timestamp now = clock_.unix_now(), age = born + routing_.max_connection_age;
+    const auto state = hosts_.at(no).state;
+    const bool wanted = state == upstream_health::HostState::ready || state == upstream_health::HostState::warming_up;
+    if (!wanted || idle_connections_[no].size() >= routing_.max_idle_connections_per_server || idle_connection_count_ >= routing_.max_idle_connections || now >= age)
         return stream->close();
-    spares_[no].push_back(std::make_unique<Spare>(*this, no, born));
-    Spare& s = *spares_[no].back();
+    idle_connections_[no].push_back(std::make_unique<IdleConnection>(*this, no, born));
+    IdleConnection& s = *idle_connections_[no].back();
     s.stream = stream;
-    stream->hand_over(s);
-    ++spare_count_;
-    s.end = deadlines_.at(std::min(age, now + rules_.kept_idle), [this, &s] {
-        s.end = 0;
-        drop(s);
+    stream->set_owner(s);
+    ++idle_connection_count_;
+    s.expiry_timer = timers_.schedule(std::min(age, now + routing_.idle_connection_timeout), [this, &s] {
+        s.expiry_timer = 0;
+        close_idle_connection(s);
     });
 }
 
-net::Stream* Upstream::spare(No no, net::Stream::Owner& owner, core::Time& born) {
-    auto& all = spares_[no];
+net::Stream* UpstreamExecutor::take_idle_connection(HostId no, net::Stream::Owner& owner, base::Timestamp& born) {
+    auto& all = idle_connections_[no];
     // The one used last is the least likely to have been closed.
     while (!all.empty()) {
         const auto s = std::move(all.back());
         all.pop_back();
-        --spare_count_;
+        --idle_connection_count_;
         if (s->stream == nullptr) continue;
-        born = s->born;
+        born = s->connected_at;
         net::Stream* stream = std::exchange(s->stream, nullptr);
-        stream->hand_over(owner);
+        stream->set_owner(owner);
         return stream;
     }
     return nullptr;
 }
 
-void Upstream::drop(Spare& spare) {
+void UpstreamExecutor::close_idle_connection(IdleConnection& spare) {
     if (spare.stream != nullptr) std::exchange(spare.stream, nullptr)->close();
     // Freed on the next turn: its own code may be on the stack.
-    deadlines_.cancel(spare.end);
-    spare.end = deadlines_.at(core::Time(0), [this, &spare] {
-        spare.end = 0;
-        auto& all = spares_[spare.server];
-        spare_count_ -= std::erase_if(all, [&spare](const auto& s) { return s.get() == &spare; });
+    timers_.cancel(spare.expiry_timer);
+    spare.expiry_timer = timers_.schedule(base::Timestamp(0), [this, &spare] {
+        spare.expiry_timer = 0;
+        auto& all = idle_connections_[spare.server_id];
+        idle_connection_count_ -= std::erase_if(all, [&spare](const auto& s) { return s.get() == &spare; });
     });
 }
 
-bool Upstream::drop_one() {
-    for (auto& all : spares_)
+bool UpstreamExecutor::close_any_idle_connection() {
+    for (auto& all : idle_connections_)
         for (auto& s : all)
             if (s->stream != nullptr) {
-                drop(*s);
+                close_idle_connection(*s);
                 return true;
             }
     return false;
@@ -362,142 +362,142 @@
 
 // ---- requests ----
 
-void Upstream::run(const core::Work& work) {
-    auto made = std::make_unique<Job>(*this, work);
-    Job& job = *made;
-    jobs_[work.no] = std::move(made);
-    budget_.first_try();
-    ++counts_.requests;
-    attempt(job);
+void UpstreamExecutor::run(const request::Work& work) {
+    auto made = std::make_unique<ActiveRequest>(*this, work);
+    ActiveRequest& job = *made;
+    active_requests_[work.request_id] = std::move(made);
+    retry_budget_.on_first_attempt();
+    ++counters_.requests;
+    start_attempt(job);
 }
 
 // A call's own probes go out before it. Nothing of the call has been sent meanwhile; a retry does not wait again.
-bool Upstream::ask_first(Job& job) {
-    balancer_.ask(random_, asked_);
-    const std::vector<No> whom = asked_;
-    for (const No no : whom) job.asked += probe(no, true, job.no) ? 1 : 0;
-    if (job.asked == 0) return false;
-    job.patience = deadlines_.at(std::min(job.due, clock_.unix_now() + rules_.probe_patience), [this, &job] {
-        job.patience = 0;
-        choose(job);
+bool UpstreamExecutor::probe_before_dispatch(ActiveRequest& job) {
+    balancer_.pick_probe_targets(random_, probe_targets_);
+    const std::vector<HostId> whom = probe_targets_;
+    for (const HostId no : whom) job.outstanding_probes += start_probe(no, true, job.request_id) ? 1 : 0;
+    if (job.outstanding_probes == 0) return false;
+    job.probe_timer = timers_.schedule(std::min(job.deadline, clock_.unix_now() + routing_.probe_timeout), [this, &job] {
+        job.probe_timer = 0;
+        dispatch_to_best_probed(job);
     });
     return true;
 }
 
-void Upstream::answered(core::RequestNo no, No server, const Reply* reply) {
-    const auto it = jobs_.find(no);
-    if (it == jobs_.end() || it->second->patience == 0) return;  // it has gone its way
-    Job& job = *it->second;
-    --job.asked;
+void UpstreamExecutor::on_load_probe_result(request::RequestId no, HostId server, const Response* reply) {
+    const auto it = active_requests_.find(no);
+    if (it == active_requests_.end() || it->second->probe_timer == 0) return;  // it has gone its way
+    ActiveRequest& job = *it->second;
+    --job.outstanding_probes;
     if (reply != nullptr && reply->load)
-        if (const auto load = balancer_.weigh(clock_.unix_now(), server, *reply->load)) job.said.emplace_back(server, *load);
+        if (const auto load = balancer_.effective_load(clock_.unix_now(), server, *reply->load)) job.probed_loads.emplace_back(server, *load);
     // The last one may be the one that hangs: all but one are enough.
-    if (job.asked <= 1 && (job.asked == 0 || !job.said.empty())) choose(job);
+    if (job.outstanding_probes <= 1 && (job.outstanding_probes == 0 || !job.probed_loads.empty())) dispatch_to_best_probed(job);
 }
 
-void Upstream::choose(Job& job) {
-    deadlines_.cancel(job.patience);
-    if (job.ending) return;
-    const No no = balance::best(job.said);
-    attempt_at(job, no != nobody ? no : balancer_.pick(clock_.unix_now(), job.key, job.tried, random_));
+void UpstreamExecutor::dispatch_to_best_probed(ActiveRequest& job) {
+    timers_.cancel(job.probe_timer);
+    if (job.completed) return;
+    const HostId no = load_balancing::least_loaded(job.probed_loads);
+    start_attempt_on(job, no != no_host ? no : balancer_.pick(clock_.unix_now(), job.affinity_key, job.tried_servers, random_));
 }
 
-void Upstream::attempt(Job& job) {
-    if (balancer_.asks_first() && job.tries == 0 && job.asked == 0 && job.said.empty() && ask_first(job)) return;
-    attempt_at(job, balancer_.pick(clock_.unix_now(), job.key, job.tried, random_));
+void UpstreamExecutor::start_attempt(ActiveRequest& job) {
+    if (balancer_.probes_before_call() && job.attempt_count == 0 && job.outstanding_probes == 0 && job.probed_loads.empty() && probe_before_dispatch(job)) return;
+    start_attempt_on(job, balancer_.pick(clock_.unix_now(), job.affinity_key, job.tried_servers, random_));
 }
 
-void Upstream::attempt_at(Job& job, No no) {
-    const core::Time now = clock_.unix_now();
-    if (no == nobody) {
+void UpstreamExecutor::start_attempt_on(ActiveRequest& job, HostId no) {
+    const base::Timestamp now = clock_.unix_now();
+    if (no == no_host) {
         if (!job.attempts.empty()) return;
         std::uint64_t passed = 0;
-        if (quiet_.may(server_.now(), passed))
+        if (failure_log_limiter_.try_acquire(request_manager_.now(), passed))
             spdlog::warn("upstream: no server took {}; {} more like it", job.name, passed);
-        return over(job.no, core::End::fail, {});
+        return complete(job.request_id, request::RunResult::failed, {});
     }
     auto made = std::make_unique<Attempt>(*this, job, no);
     Attempt& a = *made;
-    a.since = now;
-    balancer_.started(now, no);
+    a.started_at = now;
+    balancer_.on_call_started(now, no);
     job.attempts.push_back(std::move(made));
-    if (!dial(a)) return;
-    job.tried.push_back(no);
-    ++job.tries;
-    ++counts_.calls;
-    if (!balancer_.asks_first()) {
-        balancer_.ask(random_, asked_);
-        for (const No whom : asked_) probe(whom, true);
+    if (!connect(a)) return;
+    job.tried_servers.push_back(no);
+    ++job.attempt_count;
+    ++counters_.attempts;
+    if (!balancer_.probes_before_call()) {
+        balancer_.pick_probe_targets(random_, probe_targets_);
+        for (const HostId whom : probe_targets_) start_probe(whom, true);
     }
     // A try that another server could follow does not get all that is left: guards against black holes.
-    const bool others = job.safe && job.tried.size() < balancer_.candidates().size();
-    const core::Time end = others ? routing::try_deadline(now, job.due, job.tries, rules_.attempts) : job.due;
-    if (end < job.due)
-        a.late = deadlines_.at(end, [this, &a] {
-            a.late = 0;
-            settle(a, Result::timeout, false);
+    const bool others = job.idempotent && job.tried_servers.size() < balancer_.candidates().size();
+    const base::Timestamp end = others ? retry::attempt_deadline(now, job.deadline, job.attempt_count, routing_.retry_policy) : job.deadline;
+    if (end < job.deadline)
+        a.timeout_timer = timers_.schedule(end, [this, &a] {
+            a.timeout_timer = 0;
+            finish_attempt(a, CallResult::timeout, false);
         });
-    if (!job.safe || !rules_.hedging || job.tries > 1) return;
-    if (const core::Span after = hedges_[job.number].after(); after != core::Span::max())
-        job.hedge = deadlines_.at(now + after, [this, &job] {
-            job.hedge = 0;
-            if (job.ending || job.attempts.size() != 1 || breaker_.open() || !budget_.take()) return;
-            ++counts_.hedges;
-            attempt(job);
+    if (!job.idempotent || !routing_.hedging_enabled || job.attempt_count > 1) return;
+    if (const base::Duration after = hedge_policies_[job.class_index].delay(); after != base::Duration::max())
+        job.hedge_timer = timers_.schedule(now + after, [this, &job] {
+            job.hedge_timer = 0;
+            if (job.completed || job.attempts.size() != 1 || circuit_breaker_.is_open() || !retry_budget_.try_acquire()) return;
+            ++counters_.hedges;
+            start_attempt(job);
         });
 }
 
 // False: nothing has been sent, and the attempt is no more.
-bool Upstream::dial(Attempt& a) {
-    Job& job = a.job;
-    const core::Time now = clock_.unix_now();
+bool UpstreamExecutor::connect(Attempt& a) {
+    ActiveRequest& job = a.request;
+    const base::Timestamp now = clock_.unix_now();
     const auto undo = [&] { std::erase_if(job.attempts, [&a](const auto& x) { return x.get() == &a; }); };
-    const membership::Spec& spec = members_.at(a.server).spec;
-    if (job.safe && !job.fresh && spec.protocol == "http") {
-        a.stream = spare(a.server, a, a.born);
+    const upstream_health::HostSpec& spec = hosts_.at(a.server_id).spec;
+    if (job.idempotent && !job.needs_new_connection && spec.protocol == "http") {
+        a.stream = take_idle_connection(a.server_id, a, a.connected_at);
         if (a.stream != nullptr) {
-            a.reused = true;
-            ++counts_.reused;
-            a.send();
+            a.connection_reused = true;
+            ++counters_.reused_connections;
+            a.send_request();
             return true;
         }
     }
-    auto lease = descriptors_.take(now, admission::Purpose::upstream);
+    auto lease = descriptors_.try_acquire(now, connection_admission::DescriptorPurpose::upstream);
     // Guards a call against connections that are kept for calls to come.
-    if (!lease && drop_one()) lease = descriptors_.take(now, admission::Purpose::upstream);
+    if (!lease && close_any_idle_connection()) lease = descriptors_.try_acquire(now, connection_admission::DescriptorPurpose::upstream);
     int bad = lease ? 0 : UV_EMFILE;
     const auto address = net::Address::parse(spec.address);
-    if (lease && address) a.stream = net::Stream::dial(loop_.uv(), *address, a, std::move(lease), &bad);
-    a.born = now;
+    if (lease && address) a.stream = net::Stream::connect(loop_.uv(), *address, a, std::move(lease), &bad);
+    a.connected_at = now;
     if (a.stream != nullptr) return true;
     if (bad == UV_EMFILE || bad == UV_ENFILE) {
-        if (lease) descriptors_.refused_by_system(now);
+        if (lease) descriptors_.on_system_exhausted(now);
         const bool alone = job.attempts.size() == 1;
         undo();
-        if (alone) park(job);
+        if (alone) queue_for_descriptor(job);
         return false;
     }
-    job.tried.push_back(a.server);
-    settle(a, Result::refused, true);
+    job.tried_servers.push_back(a.server_id);
+    finish_attempt(a, CallResult::connection_refused, true);
     return false;
 }
 
 // An attempt is over. `nothing_ran`: that is proved.
-void Upstream::settle(Attempt& a, Result result, bool nothing_ran) {
-    if (a.counted) return;
-    a.counted = true;
-    Job& job = a.job;
-    const core::Time now = clock_.unix_now();
-    const core::Span took = std::max(core::Span(0), now - a.since);
-    const std::string& name = members_.at(a.server).spec.name;
-    const int status = a.reader ? a.reader->reply.status : 0;
-    const core::Span retry_after = a.reader ? a.reader->reply.retry_after : core::Span(0);
+void UpstreamExecutor::finish_attempt(Attempt& a, CallResult result, bool nothing_ran) {
+    if (a.finished) return;
+    a.finished = true;
+    ActiveRequest& job = a.request;
+    const base::Timestamp now = clock_.unix_now();
+    const base::Duration took = std::max(base::Duration(0), now - a.started_at);
+    const std::string& name = hosts_.at(a.server_id).spec.name;
+    const int status = a.decoder ? a.decoder->response.status : 0;
+    const base::Duration retry_after = a.decoder ? a.decoder->response.retry_after : base::Duration(0);
     // A kept connection that ends before a byte of the answer had been closed by its server: nobody's fault.
-    const bool stale = a.reused && !a.answered && result == Result::error;
-    if (a.reader && result != Result::timeout) heard(a.server, a.reader->reply);
+    const bool stale = a.connection_reused && !a.response_started && result == CallResult::error;
+    if (a.decoder && result != CallResult::timeout) record_load_report(a.server_id, a.decoder->response);
     std::uint64_t passed = 0;
-    if (result != Result::ok && !stale && quiet_.may(server_.now(), passed)) {
-        if (result == Result::refused)
+    if (result != CallResult::ok && !stale && failure_log_limiter_.try_acquire(request_manager_.now(), passed)) {
+        if (result == CallResult::connection_refused)
             spdlog::warn("upstream {}: no connection; {} more like it", name, passed);
         else if (status != 0)
             spdlog::info("upstream {}: {} for {}; {} more like it", name, status, job.name, passed);
@@ -505,150 +505,150 @@
             spdlog::warn("upstream {}: no whole answer for {}; {} more like it", name, job.name, passed);
     }
     if (stale) {
-        ++counts_.stale;
-        balancer_.cancelled(now, a.server, took);
-        told(members_.cancelled(now, a.server));
+        ++counters_.stale_connections;
+        balancer_.on_call_cancelled(now, a.server_id, took);
+        apply_host_changes(hosts_.on_call_cancelled(now, a.server_id));
     } else {
-        learned_[a.server].learn(now, result == Result::ok, static_cast<double>(took.count()) * 1e-6);
-        balancer_.ended(now, a.server, result, took);
-        if (result == Result::refused) balancer_.shun(a.server, now + shun_for);
-        if (retry_after > core::Span(0)) balancer_.shun(a.server, now + retry_after);
-        told(members_.ended(now, a.server, result, took));
-        breaker_.ended(result == Result::ok);
+        learned_servers_[a.server_id].record_call(now, result == CallResult::ok, static_cast<double>(took.count()) * 1e-6);
+        balancer_.on_call_finished(now, a.server_id, result, took);
+        if (result == CallResult::connection_refused) balancer_.deprioritize(a.server_id, now + avoidance_period);
+        if (retry_after > base::Duration(0)) balancer_.deprioritize(a.server_id, now + retry_after);
+        apply_host_changes(hosts_.on_call_finished(now, a.server_id, result, took));
+        circuit_breaker_.record(result == CallResult::ok);
     }
-    deadlines_.cancel(a.late);
-    if (result == Result::ok) {
-        hedges_[job.number].learn(took);
-        std::string body = std::move(a.reader->reply.body);
-        if (a.stream != nullptr && a.reader->stays() && job.safe && rules_.kept > 0)
-            keep(a.server, std::exchange(a.stream, nullptr), a.born);
-        return over(job.no, core::End::pass, std::move(body));
+    timers_.cancel(a.timeout_timer);
+    if (result == CallResult::ok) {
+        hedge_policies_[job.class_index].record(took);
+        std::string body = std::move(a.decoder->response.body);
+        if (a.stream != nullptr && a.decoder->can_reuse_connection() && job.idempotent && routing_.max_idle_connections_per_server > 0)
+            keep_idle_connection(a.server_id, std::exchange(a.stream, nullptr), a.connected_at);
+        return complete(job.request_id, request::RunResult::succeeded, std::move(body));
     }
     if (a.stream != nullptr) std::exchange(a.stream, nullptr)->close();
     // The attempt itself goes on the next turn: its own code may be on the stack.
-    const bool last = std::all_of(job.attempts.begin(), job.attempts.end(), [](const auto& x) { return x->counted; });
-    if (!last || job.ending) return;  // the other one may still answer
-    if (stale && !job.fresh) {
-        job.fresh = true;
-        job.tried.erase(std::remove(job.tried.begin(), job.tried.end(), a.server), job.tried.end());
-        return again(job, Result::refused, true);
+    const bool last = std::all_of(job.attempts.begin(), job.attempts.end(), [](const auto& x) { return x->finished; });
+    if (!last || job.completed) return;  // the other one may still answer
+    if (stale && !job.needs_new_connection) {
+        job.needs_new_connection = true;
+        job.tried_servers.erase(std::remove(job.tried_servers.begin(), job.tried_servers.end(), a.server_id), job.tried_servers.end());
+        return retry_or_fail(job, CallResult::connection_refused, true);
     }
     // Whether it may be repeated is the status's to say: what a server calls the caller's fault stays so.
     const bool blamed = status >= 400 && status < 500 && status != 429 && status != 408;
-    if (blamed) return over(job.no, core::End::fail, std::move(a.reader->reply.body));
-    again(job, result, nothing_ran);
+    if (blamed) return complete(job.request_id, request::RunResult::failed, std::move(a.decoder->response.body));
+    retry_or_fail(job, result, nothing_ran);
 }
 
-void Upstream::again(Job& job, Result result, bool nothing_ran) {
-    const core::Time now = clock_.unix_now();
+void UpstreamExecutor::retry_or_fail(ActiveRequest& job, CallResult result, bool nothing_ran) {
+    const base::Timestamp now = clock_.unix_now();
     // A refused connection proves that nothing ran: the next is called at once, a write as well, and at no cost.
-    const bool free = nothing_ran && result == Result::refused;
-    const bool more = free || (job.safe && job.tries < rules_.attempts.most_tries && !breaker_.open() &&
-                               job.tried.size() < balancer_.candidates().size());
-    if (!more) return over(job.no, core::End::fail, {});
-    if (!free && !budget_.take()) {
-        ++counts_.no_budget;
-        return over(job.no, core::End::fail, {});  // at once: nothing else is going to happen
+    const bool free = nothing_ran && result == CallResult::connection_refused;
+    const bool more = free || (job.idempotent && job.attempt_count < routing_.retry_policy.max_attempts && !circuit_breaker_.is_open() &&
+                               job.tried_servers.size() < balancer_.candidates().size());
+    if (!more) return complete(job.request_id, request::RunResult::failed, {});
+    if (!free && !retry_budget_.try_acquire()) {
+        ++counters_.retry_budget_exhausted;
+        return complete(job.request_id, request::RunResult::failed, {});  // at once: nothing else is going to happen
     }
-    const core::Time when =
+    const base::Timestamp when =
         // A server's Retry-After keeps calls from that server (settle); this one goes to another.
-        free ? core::Time(0) : routing::retry_at(now, job.tries, core::Span(0), rules_.attempts, random_);
-    if (!free && when >= job.due) return over(job.no, core::End::fail, {});
-    counts_.retries += free ? 0 : 1;
-    deadlines_.cancel(job.hedge);
-    deadlines_.cancel(job.retry);
-    job.retry = deadlines_.at(when, [this, &job] {
-        job.retry = 0;
-        std::erase_if(job.attempts, [](const auto& a) { return a->counted; });
-        if (!job.ending) attempt(job);
+        free ? base::Timestamp(0) : retry::next_retry_time(now, job.attempt_count, base::Duration(0), routing_.retry_policy, random_);
+    if (!free && when >= job.deadline) return complete(job.request_id, request::RunResult::failed, {});
+    counters_.retries += free ? 0 : 1;
+    timers_.cancel(job.hedge_timer);
+    timers_.cancel(job.retry_timer);
+    job.retry_timer = timers_.schedule(when, [this, &job] {
+        job.retry_timer = 0;
+        std::erase_if(job.attempts, [](const auto& a) { return a->finished; });
+        if (!job.completed) start_attempt(job);
     });
 }
 
 // Guards a request against a moment without descriptors. Nothing of the call has been sent, so it may still be
 // made, a write as well; the Controller gives it up when its time is over.
-void Upstream::park(Job& job) {
-    parked_.push_back(job.no);
-    if (retry_ == 0)
-        retry_ = deadlines_.at(clock_.unix_now() + dial_again, [this] {
-            retry_ = 0;
-            dial_parked();
+void UpstreamExecutor::queue_for_descriptor(ActiveRequest& job) {
+    requests_awaiting_descriptor_.push_back(job.request_id);
+    if (descriptor_retry_timer_ == 0)
+        descriptor_retry_timer_ = timers_.schedule(clock_.unix_now() + descriptor_retry_delay, [this] {
+            descriptor_retry_timer_ = 0;
+            retry_queued_requests();
         });
 }
 
-void Upstream::dial_parked() {
-    std::deque<core::RequestNo> now;
-    now.swap(parked_);
-    for (const core::RequestNo no : now)
-        if (const auto it = jobs_.find(no); it != jobs_.end() && !it->second->ending) attempt(*it->second);
+void UpstreamExecutor::retry_queued_requests() {
+    std::deque<request::RequestId> now;
+    now.swap(requests_awaiting_descriptor_);
+    for (const request::RequestId no : now)
+        if (const auto it = active_requests_.find(no); it != active_requests_.end() && !it->second->completed) start_attempt(*it->second);
 }
 
 // Told on the next turn: the Controller's actions come first, in their order.
-void Upstream::over(core::RequestNo no, core::End end, std::string body) {
-    const auto it = jobs_.find(no);
-    if (it == jobs_.end() || it->second->ending) return;
-    it->second->ending = true;
-    deadlines_.cancel(it->second->retry);
-    deadlines_.cancel(it->second->hedge);
-    deadlines_.cancel(it->second->patience);
+void UpstreamExecutor::complete(request::RequestId no, request::RunResult end, std::string body) {
+    const auto it = active_requests_.find(no);
+    if (it == active_requests_.end() || it->second->completed) return;
+    it->second->completed = true;
+    timers_.cancel(it->second->retry_timer);
+    timers_.cancel(it->second->hedge_timer);
+    timers_.cancel(it->second->probe_timer);
     for (const auto& a : it->second->attempts)
         if (a->stream != nullptr) std::exchange(a->stream, nullptr)->close();
-    deadlines_.at(core::Time(0), [this, no, end, body = std::move(body)] {
-        if (jobs_.erase(no) != 0) server_.ended(no, end, body);
+    timers_.schedule(base::Timestamp(0), [this, no, end, body = std::move(body)] {
+        if (active_requests_.erase(no) != 0) request_manager_.run_finished(no, end, body);
     });
 }
 
-void Upstream::halt(core::RequestNo no) { over(no, core::End::killed, {}); }
-void Upstream::release(core::RequestNo no) { jobs_.erase(no); }
+void UpstreamExecutor::suspend(request::RequestId no) { complete(no, request::RunResult::killed, {}); }
+void UpstreamExecutor::release(request::RequestId no) { active_requests_.erase(no); }
 
-bool Upstream::sample(std::uint64_t tag) {
+bool UpstreamExecutor::request_gauges(std::uint64_t tag) {
     // The servers' cores are out of sight: what is in their hands stands for what runs.
-    curlewreel::Gauges g;
-    const auto calls = static_cast<double>(jobs_.size());
-    g.cpu = std::min(1.0, calls / server_.settings().cores);
+    policy::Gauges g;
+    const auto calls = static_cast<double>(active_requests_.size());
+    g.cpu_utilization = std::min(1.0, calls / request_manager_.settings().cores);
     g.runnable = calls;
-    server_.sampled(tag, g);
+    request_manager_.gauges_received(tag, g);
     return true;
 }
-bool Upstream::test(std::uint64_t tag) {
-    const core::Time now = clock_.unix_now();
+bool UpstreamExecutor::request_health_check(std::uint64_t tag) {
+    const base::Timestamp now = clock_.unix_now();
     const auto& all = balancer_.candidates();
-    server_.tested(tag, std::any_of(all.begin(), all.end(), [&](No no) { return !balancer_.shunned(now, no); }));
+    request_manager_.health_check_finished(tag, std::any_of(all.begin(), all.end(), [&](HostId no) { return !balancer_.is_deprioritized(now, no); }));
     return true;
 }
 
 // ---- what is learned and told ----
 
-learning::Servers Upstream::learned() const {
-    learning::Servers all;
-    for (const No no : members_.listed())
-        if (learned_[no].calls >= 1.0) all[members_.at(no).spec.name] = learned_[no];
+learned_state::UpstreamStatsByName UpstreamExecutor::learned() const {
+    learned_state::UpstreamStatsByName all;
+    for (const HostId no : hosts_.listed_hosts())
+        if (learned_servers_[no].call_count >= 1.0) all[hosts_.at(no).spec.name] = learned_servers_[no];
     return all;
 }
 
-void Upstream::restore(const learning::Servers& servers) {
-    for (const No no : members_.listed()) {
-        const auto it = servers.find(members_.at(no).spec.name);
+void UpstreamExecutor::restore(const learned_state::UpstreamStatsByName& servers) {
+    for (const HostId no : hosts_.listed_hosts()) {
+        const auto it = servers.find(hosts_.at(no).spec.name);
         if (it == servers.end()) continue;
-        learned_[no] = it->second;
-        if (it->second.failed > mostly) balancer_.shun(no, clock_.unix_now() + shun_for);
+        learned_servers_[no] = it->second;
+        if (it->second.failure_ratio > mostly_failing_ratio) balancer_.deprioritize(no, clock_.unix_now() + avoidance_period);
     }
 }
 
-void Upstream::report(std::size_t most) const {
+void UpstreamExecutor::log_report(std::size_t most) const {
     std::size_t in[6] = {};
-    for (const No no : members_.listed()) ++in[static_cast<std::size_t>(members_.at(no).state)];
+    for (const HostId no : hosts_.listed_hosts()) ++in[static_cast<std::size_t>(hosts_.at(no).state)];
     spdlog::info("upstream: inventory version {}: {} ready, {} joining, {} suspect, {} ejected, {} draining{}",
-                 members_.version(), in[1], in[0], in[2], in[3], in[4], members_.panic() ? ", panic: all are used" : "");
+                 hosts_.inventory_version(), in[1], in[0], in[2], in[3], in[4], hosts_.in_panic_mode() ? ", panic: all are used" : "");
     spdlog::info("upstream: {} requests, {} calls, {} retries, {} hedges, {} on kept connections ({} stale), {} without "
                  "budget, {:.2f} of calls fail{}",
-                 counts_.requests, counts_.calls, counts_.retries, counts_.hedges, counts_.reused, counts_.stale,
-                 counts_.no_budget, breaker_.failing(), breaker_.open() ? ", breaker open" : "");
-    for (const No no : members_.listed()) {
-        const membership::Member& m = members_.at(no);
-        if (m.state == membership::State::ready || m.state == membership::State::joining) continue;
+                 counters_.requests, counters_.attempts, counters_.retries, counters_.hedges, counters_.reused_connections, counters_.stale_connections,
+                 counters_.retry_budget_exhausted, circuit_breaker_.failure_rate(), circuit_breaker_.is_open() ? ", breaker open" : "");
+    for (const HostId no : hosts_.listed_hosts()) {
+        const upstream_health::HostStatus& m = hosts_.at(no);
+        if (m.state == upstream_health::HostState::ready || m.state == upstream_health::HostState::warming_up) continue;
         if (most-- == 0) break;
         spdlog::info("upstream {}: {}, {} in hand, {:.2f} of calls fail, {:.3f} s a call, {} ejections in a row", m.spec.name,
-                     word(m.state), m.in_hand, m.failing, m.seconds, m.ejections);
+                     to_string(m.state), m.calls_in_flight, m.failure_rate, m.mean_latency_s, m.consecutive_ejections);
     }
 }
 
--- a/src/upstream/executor.hpp
+++ b/src/upstream/executor.hpp
@@ -8,125 +8,125 @@
 #include <unordered_map>
 #include <vector>
 
-#include "admission/descriptors.hpp"
+#include "connection_admission/file_descriptor_budget.hpp"
 #include "config/inventory.hpp"
 #include "config/routing.hpp"
-#include "core/quiet.hpp"
-#include "core/server.hpp"
-#include "learning/knowledge.hpp"
-#include "membership/membership.hpp"
+#include "base/log_rate_limiter.hpp"
+#include "request/request_manager.hpp"
+#include "learned_state/learned_state.hpp"
+#include "upstream_health/host_set.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
-#include "balance/report.hpp"
-#include "routing/attempts.hpp"
-#include "routing/balancer.hpp"
+#include "load_balancing/load_reports.hpp"
+#include "retry/retry_policy.hpp"
+#include "load_balancing/balancer.hpp"
 
 namespace cressledge::upstream {
 
-struct Reply {
+struct Response {
     int status = 0;
     std::string body;
-    core::Span retry_after{0};  // the server's wish not to be called until then
-    std::optional<balance::Load> load;  // its word on itself; none: it said none that can be read
-    bool load_said = false;
+    base::Duration retry_after{0};  // the server's wish not to be called until then
+    std::optional<load_balancing::LoadReport> load;  // its word on itself; none: it said none that can be read
+    bool has_load_report = false;
 };
 
-class Reader {  // takes a reply off the wire, whole or not at all
+class ResponseDecoder {  // takes a reply off the wire, whole or not at all
 public:
-    enum class Got { more, whole, broken };
-    virtual ~Reader() = default;
-    virtual Got take(std::string_view bytes) = 0;
-    virtual Got end() = 0;  // the server has sent its last byte
-    virtual bool stays() const { return false; }  // whole: the connection may carry another call
-    Reply reply;
+    enum class Status { incomplete, complete, malformed };
+    virtual ~ResponseDecoder() = default;
+    virtual Status decode(std::string_view bytes) = 0;
+    virtual Status finish() = 0;  // the server has sent its last byte
+    virtual bool can_reuse_connection() const { return false; }  // whole: the connection may carry another call
+    Response response;
 };
-std::unique_ptr<Reader> http_reader();
-std::unique_ptr<Reader> scgi_reader();
-std::string http_call(const core::Work& work, std::string_view host, bool keep);
-std::string scgi_call(const core::Work& work);
+std::unique_ptr<ResponseDecoder> make_http_decoder();
+std::unique_ptr<ResponseDecoder> make_scgi_decoder();
+std::string encode_http_request(const request::Work& work, std::string_view host, bool keep);
+std::string encode_scgi_request(const request::Work& work);
 
-class Upstream final : public core::Executor {
+class UpstreamExecutor final : public request::Executor {
 public:
-    Upstream(net::Loop& loop, core::Deadlines& deadlines, core::Server& server, core::Clock& clock,
-             admission::Descriptors& descriptors, const config::Routing& routing, std::uint64_t seed);
-    ~Upstream() override;
-    void use(const std::vector<config::Upstream>& servers);  // from the next call on; what is in hand ends where it is
+    UpstreamExecutor(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server, base::Clock& clock,
+             connection_admission::FileDescriptorBudget& descriptors, const config::RoutingConfig& routing, std::uint64_t seed);
+    ~UpstreamExecutor() override;
+    void set_servers(const std::vector<config::Upstream>& servers);  // from the next call on; what is in hand ends where it is
     // Other rules, from the next choice on; calls and kept connections stay, beyond new bounds until they end.
-    void retune(const config::Routing& routing);
+    void reconfigure(const config::RoutingConfig& routing);
     void start();  // probes and judgements from now on
 
-    learning::Servers learned() const;  // by name, of the servers in force
+    learned_state::UpstreamStatsByName learned() const;  // by name, of the servers in force
     // The live processes of the fleet, by id, this one with them.
-    void peers(std::vector<std::string> names) { balancer_.peers(clock_.unix_now(), std::move(names)); }
-    void restore(const learning::Servers& servers);  // those that mostly failed are tried last for a second
+    void set_peers(std::vector<std::string> names) { balancer_.update_peers(clock_.unix_now(), std::move(names)); }
+    void restore(const learned_state::UpstreamStatsByName& servers);  // those that mostly failed are tried last for a second
 
-    void run(const core::Work& work) override;
-    void halt(core::RequestNo no) override;
-    void resume(core::RequestNo) override {}  // nothing is ever paused, and nothing calls below
-    void feed(core::RequestNo, std::string_view) override {}
-    void skip(core::RequestNo, std::uint64_t) override {}
-    bool sample(std::uint64_t tag) override;
-    bool test(std::uint64_t tag) override;
-    void release(core::RequestNo no) override;
+    void run(const request::Work& work) override;
+    void suspend(request::RequestId no) override;
+    void resume(request::RequestId) override {}  // nothing is ever paused, and nothing calls below
+    void deliver_call_reply(request::RequestId, std::string_view) override {}
+    void skip_call(request::RequestId, std::uint64_t) override {}
+    bool request_gauges(std::uint64_t tag) override;
+    bool request_health_check(std::uint64_t tag) override;
+    void release(request::RequestId no) override;
 
-    void report(std::size_t most) const;  // to the log: the fleet, the budget, and the servers in trouble
-    struct Counts {
-        std::uint64_t requests = 0, calls = 0, retries = 0, hedges = 0, reused = 0, no_budget = 0, stale = 0;
-        std::uint64_t load_probes = 0, loads_heard = 0, loads_bad = 0;
+    void log_report(std::size_t most) const;  // to the log: the fleet, the budget, and the servers in trouble
+    struct Counters {
+        std::uint64_t requests = 0, attempts = 0, retries = 0, hedges = 0, reused_connections = 0, retry_budget_exhausted = 0, stale_connections = 0;
+        std::uint64_t load_probes = 0, load_reports = 0, malformed_load_reports = 0;
     };
-    const Counts& counts() const { return counts_; }
-    std::size_t servers() const { return balancer_.candidates().size(); }  // that this process uses now
-    const membership::Membership& members() const { return members_; }
+    const Counters& counters() const { return counters_; }
+    std::size_t candidate_count() const { return balancer_.candidates().size(); }  // that this process uses now
+    const upstream_health::HostSet& hosts() const { return hosts_; }
 
 private:
-    struct Job;
+    struct ActiveRequest;
     struct Attempt;
-    struct Spare;
+    struct IdleConnection;
     struct Probe;
-    void attempt(Job& job);
-    void attempt_at(Job& job, membership::No no);
-    bool ask_first(Job& job);  // false: there is nobody to ask
-    void answered(core::RequestNo no, membership::No server, const Reply* reply);  // null: a probe that came to nothing
-    void choose(Job& job);
-    bool dial(Attempt& a);
-    void settle(Attempt& a, membership::Result result, bool nothing_ran);
-    void again(Job& job, membership::Result result, bool nothing_ran);
-    void over(core::RequestNo no, core::End end, std::string body);
-    void park(Job& job);
-    void dial_parked();
-    void told(const std::vector<membership::Change>& changes);
-    void tick();
-    void heard(membership::No no, const Reply& reply);
+    void start_attempt(ActiveRequest& job);
+    void start_attempt_on(ActiveRequest& job, upstream_health::HostId no);
+    bool probe_before_dispatch(ActiveRequest& job);  // false: there is nobody to ask
+    void on_load_probe_result(request::RequestId no, upstream_health::HostId server, const Response* reply);  // null: a probe that came to nothing
+    void dispatch_to_best_probed(ActiveRequest& job);
+    bool connect(Attempt& a);
+    void finish_attempt(Attempt& a, upstream_health::CallResult result, bool nothing_ran);
+    void retry_or_fail(ActiveRequest& job, upstream_health::CallResult result, bool nothing_ran);
+    void complete(request::RequestId no, request::RunResult end, std::string body);
+    void queue_for_descriptor(ActiveRequest& job);
+    void retry_queued_requests();
+    void apply_host_changes(const std::vector<upstream_health::HostStateChange>& changes);
+    void run_periodic_checks();
+    void record_load_report(upstream_health::HostId no, const Response& reply);
     // `before`: the request that goes by what it says; 0: none.
-    bool probe(membership::No no, bool for_load = false, core::RequestNo before = 0);
-    void keep(membership::No no, net::Stream* stream, core::Time born);
-    net::Stream* spare(membership::No no, net::Stream::Owner& owner, core::Time& born);
-    void drop(Spare& spare);
-    bool drop_one();  // a kept connection, for its descriptor
-    learning::Server& learned_of(membership::No no);
+    bool start_probe(upstream_health::HostId no, bool for_load = false, request::RequestId before = 0);
+    void keep_idle_connection(upstream_health::HostId no, net::Stream* stream, base::Timestamp born);
+    net::Stream* take_idle_connection(upstream_health::HostId no, net::Stream::Owner& owner, base::Timestamp& born);
+    void close_idle_connection(IdleConnection& spare);
+    bool close_any_idle_connection();  // a kept connection, for its descriptor
+    learned_state::UpstreamStats& learned_of(upstream_health::HostId no);
 
     net::Loop& loop_;
-    core::Deadlines& deadlines_;
-    core::Server& server_;
-    core::Clock& clock_;
-    admission::Descriptors& descriptors_;
-    config::Routing rules_;
-    membership::Random random_;
-    membership::Membership members_;
-    routing::Balancer balancer_;
-    routing::Budget budget_;
-    routing::Breaker breaker_;
-    std::vector<routing::Hedge> hedges_;  // by class
-    std::unordered_map<core::RequestNo, std::unique_ptr<Job>> jobs_;
-    std::vector<std::vector<std::unique_ptr<Spare>>> spares_;  // by server; used last comes last
-    std::size_t spare_count_ = 0;
+    base::TimerQueue& timers_;
+    request::RequestManager& request_manager_;
+    base::Clock& clock_;
+    connection_admission::FileDescriptorBudget& descriptors_;
+    config::RoutingConfig routing_;
+    upstream_health::Random random_;
+    upstream_health::HostSet hosts_;
+    load_balancing::Balancer balancer_;
+    retry::RetryBudget retry_budget_;
+    retry::CircuitBreaker circuit_breaker_;
+    std::vector<retry::HedgePolicy> hedge_policies_;  // by class
+    std::unordered_map<request::RequestId, std::unique_ptr<ActiveRequest>> active_requests_;
+    std::vector<std::vector<std::unique_ptr<IdleConnection>>> idle_connections_;  // by server; used last comes last
+    std::size_t idle_connection_count_ = 0;
     std::vector<std::unique_ptr<Probe>> probes_;
-    std::vector<learning::Server> learned_;  // by server
-    std::deque<core::RequestNo> parked_;  // calls that found no descriptor: nothing of them has been sent
-    core::Deadlines::Handle retry_ = 0, tick_ = 0;
-    Counts counts_;
-    core::Quiet quiet_, quiet_change_;
-    std::vector<membership::No> asked_;
+    std::vector<learned_state::UpstreamStats> learned_servers_;  // by server
+    std::deque<request::RequestId> requests_awaiting_descriptor_;  // calls that found no descriptor: nothing of them has been sent
+    base::TimerQueue::Handle descriptor_retry_timer_ = 0, periodic_timer_ = 0;
+    Counters counters_;
+    base::LogRateLimiter failure_log_limiter_, change_log_limiter_;
+    std::vector<upstream_health::HostId> probe_targets_;
 };
 
 }  // namespace cressledge::upstream
--- a/tests/all.sh
+++ b/tests/all.sh
@@ -8,7 +8,7 @@
 for kind in plain sanitize; do
     on=OFF bench=ON
     [ $kind = plain ] || { on=ON; bench=OFF; }
-    cmake -S . -B build-$kind -DCMAKE_BUILD_TYPE=RelWithDebInfo -DCURLEWREEL_TESTS=ON -DCURLEWREEL_SANITIZE=$on \
+    cmake -S . -B build-$kind -DCMAKE_BUILD_TYPE=RelWithDebInfo -DCRESSLEDGE_TESTS=ON -DCRESSLEDGE_SANITIZE=$on \
         -DCRESSLEDGE_BENCH=$bench
     cmake --build build-$kind -j4
 done
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,23 +1,23 @@
 // The installed library in ten lines: create a controller, feed it a request, read its actions.
-#include <control.hpp>
+#include <policy/admission_controller.hpp>
 #include <iostream>
 
 int main() {
-    curlewreel::Settings settings;
+    cressledge::policy::Settings settings;
     settings.cores = 4;
     settings.memory_kb = 100'000;
-    settings.classes.push_back({"read", curlewreel::Effect::safe});
-    const auto controller = curlewreel::make_controller(settings, 1);
-    std::vector<curlewreel::Action> actions;
-    controller->handle(curlewreel::Time(1000), curlewreel::Started{}, actions);
-    curlewreel::Request request;
+    settings.classes.push_back({"read", cressledge::policy::Idempotency::always});
+    const auto controller = cressledge::policy::make_admission_controller(settings, 1);
+    std::vector<cressledge::policy::Action> actions;
+    controller->handle(cressledge::policy::Timestamp(1000), cressledge::policy::Started{}, actions);
+    cressledge::policy::RequestArrived request;
     request.id = 7;
-    request.kind = 0;
-    request.held_kb = 10;
+    request.class_index = 0;
+    request.reserved_kb = 10;
     actions.clear();
-    controller->handle(curlewreel::Time(2000), request, actions);
+    controller->handle(cressledge::policy::Timestamp(2000), request, actions);
     for (const auto& action : actions)
-        if (const auto* run = std::get_if<curlewreel::Run>(&action); run != nullptr && run->id == 7) {
+        if (const auto* run = std::get_if<cressledge::policy::Run>(&action); run != nullptr && run->id == 7) {
             std::cout << "consumer: the request is run\n";
             return 0;
         }
--- a/tests/cressledge/config_test.cpp
+++ b/tests/cressledge/config_test.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-using namespace story;
+using namespace cressledge::testing;
 
-std::string complaint(const std::function<void()>& what) {
+std::string config_error_of(const std::function<void()>& load) {
     try {
-        what();
-    } catch (const config::Invalid& e) {
+        load();
+    } catch (const config::ConfigError& e) {
         const std::string text = e.what();
         return text.rfind("/tmp/", 0) == 0 ? text.substr(text.find('/', 5) + 1) : text;
     }
@@ -19,8 +19,8 @@
 }
 
 TEST_CASE("a CSV inventory, columns in any order") {
-    Folder f;
-    const auto all = config::load_inventory(f.write(
+    TemporaryDirectory f;
+    const auto all = config::load_inventory(f.write_file(
         "i.csv",
         "group,name,address,protocol,rack\r\nold,a,127.0.0.1:9001,scgi,1\r\n\r\nnew,\"b,2\",[::1]:9,http,2"));
     REQUIRE(all.size() == 2);
@@ -30,10 +30,10 @@
 }
 
 TEST_CASE("bad CSV rows are named by file, line and field") {
-    Folder f;
+    TemporaryDirectory f;
     const std::string head = "name,address,protocol,group\na,127.0.0.1:1,http,g\n";
     const auto of = [&](const std::string& row) {
-        return complaint([&] { config::load_inventory(f.write("i.csv", head + row)); });
+        return config_error_of([&] { config::load_inventory(f.write_file("i.csv", head + row)); });
     };
     CHECK(of("a,127.0.0.1:2,http,g\n") == "i.csv:3: name: a duplicate: a");
     CHECK(of("b,127.0.0.1:1,http,g\n") == "i.csv:3: address: a duplicate: 127.0.0.1:1");
@@ -41,14 +41,14 @@
     CHECK(of("b,127.0.0.1:70000,http,g") == "i.csv:3: address: not an address with a port: 127.0.0.1:70000");
     CHECK(of("b,127.0.0.1:2,ftp,g\n") == "i.csv:3: protocol: neither http nor scgi: ftp");
     CHECK(of("b,127.0.0.1:2\n") == "i.csv:3: row: 2 fields, not 4");
-    CHECK(complaint([&] { config::load_inventory(f.write("i.csv", "name,address\n")); }) ==
+    CHECK(config_error_of([&] { config::load_inventory(f.write_file("i.csv", "name,address\n")); }) ==
           "i.csv:1: protocol: no such column in the header row");
-    CHECK(complaint([&] { config::load_inventory(f.write("i.csv", "")); }) == "i.csv:1: row: no header row");
+    CHECK(config_error_of([&] { config::load_inventory(f.write_file("i.csv", "")); }) == "i.csv:1: row: no header row");
 }
 
 TEST_CASE("a YAML inventory: groups hand their vars down") {
-    Folder f;
-    const auto all = config::load_inventory(f.write("i.yaml", R"(all:
+    TemporaryDirectory f;
+    const auto all = config::load_inventory(f.write_file("i.yaml", R"(all:
   vars: {protocol: scgi}
   children:
     plateau:
@@ -68,14 +68,14 @@
     CHECK((all[0].protocol == "http" && all[0].group == "plateau"));
     CHECK(all[1].protocol == "scgi");
     CHECK((all[2].protocol == "http" && all[2].address == "127.0.0.1:3" && all[2].group == "annexe"));
-    CHECK((all[2].in("plateau") && all[2].in("all") && !all[2].in("thies")));
+    CHECK((all[2].belongs_to("plateau") && all[2].belongs_to("all") && !all[2].belongs_to("thies")));
     CHECK((all[3].protocol == "scgi" && all[3].group == "thies"));
 }
 
 TEST_CASE("bad YAML inventories are named by file, line and field") {
-    Folder f;
+    TemporaryDirectory f;
     const auto of = [&](const std::string& text) {
-        return complaint([&] { config::load_inventory(f.write("i.yaml", text)); });
+        return config_error_of([&] { config::load_inventory(f.write_file("i.yaml", text)); });
     };
     CHECK(of("all:\n  hosts:\n    a: {address: \"127.0.0.1:1\"}\n") ==
           "i.yaml:3: protocol: neither http nor scgi: ");
@@ -89,19 +89,19 @@
 }
 
 TEST_CASE("an operator's file, and what is wrong with it") {
-    Folder f;
+    TemporaryDirectory f;
     const std::string good = R"(listen: {scgi: "127.0.0.1:4000"}
 inventory: i.csv
 cores: 6
 classes:
   - {name: map-order, effect: unsafe, target_ms: 3500, deadline_ms: 12000}
 )";
-    const auto o = config::load_operator(f.write("o.yaml", good));
-    CHECK(o.inventory == f.path + "/i.csv");
-    CHECK(o.settings.classes.at(0).effect == curlewreel::Effect::unsafe);
-    CHECK(o.settings.classes.at(0).deadline == Span(12'000'000));
+    const auto o = config::load_operator_config(f.write_file("o.yaml", good));
+    CHECK(o.inventory_path == f.path + "/i.csv");
+    CHECK(o.policy_settings.classes.at(0).idempotency == cressledge::policy::Idempotency::never);
+    CHECK(o.policy_settings.classes.at(0).answer_deadline == Duration(12'000'000));
     const auto of = [&](const std::string& text) {
-        return complaint([&] { config::load_operator(f.write("o.yaml", text)); });
+        return config_error_of([&] { config::load_operator_config(f.write_file("o.yaml", text)); });
     };
     CHECK(of(good + "colour: red\n") == "o.yaml:6: colour: no such field");
     CHECK(of("cores: many\n" + good) == "o.yaml:4: cores: a duplicate");
@@ -112,15 +112,15 @@
 }
 
 TEST_CASE("the section on admission, and what is wrong with it") {
-    Folder f;
+    TemporaryDirectory f;
     const std::string head = R"(listen: {scgi: "127.0.0.1:4000"}
 inventory: i.csv
 cores: 6
 connections: 100
 classes: [{name: map-order, effect: unsafe, target_ms: 3500, deadline_ms: 12000}]
 )";
-    const auto bare = config::load_operator(f.write("o.yaml", head)).admission;
-    CHECK((bare.connections == 100 && bare.source.open == 0 && bare.share == 0.0 && bare.lobby == 6));
+    const auto bare = config::load_operator_config(f.write_file("o.yaml", head)).admission;
+    CHECK((bare.max_connections == 100 && bare.unlisted_source_limits.max_connections == 0 && bare.free_connection_share == 0.0 && bare.rejection_slots == 6));
     const std::string good = head + R"(admission:
   open: 8
   rate: {per_second: 20}
@@ -128,13 +128,13 @@
     - {name: a, networks: [10.0.0.0/8, "2001:db8::/32"], reserve: {connections: 40}, open: 9}
     - {name: b, networks: [10.1.0.0/16], reserve: {connections: 20, requests: 5}}
 )";
-    const auto s = config::load_operator(f.write("o.yaml", good)).admission;
-    CHECK((s.source.open == 8 && s.source.per_second == 20.0 && s.source.burst == 20.0 && s.share == 1.0));
+    const auto s = config::load_operator_config(f.write_file("o.yaml", good)).admission;
+    CHECK((s.unlisted_source_limits.max_connections == 8 && s.unlisted_source_limits.connections_per_second == 20.0 && s.unlisted_source_limits.connection_burst == 20.0 && s.free_connection_share == 1.0));
     REQUIRE(s.groups.size() == 2);
-    CHECK((s.groups[0].caps.open == 9 && s.groups[0].requests == 40 && s.groups[1].requests == 5));
+    CHECK((s.groups[0].source_limits.max_connections == 9 && s.groups[0].reserved_requests == 40 && s.groups[1].reserved_requests == 5));
     CHECK(s.networks.size() == 3);
     const auto of = [&](const std::string& more) {
-        return complaint([&] { config::load_operator(f.write("o.yaml", good + more)); });
+        return config_error_of([&] { config::load_operator_config(f.write_file("o.yaml", good + more)); });
     };
     CHECK(of("    - {name: c, networks: [10.2.0.1/16]}\n") ==
           "o.yaml:12: networks: bits set beyond its prefix: 10.2.0.1/16");
@@ -151,21 +151,21 @@
 }
 
 TEST_CASE("the sections on learning and routing, the inventory's further fields, and what is wrong with them") {
-    Folder f;
+    TemporaryDirectory f;
     const std::string head = R"(listen: {scgi: "127.0.0.1:4000"}
 inventory: i.csv
 cores: 6
 classes: [{name: map-order, effect: unsafe, target_ms: 3500, deadline_ms: 12000}]
 )";
-    const auto o = config::load_operator(f.write(
+    const auto o = config::load_operator_config(f.write_file(
         "o.yaml", head + "learning: {folder: kept, node: n1, half_life_h: 2}\nrouting: {place: thies, retries: {share: 0.2}, "
                          "members: {eject_ms: 100}, kept: {of_one: 0}}\n"));
-    CHECK(o.learning.folder == f.path + "/kept");
-    CHECK(o.learning.half_life == Span(7'200'000'000));
-    CHECK((o.routing.place == "thies" && o.routing.retry_share == 0.2 && o.routing.kept == 0));
-    CHECK(o.routing.members.eject_for == Span(100'000));
+    CHECK(o.learned_state.directory == f.path + "/kept");
+    CHECK(o.learned_state.half_life == Duration(7'200'000'000));
+    CHECK((o.routing.local_data_centre == "thies" && o.routing.retry_budget_ratio == 0.2 && o.routing.max_idle_connections_per_server == 0));
+    CHECK(o.routing.upstream_health.base_ejection_time == Duration(100'000));
     const auto of = [&](const std::string& more) {
-        return complaint([&] { config::load_operator(f.write("o.yaml", head + more)); });
+        return config_error_of([&] { config::load_operator_config(f.write_file("o.yaml", head + more)); });
     };
     CHECK(of("learning: {folder: x}\n") == "o.yaml:5: node: missing");
     CHECK(of("learning: {folder: x, node: n, max_age_h: 1}\n") == "o.yaml:5: max_age_h: below half_life_h");
@@ -174,35 +174,35 @@
     CHECK(of("routing:\n  hedging: perhaps\n") == "o.yaml:6: hedging: neither true nor false");
     CHECK(of("routing:\n  members:\n    eject_ms: 90000\n    eject_most_ms: 1000\n") == "o.yaml:8: eject_most_ms: below eject_ms");
     const auto all = config::load_inventory(
-        f.write("i.csv", "name,address,protocol,group,data_centre,model,weight,state,tags,rack\n"
+        f.write_file("i.csv", "name,address,protocol,group,data_centre,model,weight,state,tags,rack\n"
                          "tiles-07.thies.example.org,127.0.0.1:1,http,maps,thies,fast-box,1.5,drained,a;b,r1\n"
                          "tiles-08.thies.example.org,127.0.0.1:2,scgi,maps,thies,,,,,\n"));
     REQUIRE(all.size() == 2);
-    CHECK((all[0].place == "thies" && all[0].model == "fast-box" && all[0].weight == 1.5 && all[0].drains));
-    CHECK((all[0].tags == std::vector<std::string>{"a", "b"} && all[1].weight == 1.0 && !all[1].drains));
+    CHECK((all[0].data_centre == "thies" && all[0].machine_model == "fast-box" && all[0].weight == 1.5 && all[0].is_drained));
+    CHECK((all[0].tags == std::vector<std::string>{"a", "b"} && all[1].weight == 1.0 && !all[1].is_drained));
     try {
-        config::load_inventory(f.write("i.csv", "name,address,protocol,group,weight,state\na,127.0.0.1:1,http,g,0,\n"
+        config::load_inventory(f.write_file("i.csv", "name,address,protocol,group,weight,state\na,127.0.0.1:1,http,g,0,\n"
                                                 "b,127.0.0.1:2,http,g,1,\nc,127.0.0.1:3,http,g,1,asleep\n"));
         FAIL("accepted");
-    } catch (const config::Refused& e) {
-        REQUIRE(e.rows.size() == 2);
-        CHECK(e.rows[0].find("i.csv:2: weight: not a number from 0.01 to 1000: 0") != std::string::npos);
-        CHECK(e.rows[1].find("i.csv:4: state: neither in-service nor drained: asleep") != std::string::npos);
+    } catch (const config::InventoryError& e) {
+        REQUIRE(e.row_errors.size() == 2);
+        CHECK(e.row_errors[0].find("i.csv:2: weight: not a number from 0.01 to 1000: 0") != std::string::npos);
+        CHECK(e.row_errors[1].find("i.csv:4: state: neither in-service nor drained: asleep") != std::string::npos);
     }
-    const auto d = config::diff({all[0]}, all);
-    CHECK(d.text(3) == "+1 (tiles-08.thies.example.org)");
-    CHECK(config::too_many_gone(config::diff(all, {}), 2, 0.5));
+    const auto d = config::diff_inventories({all[0]}, all);
+    CHECK(d.summary(3) == "+1 (tiles-08.thies.example.org)");
+    CHECK(config::exceeds_removal_limit(config::diff_inventories(all, {}), 2, 0.5));
 }
 
 TEST_CASE("the section on the fleet, and what is wrong with it") {
-    Folder f;
+    TemporaryDirectory f;
     const std::string head = R"(listen: {scgi: "127.0.0.1:4000", control: "127.0.0.1:4100"}
 inventory: inventory.yaml
 cores: 2
 classes: [{name: a, effect: safe, target_ms: 100, deadline_ms: 200}]
 )";
-    CHECK_FALSE(config::load_operator(f.write("o.yaml", head)).fleet.has_value());
-    const auto o = config::load_operator(f.write("o.yaml", head + R"(fleet:
+    CHECK_FALSE(config::load_operator_config(f.write_file("o.yaml", head)).gossip.has_value());
+    const auto o = config::load_operator_config(f.write_file("o.yaml", head + R"(fleet:
   name: maps
   id: n1.thies
   gossip: 0.0.0.0:7946
@@ -211,14 +211,14 @@
   probe_ms: 250
   suspicion: 4
 )"));
-    REQUIRE(o.fleet.has_value());
-    CHECK(o.control == "127.0.0.1:4100");
-    CHECK(o.fleet->advertise == fleet::Place{0x7F000009U, 7946});
-    CHECK(o.fleet->seeds.size() == 2);
-    CHECK(o.fleet->rules.probe_every == curlewreel::Span(250'000));
-    CHECK(o.fleet->rules.suspicion == 4.0);
+    REQUIRE(o.gossip.has_value());
+    CHECK(o.admin_address == "127.0.0.1:4100");
+    CHECK(o.gossip->advertise == membership::Endpoint{0x7F000009U, 7946});
+    CHECK(o.gossip->seeds.size() == 2);
+    CHECK(o.gossip->membership.probe_interval == cressledge::policy::Duration(250'000));
+    CHECK(o.gossip->membership.suspicion_multiplier == 4.0);
     const auto of = [&](const std::string& fleet) {
-        return complaint([&] { config::load_operator(f.write("o.yaml", head + "fleet:\n" + fleet)); });
+        return config_error_of([&] { config::load_operator_config(f.write_file("o.yaml", head + "fleet:\n" + fleet)); });
     };
     const std::string good = "  name: maps\n  id: n1\n  gossip: 127.0.0.1:7946\n";
     CHECK(of(good + "  probes: 3\n") == "o.yaml:9: probes: no such field");
@@ -239,17 +239,17 @@
         R"("domain":{"cores":6,"memory-kb":1,"halt":"freeze","gauges":["cpu_busy","runnable"]}}})";
     const auto n = config::node_from_json(good);
     CHECK(n.seed == 0x8c1f30d27a5be964U);
-    CHECK(n.stop == Span(3'200'000));
-    CHECK(n.gauges.size() == 2);
-    CHECK(n.settings.stop == curlewreel::Stop::pause);
-    CHECK(n.settings.classes.at(0).effect == curlewreel::Effect::unsafe);
-    CHECK(complaint([] { config::node_from_json("{}"); }) == "missing text: name");
-    CHECK(complaint([] { config::node_from_json("["); }) == "not a JSON object");
+    CHECK(n.stop_delay == Duration(3'200'000));
+    CHECK(n.gauge_names.size() == 2);
+    CHECK(n.policy_settings.preemption == cressledge::policy::Preemption::pause);
+    CHECK(n.policy_settings.classes.at(0).idempotency == cressledge::policy::Idempotency::never);
+    CHECK(config_error_of([] { config::node_from_json("{}"); }) == "missing text: name");
+    CHECK(config_error_of([] { config::node_from_json("["); }) == "not a JSON object");
     // A retune is turned down whole for a class that could never be answered in time, or that has no name.
     const auto with = [&](const std::string& from, const std::string& to) {
         std::string text = good;
         text.replace(text.find(from), from.size(), to);
-        return complaint([&] { config::node_from_json(text); });
+        return config_error_of([&] { config::node_from_json(text); });
     };
     const std::string deadline = "settings: class a: the deadline is not a number above 0";
     CHECK(with("\"deadline\":900", "\"deadline\":0") == deadline);
@@ -264,20 +264,20 @@
     const std::string records = "\"records\":\"r\",", domain = "\"domain\":{";
     std::string without = good;
     without.erase(without.find(records), records.size());
-    CHECK(config::node_from_json(without).records.empty());
+    CHECK(config::node_from_json(without).records_address.empty());
     without.insert(without.find(domain) + domain.size(), "\"depends-on\":\"one_for_all\",");
-    CHECK(complaint([&] { config::node_from_json(without); }) == "missing text: records");
-    CHECK(complaint([&] { config::node_from_json(good.substr(0, good.size() / 2)); }) == "not a JSON object");
-    CHECK(complaint([] { config::node_from_json(""); }) == "not a JSON object");
+    CHECK(config_error_of([&] { config::node_from_json(without); }) == "missing text: records");
+    CHECK(config_error_of([&] { config::node_from_json(good.substr(0, good.size() / 2)); }) == "not a JSON object");
+    CHECK(config_error_of([] { config::node_from_json(""); }) == "not a JSON object");
     CHECK(with("\"effect\":\"single_shot\"", "\"effect\":\"guarded\",\"repeat-window\":0") ==
           "settings: class a: the repeat-window is not a number above 0");
     // A file is named with the line.
-    Folder f;
+    TemporaryDirectory f;
     std::string lines = good;
     for (const std::string& comma : {std::string("\"engine\""), std::string("\"settings\""), std::string("\"deadline\"")}) lines.insert(lines.find(comma), "\n");
     const auto of = [&](std::string text, const std::string& from, const std::string& to) {
         text.replace(text.find(from), from.size(), to);
-        const std::string path = f.write("n.json", text), all = complaint([&] { config::load_node(path); });
+        const std::string path = f.write_file("n.json", text), all = config_error_of([&] { config::load_node_config(path); });
         REQUIRE(all.rfind("n.json:", 0) == 0);  // complaint() leaves the folder out
         return all.substr(std::string("n.json:").size());
     };
--- a/tests/cressledge/lab_test.cpp
+++ b/tests/cressledge/experiment_test.cpp
@@ -2,71 +2,71 @@
 #include <filesystem>
 
 #include "config/settings.hpp"
-#include "lab/trial.hpp"
-#include "load/driver.hpp"
-#include "standin/fleet.hpp"
+#include "experiment/trial.hpp"
+#include "load_generator/driver.hpp"
+#include "fake_upstream/fleet.hpp"
 #include "support.hpp"
 
 namespace {
 
-using namespace story;
-using standin::Queue;
-using membership::Random;
+using namespace cressledge::testing;
+using fake_upstream::Queue;
+using upstream_health::Random;
 
 std::string small() { return std::filesystem::path(__FILE__).parent_path() / "../../bench/experiments/small.yaml"; }
 
 }  // namespace
 
 TEST_CASE("a stand-in serves as many at once as it has places, in order, and is slow, failing or cold when told") {
-    standin::Nature n;
+    fake_upstream::Nature n;
     n.slots = 2;
     n.mean_s = 0.1;
-    n.law = standin::Law::constant;
+    n.law = fake_upstream::Law::constant;
     n.cold_speed = 0.5;
     Random random(1);
     Queue q(n);
-    CHECK(q.arrive(Time(0), 1, random)->ends == Time(100'000));
-    CHECK(q.arrive(Time(0), 2, random)->ends == Time(100'000));
-    CHECK_FALSE(q.arrive(Time(10), 3, random).has_value());
-    CHECK_FALSE(q.arrive(Time(20), 4, random).has_value());
+    CHECK(q.arrive(Timestamp(0), 1, random)->ends == Timestamp(100'000));
+    CHECK(q.arrive(Timestamp(0), 2, random)->ends == Timestamp(100'000));
+    CHECK_FALSE(q.arrive(Timestamp(10), 3, random).has_value());
+    CHECK_FALSE(q.arrive(Timestamp(20), 4, random).has_value());
     CHECK((q.in_flight() == 4 && q.queues()));
-    CHECK_FALSE(q.leave(Time(30), 3, random).has_value());  // given up while it waited
-    const auto next = q.leave(Time(100'000), 1, random);
+    CHECK_FALSE(q.leave(Timestamp(30), 3, random).has_value());  // given up while it waited
+    const auto next = q.leave(Timestamp(100'000), 1, random);
     REQUIRE(next.has_value());
-    CHECK((next->call == 4 && next->ends == Time(200'000)));
-    CHECK(q.load().latency == Approx(0.1));
+    CHECK((next->call == 4 && next->ends == Timestamp(200'000)));
+    CHECK(q.load().latency_s == Approx(0.1));
     q.slow(10.0);
-    q.leave(Time(200'000), 2, random);
-    CHECK(q.arrive(Time(200'000), 5, random)->ends == Time(1'200'000));
+    q.leave(Timestamp(200'000), 2, random);
+    CHECK(q.arrive(Timestamp(200'000), 5, random)->ends == Timestamp(1'200'000));
     q.slow(1.0);
     q.fail(true);
-    q.leave(Time(200'000), 4, random);
-    CHECK(q.arrive(Time(300'000), 6, random)->ends == Time(301'000));
+    q.leave(Timestamp(200'000), 4, random);
+    CHECK(q.arrive(Timestamp(300'000), 6, random)->ends == Timestamp(301'000));
     q.fail(false);
-    q.restart(Time(1'000'000));
+    q.restart(Timestamp(1'000'000));
     CHECK(q.in_flight() == 0);
-    CHECK(q.arrive(Time(1'000'000), 7, random)->ends == Time(1'200'000));  // at half of its speed
-    q.leave(Time(1'200'000), 7, random);
-    CHECK(q.arrive(Time(1'000'000) + n.cold_for, 8, random)->ends == Time(1'100'000) + n.cold_for);
+    CHECK(q.arrive(Timestamp(1'000'000), 7, random)->ends == Timestamp(1'200'000));  // at half of its speed
+    q.leave(Timestamp(1'200'000), 7, random);
+    CHECK(q.arrive(Timestamp(1'000'000) + n.cold_for, 8, random)->ends == Timestamp(1'100'000) + n.cold_for);
     // Its word to probes counts the calls that they may bring: five of one moment, one call.
-    for (int i = 0; i < 5; ++i) q.probed(Time(30'000'000));
-    CHECK(q.probed(Time(30'000'000)).in_flight == Approx(2.0));
+    for (int i = 0; i < 5; ++i) q.probed(Timestamp(30'000'000));
+    CHECK(q.probed(Timestamp(30'000'000)).in_flight == Approx(2.0));
     CHECK(q.load().in_flight == 1.0);
 }
 
 TEST_CASE("evenness: the busiest over the mean, idle beside a queue, and how long it lasts") {
-    standin::Nature n;
+    fake_upstream::Nature n;
     n.slots = 2;
     Random random(1);
     std::vector<Queue> servers(4, Queue(n));
-    standin::Observer all;
-    for (std::uint64_t c = 1; c <= 4; ++c) servers[c - 1].arrive(Time(0), c, random);
+    fake_upstream::Observer all;
+    for (std::uint64_t c = 1; c <= 4; ++c) servers[c - 1].arrive(Timestamp(0), c, random);
     for (int i = 0; i < 50; ++i) all.look(servers);
     CHECK(all.result().worst_p99 == Approx(1.0));
     CHECK(all.result().idle == 0.0);
     CHECK(all.result().variation == Approx(0.0).margin(1e-6));
-    servers[3].restart(Time(0));
-    for (std::uint64_t c = 5; c <= 9; ++c) servers[0].arrive(Time(0), c, random);  // 6, 1, 1, 0 in hand
+    servers[3].restart(Timestamp(0));
+    for (std::uint64_t c = 5; c <= 9; ++c) servers[0].arrive(Timestamp(0), c, random);  // 6, 1, 1, 0 in hand
     for (int i = 0; i < 50; ++i) all.look(servers);
     const auto e = all.result();
     CHECK(e.worst_max == Approx(3.0));
@@ -79,80 +79,80 @@
 }
 
 TEST_CASE("arrivals: the rate and the mix that were asked for, evenly or in runs") {
-    load::Arrivals a(1000.0, 10, {{"x", 3.0, false}, {"y", 1.0, true}}, 5);
-    Time at(0);
+    load_generator::Arrivals a(1000.0, 10, {{"x", 3.0, false}, {"y", 1.0, true}}, 5);
+    Timestamp at(0);
     int runs = 0, second = 0;
-    for (; at < Time(100'000'000); ++runs) at = a.next(at);
+    for (; at < Timestamp(100'000'000); ++runs) at = a.next(at);
     CHECK(runs * 10 == Approx(100'000).epsilon(0.03));
     for (int i = 0; i < 10'000; ++i) second += a.kind() == 1 ? 1 : 0;
     CHECK(second == Approx(2'500).epsilon(0.06));
 }
 
 TEST_CASE("a record's quantiles are within its bins, and records add up") {
-    load::Record r, other;
-    for (int ms = 1; ms <= 1000; ++ms) (ms % 2 == 0 ? r : other).add(load::End::ok, Span(ms * 1000));
-    other.add(load::End::lost, Span(5));
+    load_generator::Record r, other;
+    for (int ms = 1; ms <= 1000; ++ms) (ms % 2 == 0 ? r : other).add(load_generator::End::ok, Duration(ms * 1000));
+    other.add(load_generator::End::lost, Duration(5));
     r.add(other);
     CHECK(r.all() == 1001);
     CHECK(r.quantile_ms(0.5) == Approx(500).epsilon(0.025));
     CHECK(r.quantile_ms(0.99) == Approx(990).epsilon(0.025));
     CHECK(r.json()["lost"] == 1);
-    CHECK(load::Record().quantile_ms(0.5) == 0.0);
+    CHECK(load_generator::Record().quantile_ms(0.5) == 0.0);
 }
 
 TEST_CASE("the driver counts each request once whatever becomes of it, and its stand-ins break and come back") {
-    World w;
-    standin::Plan plan;
-    standin::Nature n;
+    TestLoop w;
+    fake_upstream::Plan plan;
+    fake_upstream::Nature n;
     n.slots = 50;
     n.mean_s = 0.005;
     plan.servers = {n, n, n};
     plan.addresses = {"127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"};
     plan.once = {"map-order"};
-    standin::Fleet fleet(w.loop, w.deadlines, plan);
-    load::Driver driver(w.loop, w.deadlines, load::Arrivals(500.0, 1, {{"trail-sheet", 1.0, false}, {"map-order", 1.0, true}}, 3));
+    fake_upstream::Fleet fleet(w.loop, w.timers, plan);
+    load_generator::Driver driver(w.loop, w.timers, load_generator::Arrivals(500.0, 1, {{"trail-sheet", 1.0, false}, {"map-order", 1.0, true}}, 3));
     std::vector<net::Address> doors;
     for (std::size_t i = 0; i < 3; ++i) doors.push_back(*net::Address::parse(fleet.address(i)));
     driver.doors(doors);
     fleet.observe(true);
     driver.start();
-    w.until([&] { return driver.total().count(load::End::ok) >= 100; });
+    w.run_until([&] { return driver.total().count(load_generator::End::ok) >= 100; });
     fleet.fail(1, true);
-    w.until([&] { return driver.total().count(load::End::failed) >= 10; });
+    w.run_until([&] { return driver.total().count(load_generator::End::failed) >= 10; });
     fleet.fail(1, false);
     fleet.slow(0, 100.0);
-    w.until([&] { return driver.open() >= 20; });
-    fleet.restart(0, Span(100'000));  // what it has in hand breaks
-    w.until([&] { return driver.total().count(load::End::lost) >= 20; });
+    w.run_until([&] { return driver.open() >= 20; });
+    fleet.restart(0, Duration(100'000));  // what it has in hand breaks
+    w.run_until([&] { return driver.total().count(load_generator::End::lost) >= 20; });
     fleet.slow(0, 1.0);
     const std::uint64_t before = fleet.calls()[0];
-    w.until([&] { return fleet.calls()[0] > before + 10; });  // it is back
+    w.run_until([&] { return fleet.calls()[0] > before + 10; });  // it is back
     driver.stop();
-    w.until([&] { return driver.open() == 0; });
+    w.run_until([&] { return driver.open() == 0; });
     CHECK(driver.total().all() == driver.sent());
     CHECK(driver.unsent() == 0);
     CHECK(fleet.counts().doubled == 0);
     CHECK(fleet.counts().bad == 0);
     CHECK(fleet.evenness().looks > 10);
-    auto again = dial(w, std::stoi(fleet.address(2).substr(10)));
+    auto again = connect_peer(w, std::stoi(fleet.address(2).substr(10)));
     for (int i = 0; i < 2; ++i) {
         again->send("POST /v1/map-order HTTP/1.1\r\nContent-Length: 1\r\n\r\nx");
-        w.until([&] { return again->has("\r\n\r\nok"); });
-        CHECK(again->take("\r\n\r\nok").find("named_metrics.capacity=50") != std::string::npos);
+        w.run_until([&] { return again->has_received("\r\n\r\nok"); });
+        CHECK(again->take_through("\r\n\r\nok").find("named_metrics.capacity=50") != std::string::npos);
     }
     CHECK(fleet.counts().doubled == 1);
-    auto bad = dial(w, std::stoi(fleet.address(2).substr(10)));
+    auto bad = connect_peer(w, std::stoi(fleet.address(2).substr(10)));
     bad->send("nonsense\r\n\r\n");
-    w.until([&] { return bad->ended; });
+    w.run_until([&] { return bad->is_closed; });
     CHECK(fleet.counts().bad == 1);
 }
 
 TEST_CASE("an experiment's file is checked whole, with file, line and field") {
-    Folder f;
+    TemporaryDirectory f;
     const auto bad = [&](const std::string& text) -> std::string {
         try {
-            lab::load_experiment(f.write("e.yaml", text));
-        } catch (const config::Invalid& e) {
+            experiment::load_experiment(f.write_file("e.yaml", text));
+        } catch (const config::ConfigError& e) {
             return e.what();
         }
         return "";
@@ -164,17 +164,17 @@
     CHECK(bad(good + "events:\n  - {at_s: 1, do: slow, servers: [3], by: 2}\n").find("e.yaml:6: servers: no such server") != std::string::npos);
     CHECK(bad(good + "events:\n  - {at_s: 1, do: dance}\n").find("e.yaml:6: do: none of") != std::string::npos);
     CHECK(bad("name: x\n").find("processes: missing") != std::string::npos);
-    const auto e = lab::load_experiment(small());
+    const auto e = experiment::load_experiment(small());
     CHECK(e.rate_s() == Approx(0.8 * 176 / 0.2));
-    CHECK(lab::emulated(e).choice == emulator::Choice::probed);
+    CHECK(experiment::emulated(e).choice == emulator::Choice::probed);
 }
 
 TEST_CASE("5 processes before 10 servers: the load lies evenly, as emulated, and no request is lost or doubled") {
-    const auto e = lab::load_experiment(small());
-    Folder f;
-    lab::Where where{CRESSLEDGE_PROGRAM, CRESSLEDGE_LAB, small(), f.path + "/run", {}};
+    const auto e = experiment::load_experiment(small());
+    TemporaryDirectory f;
+    experiment::Where where{CRESSLEDGE_PROGRAM, CRESSLEDGE_LAB, small(), f.path + "/run", {}};
     std::filesystem::create_directory(where.folder);
-    const auto real = lab::trial(e, where), emulated = lab::emulate(e);
+    const auto real = experiment::trial(e, where), emulated = experiment::emulate(e);
     std::filesystem::remove_all(where.folder);
     INFO(real["figures"].dump() << real["requests"].dump() << real["servers_saw"].dump() << emulated["figures"].dump());
     CHECK(real["crashes"] == 0);
--- a/tests/cressledge/rig_test.cpp
+++ b/tests/cressledge/fault_injection_test.cpp
@@ -2,12 +2,12 @@
 #include <csignal>
 #include <filesystem>
 
-#include "rig/crowd.hpp"
+#include "fault_injection/crowd.hpp"
 #include "support.hpp"
 
 namespace {
 
-using namespace story;
+using namespace cressledge::testing;
 
 struct Place {  // a folder that goes with all that the processes wrote in it
     std::string path;
@@ -19,24 +19,24 @@
 };
 
 struct Fleet {
-    World w;
+    TestLoop w;
     Place folder;
-    rig::Crowd crowd;
-    explicit Fleet(std::size_t n, std::uint64_t seed = 1) : crowd(w.loop, w.deadlines, plan(folder.path, seed)) {
+    fault_injection::Crowd crowd;
+    explicit Fleet(std::size_t n, std::uint64_t seed = 1) : crowd(w.loop, w.timers, plan(folder.path, seed)) {
         for (std::size_t i = 0; i < n; ++i) crowd.add(i == 0 ? std::vector<std::size_t>{} : std::vector<std::size_t>{0});
     }
-    static rig::Plan plan(const std::string& folder, std::uint64_t seed) {
-        rig::Plan p;
+    static fault_injection::Plan plan(const std::string& folder, std::uint64_t seed) {
+        fault_injection::Plan p;
         p.program = CRESSLEDGE_PROGRAM;
         p.folder = folder;
         p.probe_ms = 200;
         p.seed = seed;
         return p;
     }
-    bool agreed() { return crowd.agreed(Span(20'000'000)); }  // the bound only ends a test that has failed
+    bool agreed() { return crowd.agreed(Duration(20'000'000)); }  // the bound only ends a test that has failed
     // Whether some see just some, by the same bound.
     bool see(const std::vector<std::size_t>& whom, const std::vector<std::size_t>& expected) {
-        const auto seen = crowd.until_seen(whom, expected, wall() + Span(20'000'000));
+        const auto seen = crowd.until_seen(whom, expected, wall_clock_now() + Duration(20'000'000));
         return std::all_of(seen.begin(), seen.end(), [](const auto& s) { return s.has_value(); });
     }
 };
@@ -72,9 +72,9 @@
 TEST_CASE("lossy, doubling, overtaking links and one dead direction: nobody alive is taken for dead") {
     Fleet f(6, 7);
     REQUIRE(f.agreed());
-    f.crowd.relay().harm({0.1, 0.05, Span(0), Span(20'000)});
+    f.crowd.relay().harm({0.1, 0.05, Duration(0), Duration(20'000)});
     f.crowd.relay().cut("n1", "n2");
-    f.crowd.run(wall() + Span(4'000'000));
+    f.crowd.run(wall_clock_now() + Duration(4'000'000));
     CHECK(f.crowd.sum("fleet.dead") == 0);
     CHECK(f.crowd.sum("fleet.indirect_probes") > 0);
     const auto& n = f.crowd.relay().counts();
@@ -88,7 +88,7 @@
     Fleet f(5);
     REQUIRE(f.agreed());
     f.crowd.signal(2, SIGSTOP);
-    f.crowd.run(wall() + Span(3'000'000));
+    f.crowd.run(wall_clock_now() + Duration(3'000'000));
     f.crowd.signal(2, SIGCONT);
     CHECK(f.agreed());
     auto figures = f.crowd.figures(2);
@@ -107,14 +107,14 @@
 }
 
 TEST_CASE("a fleet whose only seed is dead at the start is whole once it comes") {
-    World w;
+    TestLoop w;
     Place folder;
-    rig::Crowd crowd(w.loop, w.deadlines, Fleet::plan(folder.path, 3));
+    fault_injection::Crowd crowd(w.loop, w.timers, Fleet::plan(folder.path, 3));
     crowd.add({});
     crowd.signal(0, SIGKILL);
     for (int i = 0; i < 4; ++i) crowd.add({0});
-    crowd.run(wall() + Span(500'000));
-    for (std::size_t no = 1; no < 5; ++no) CHECK(crowd.until_seen({no}, {no}, wall() + Span(10'000'000))[0].has_value());
+    crowd.run(wall_clock_now() + Duration(500'000));
+    for (std::size_t no = 1; no < 5; ++no) CHECK(crowd.until_seen({no}, {no}, wall_clock_now() + Duration(10'000'000))[0].has_value());
     crowd.start(0);
-    CHECK(crowd.agreed(Span(20'000'000)));
+    CHECK(crowd.agreed(Duration(20'000'000)));
 }
--- a/tests/cressledge/main.cpp
+++ b/tests/cressledge/main.cpp
@@ -10,7 +10,7 @@
 std::ostringstream log_lines;
 }
 
-std::string story::logged() {
+std::string cressledge::testing::take_log() {
     std::string all = log_lines.str();
     log_lines.str({});
     return all;
