--- a/tests/cressledge/friday_test.cpp
+++ b/tests/cressledge/protocol_parity_test.cpp
@@ -10,85 +10,85 @@
 
 namespace {
 
-using namespace story;
+using namespace cressledge::testing;
 
-struct Asked {  // one request of the script
-    Time at{0};
-    std::size_t kind = 0;
+struct ScriptedRequest {  // one request of the script
+    Timestamp send_at{0};
+    std::size_t class_index = 0;
     int work_ms = 0;
-    Span patience{0};  // its client closes then, unless it is answered
+    Duration caller_timeout{0};  // its client closes then, unless it is answered
 };
 
 const char* const kinds[] = {"trail-sheet", "route-profile", "map-order"};
 constexpr int day_ms = 14'000, leave_ms = 11'000, step_ms = 5;
 
 // Calm, then 1.6 times what the stand-in's four cores do, then calm again, and a drain at the end.
-std::vector<Asked> friday() {
+std::vector<ScriptedRequest> make_request_script() {
     std::mt19937 random(5);  // the same numbers on every machine, unlike the library's distributions
     const auto below = [&random](unsigned n) { return static_cast<int>(random() % n); };
-    std::vector<Asked> all;
+    std::vector<ScriptedRequest> all;
     for (int ms = 0; ms < day_ms - 550; ms += step_ms) {
         const bool late =
             ms > leave_ms + 2'000;  // past the grace of the drain: orders only, none of which may run
         const int per_second = !late && (ms < 2'500 || ms > 8'500) ? 9 : 26;
         if (below(1'000 / step_ms) >= per_second) continue;
         const int dice = below(100);
-        Asked a;
-        a.at = Time(ms * 1000);
-        a.kind = late ? 2 : dice < 46 ? 0 : dice < 90 ? 1 : 2;
-        a.work_ms = (a.kind == 0 ? 200 : a.kind == 1 ? 120 : 300) + below(150);
-        a.patience = below(12) == 0 ? Span(400'000) : Span(60'000'000);
+        ScriptedRequest a;
+        a.send_at = Timestamp(ms * 1000);
+        a.class_index = late ? 2 : dice < 46 ? 0 : dice < 90 ? 1 : 2;
+        a.work_ms = (a.class_index == 0 ? 200 : a.class_index == 1 ? 120 : 300) + below(150);
+        a.caller_timeout = below(12) == 0 ? Duration(400'000) : Duration(60'000'000);
         all.push_back(a);
     }
     return all;
 }
 
-struct StandIn {  // four cores, shared by all that is in hand; answers when the script's clock says so
+struct FakeMultiCoreUpstream {  // four cores, shared by all that is in hand; answers when the script's clock says so
     struct Job {
-        std::unique_ptr<Peer> peer;
+        std::unique_ptr<StreamPeer> peer;
         double left_ms = -1.0;  // below 0: the call is not whole yet
         std::string body;
         bool done = false;
     };
-    World& w;
-    const bool scgi;
+    TestLoop& test_loop;
+    const bool uses_scgi;
     std::vector<std::unique_ptr<Job>> jobs;
     std::unique_ptr<net::Listener> listener;
     std::size_t received = 0;
 
-    StandIn(World& world, bool speaks_scgi) : w(world), scgi(speaks_scgi) {
-        listener = std::make_unique<net::Listener>(w.loop.uv(), at(0), [this] {
+    FakeMultiCoreUpstream(TestLoop& world, bool speaks_scgi) : test_loop(world), uses_scgi(speaks_scgi) {
+        listener = std::make_unique<net::Listener>(test_loop.loop.uv(), loopback_address(0), [this] {
             jobs.push_back(std::make_unique<Job>());
-            jobs.back()->peer = std::make_unique<Peer>();
-            Peer& p = *jobs.back()->peer;
+            jobs.back()->peer = std::make_unique<StreamPeer>();
+            StreamPeer& p = *jobs.back()->peer;
             p.stream = net::Stream::accept(*listener, p);
         });
     }
-    void look() {  // takes in the calls that have come whole: their body is the work, and ends in a stop
+    void read_calls() {  // takes in the calls that have come whole: their body is the work, and ends in a stop
         for (auto& j : jobs) {
-            if (j->left_ms >= 0.0 || j->peer->got.empty() || j->peer->got.back() != '.') continue;
-            const std::size_t from = scgi ? j->peer->got.rfind(',') + 1 : j->peer->got.rfind('\n') + 1;
-            j->body = j->peer->got.substr(from);
+            if (j->left_ms >= 0.0 || j->peer->received.empty() || j->peer->received.back() != '.') continue;
+            const std::size_t from = uses_scgi ? j->peer->received.rfind(',') + 1 : j->peer->received.rfind('\n') + 1;
+            j->body = j->peer->received.substr(from);
             j->left_ms = std::stod(j->body);
             ++received;
         }
     }
     std::size_t open() const {
         return static_cast<std::size_t>(std::count_if(jobs.begin(), jobs.end(), [](const auto& j) {
-            return j->left_ms >= 0.0 && !j->done && !j->peer->ended;
+            return j->left_ms >= 0.0 && !j->done && !j->peer->is_closed;
         }));
     }
-    void work(double ms) {
+    void advance(double ms) {
         const double share = std::min(1.0, 4.0 / std::max(1.0, static_cast<double>(open())));
         for (auto& j : jobs) {
-            if (j->left_ms < 0.0 || j->done || j->peer->ended) continue;
+            if (j->left_ms < 0.0 || j->done || j->peer->is_closed) continue;
             j->left_ms = std::max(0.0, j->left_ms - ms * share);
             if (j->left_ms > 0.0) continue;
             j->done = true;
             const std::string result = "map of " + j->body;
-            const std::string start = scgi ? "Status: 200 OK\r\n" : "HTTP/1.1 200 OK\r\n";
+            const std::string start = uses_scgi ? "Status: 200 OK\r\n" : "HTTP/1.1 200 OK\r\n";
             j->peer->send(start + "Content-Length: " + std::to_string(result.size()) + "\r\n\r\n" + result);
-            j->peer->stream->finish();
+            j->peer->stream->shut_down_writes();
         }
     }
 };
@@ -106,80 +106,80 @@
     }
 };
 
-struct Evening {
-    World w;
+struct ProtocolRun {
+    TestLoop test_loop;
     ManualClock clock;
-    core::Deadlines deadlines;
-    Folder folder;
-    StandIn server;
-    std::unique_ptr<upstream::Gateway> gateway;
-    const bool scgi;
+    base::TimerQueue timers;
+    TemporaryDirectory directory;
+    FakeMultiCoreUpstream upstream_server;
+    std::unique_ptr<upstream::UpstreamGateway> gateway;
+    const bool uses_scgi;
     struct Client {
-        Asked asked;
+        ScriptedRequest asked;
         std::string body;
-        std::unique_ptr<Peer> peer;
-        bool over = false;
+        std::unique_ptr<StreamPeer> peer;
+        bool is_done = false;
     };
     std::vector<Client> clients;
     Figures figures;
-    std::size_t answers = 0, left = 0;
+    std::size_t answer_count = 0, cancelled_count = 0;
 
-    explicit Evening(bool over_scgi) : server(w, over_scgi), scgi(over_scgi) {
-        config::Operator o;
-        o.inventory = folder.write("s.csv", "name,address,protocol,group\nstand-in,127.0.0.1:" +
-                                                std::to_string(server.listener->port()) + ',' +
-                                                (scgi ? "scgi" : "http") + ",all\n");
-        o.settings = settings();
-        for (auto& c : o.settings.classes) c.late_worth = c.worth < 5 ? 0.2 : 0.0;
-        (scgi ? o.scgi : o.http) = "127.0.0.1:0";
-        gateway = std::make_unique<upstream::Gateway>(w.loop, deadlines, clock, o, 11);
+    explicit ProtocolRun(bool over_scgi) : upstream_server(test_loop, over_scgi), uses_scgi(over_scgi) {
+        config::OperatorConfig o;
+        o.inventory_path = directory.write_file("s.csv", "name,address,protocol,group\nstand-in,127.0.0.1:" +
+                                                std::to_string(upstream_server.listener->port()) + ',' +
+                                                (uses_scgi ? "scgi" : "http") + ",all\n");
+        o.policy_settings = test_settings();
+        for (auto& c : o.policy_settings.classes) c.late_priority_weight = c.priority_weight < 5 ? 0.2 : 0.0;
+        (uses_scgi ? o.scgi_address : o.http_address) = "127.0.0.1:0";
+        gateway = std::make_unique<upstream::UpstreamGateway>(test_loop.loop, timers, clock, o, 11);
     }
-    void rest() {  // until nothing is on its way between client, core and stand-in
-        const auto& n = gateway->server().counts();
-        w.until(
+    void settle() {  // until nothing is on its way between client, core and stand-in
+        const auto& n = gateway->request_manager().counts();
+        test_loop.run_until(
             [&] {
-                deadlines.run(clock.now);
-                server.look();
+                timers.run_due(clock.now);
+                upstream_server.read_calls();
                 take_answers();
-                const bool due = deadlines.next() && *deadlines.next() <= clock.now;
-                return !due && answers == n.served + n.refused + n.failed && left == n.gone &&
-                       server.received == n.runs && server.open() == n.runs - n.ends;
+                const bool due = timers.next_due() && *timers.next_due() <= clock.now;
+                return !due && answer_count == n.served + n.rejected + n.failed && cancelled_count == n.cancelled &&
+                       upstream_server.received == n.runs_started && upstream_server.open() == n.runs_started - n.runs_finished;
             },
             false);
     }
     void take_answers() {
         for (Client& c : clients) {
-            if (c.over || !c.peer) continue;
-            const std::size_t head = c.peer->got.find("\r\n\r\n");
-            if (head == std::string::npos || (scgi && !c.peer->ended)) continue;
-            const std::string result = c.peer->got.substr(head + 4), wanted = "map of " + c.body;
-            const std::string status = c.peer->got.substr(scgi ? 8 : 9, 3);
+            if (c.is_done || !c.peer) continue;
+            const std::size_t head = c.peer->received.find("\r\n\r\n");
+            if (head == std::string::npos || (uses_scgi && !c.peer->is_closed)) continue;
+            const std::string result = c.peer->received.substr(head + 4), wanted = "map of " + c.body;
+            const std::string status = c.peer->received.substr(uses_scgi ? 8 : 9, 3);
             if (status == "200" && result.size() < wanted.size()) continue;
-            c.over = true;
-            ++answers;
-            const auto& k = gateway->server().settings().classes[c.asked.kind];
-            const Span took = clock.now - start - c.asked.at;
+            c.is_done = true;
+            ++answer_count;
+            const auto& k = gateway->request_manager().settings().classes[c.asked.class_index];
+            const Duration took = clock.now - start - c.asked.send_at;
             if (status == "200") {
                 figures.odd_results += result != wanted;
-                figures.earned += k.worth * (took <= k.target ? 1.0 : k.late_worth);
+                figures.earned += k.priority_weight * (took <= k.latency_objective ? 1.0 : k.late_priority_weight);
             }
-            const bool late = c.asked.at > Time((leave_ms + 2'000) * 1000);
+            const bool late = c.asked.send_at > Timestamp((leave_ms + 2'000) * 1000);
             figures.late_orders += late;
             figures.late_orders_refused += late && status == "503";
             const char* how = status == "200" ? "served" : status == "503" ? "refused" : "failed";
-            ++figures.finals[std::string(kinds[c.asked.kind]) + ' ' + how];
+            ++figures.finals[std::string(kinds[c.asked.class_index]) + ' ' + how];
             c.peer->close();
         }
     }
-    void ask(const Asked& a) {
+    void send_request(const ScriptedRequest& a) {
         Client& c = clients.emplace_back();
         c.asked = a;
         c.body = std::to_string(a.work_ms) + '.';
-        figures.asked += gateway->server().settings().classes[a.kind].worth;
-        c.peer = dial(w, scgi ? gateway->scgi_port() : gateway->http_port());
-        const std::string path = std::string("/v1/") + kinds[a.kind], length = std::to_string(c.body.size());
-        if (scgi) {
-            std::string head = bytes("CONTENT_LENGTH\0");
+        figures.asked += gateway->request_manager().settings().classes[a.class_index].priority_weight;
+        c.peer = connect_peer(test_loop, uses_scgi ? gateway->scgi_port() : gateway->http_port());
+        const std::string path = std::string("/v1/") + kinds[a.class_index], length = std::to_string(c.body.size());
+        if (uses_scgi) {
+            std::string head = binary_literal("CONTENT_LENGTH\0");
             head += length +
                     std::string(
                         "\0SCGI\0"
@@ -191,34 +191,34 @@
             c.peer->send("POST " + path + " HTTP/1.1\r\nContent-Length: " + length + "\r\n\r\n" + c.body);
         }
         const std::size_t read = clients.size();
-        w.until([&] { return gateway->server().counts().read == read; });
-        rest();
+        test_loop.run_until([&] { return gateway->request_manager().counts().received == read; });
+        settle();
     }
     Figures play() {
-        const std::vector<Asked> script = friday();
+        const std::vector<ScriptedRequest> script = make_request_script();
         std::size_t next = 0;
         for (int ms = 0; ms < day_ms; ms += step_ms) {
-            clock.now = start + Span(ms * 1000);
-            server.work(step_ms);
-            rest();
-            if (ms == leave_ms) gateway->leave();
-            for (; next < script.size() && script[next].at <= Time(ms * 1000); ++next) ask(script[next]);
+            clock.now = start + Duration(ms * 1000);
+            upstream_server.advance(step_ms);
+            settle();
+            if (ms == leave_ms) gateway->begin_graceful_shutdown();
+            for (; next < script.size() && script[next].send_at <= Timestamp(ms * 1000); ++next) send_request(script[next]);
             for (Client& c : clients) {
-                if (c.over || clock.now - start < c.asked.at + c.asked.patience) continue;
-                c.over = true;
-                ++left;
-                ++figures.finals[std::string(kinds[c.asked.kind]) + " gone"];
+                if (c.is_done || clock.now - start < c.asked.send_at + c.asked.caller_timeout) continue;
+                c.is_done = true;
+                ++cancelled_count;
+                ++figures.finals[std::string(kinds[c.asked.class_index]) + " gone"];
                 c.peer->close();
-                rest();
+                settle();
             }
         }
         return figures;
     }
-    const Time start = clock.now;
+    const Timestamp start = clock.now;
 };
 
 TEST_CASE("a Friday evening fares alike over HTTP and over SCGI") {
-    const Figures http = Evening(false).play(), scgi = Evening(true).play();
+    const Figures http = ProtocolRun(false).play(), scgi = ProtocolRun(true).play();
     const int all = http.count("");
     INFO("HTTP: served " << http.count("served") << ", refused " << http.count("refused") << ", failed "
                          << http.count("failed") << ", gone " << http.count("gone") << ", service "
--- a/tests/cressledge/routing_test.cpp
+++ b/tests/cressledge/routing_test.cpp
@@ -3,33 +3,34 @@
 #include <map>
 #include <set>
 
-#include "faults.hpp"
-#include "routing/attempts.hpp"
-#include "routing/balancer.hpp"
+#include "system_call_faults.hpp"
+#include "retry/retry_policy.hpp"
+#include "load_balancing/balancer.hpp"
 #include "support.hpp"
 #include "upstream/gateway.hpp"
 
 namespace {
 
-using namespace story;
-using namespace cressledge::membership;
-using namespace cressledge::routing;
+using namespace cressledge::testing;
+using namespace cressledge::upstream_health;
+using namespace cressledge::load_balancing;
+using namespace cressledge::retry;
 
-constexpr Span ms(std::int64_t n) { return Span(n * 1000); }
+constexpr Duration ms(std::int64_t n) { return Duration(n * 1000); }
 
 struct Fleet {
-    Time now{1'764'576'000'000'000};
+    Timestamp now{1'764'576'000'000'000};
     Random random{7, 7};
-    Membership members;
-    BalancerRules rules;
+    HostSet members;
+    BalancerSettings rules;
     std::unique_ptr<Balancer> made;
-    std::vector<Spec> specs;
+    std::vector<HostSpec> specs;
 
-    explicit Fleet(std::size_t n, Rules r = {}) : members(r) {
+    explicit Fleet(std::size_t n, HealthSettings r = {}) : members(r) {
         for (std::size_t i = 0; i < n; ++i)
             specs.push_back({"tiles-" + std::to_string(i) + (i % 2 == 0 ? ".thies" : ".plateau"), "127.0.0.1:" + std::to_string(4000 + i),
                              "http", i % 2 == 0 ? "thies" : "plateau", "", 1.0, false});
-        members.use(now, specs, random);
+        members.update(now, specs, random);
     }
     Balancer& balancer() {
         if (!made) {
@@ -38,156 +39,156 @@
         }
         return *made;
     }
-    void told(const std::vector<Change>& changes) {
+    void told(const std::vector<HostStateChange>& changes) {
         if (!changes.empty()) balancer().refresh();
     }
-    void use() { told(members.use(now, specs, random)); }
+    void use() { told(members.update(now, specs, random)); }
     // A call from its pick to its end.
-    No call(Result result, Span took, No only = nobody) {
-        const No no = only != nobody ? only : balancer().pick(now, 0, {}, random);
-        balancer().started(now, no);
+    HostId call(CallResult result, Duration took, HostId only = no_host) {
+        const HostId no = only != no_host ? only : balancer().pick(now, 0, {}, random);
+        balancer().on_call_started(now, no);
         now += took;
-        balancer().ended(now, no, result, took);
-        told(members.ended(now, no, result, took));
+        balancer().on_call_finished(now, no, result, took);
+        told(members.on_call_finished(now, no, result, took));
         return no;
     }
-    State state(No no) const { return members.at(no).state; }
+    HostState state(HostId no) const { return members.at(no).state; }
 };
 
 TEST_CASE("a server that fails is suspect, then out for longer each time, and comes back through slow start") {
     Fleet f(10);
-    for (int i = 0; i < 2; ++i) f.call(Result::error, ms(1), 3);
-    CHECK(f.state(3) == State::suspect);
-    CHECK(f.members.share(f.now, 3) == Approx(0.05));
-    for (int i = 0; i < 3; ++i) f.call(Result::error, ms(1), 3);
-    CHECK(f.state(3) == State::ejected);
-    CHECK(f.members.share(f.now, 3) == 0.0);
-    Span length{0};
+    for (int i = 0; i < 2; ++i) f.call(CallResult::error, ms(1), 3);
+    CHECK(f.state(3) == HostState::suspect);
+    CHECK(f.members.traffic_fraction(f.now, 3) == Approx(0.05));
+    for (int i = 0; i < 3; ++i) f.call(CallResult::error, ms(1), 3);
+    CHECK(f.state(3) == HostState::ejected);
+    CHECK(f.members.traffic_fraction(f.now, 3) == 0.0);
+    Duration length{0};
     for (int flap = 1; flap <= 6; ++flap) {  // it fails again each time that it comes back
-        const Span out = f.members.at(3).until - f.now;
+        const Duration out = f.members.at(3).ejected_until - f.now;
         CHECK(out >= length);
         length = out;
-        f.now = f.members.at(3).until;
+        f.now = f.members.at(3).ejected_until;
         f.told(f.members.tick(f.now));
-        CHECK(f.state(3) == State::suspect);
-        for (int i = 0; i < 3; ++i) f.call(Result::timeout, ms(1), 3);
-        CHECK(f.state(3) == State::ejected);
+        CHECK(f.state(3) == HostState::suspect);
+        for (int i = 0; i < 3; ++i) f.call(CallResult::timeout, ms(1), 3);
+        CHECK(f.state(3) == HostState::ejected);
     }
-    CHECK(length == Span(60'000'000));
-    f.now = f.members.at(3).until;
+    CHECK(length == Duration(60'000'000));
+    f.now = f.members.at(3).ejected_until;
     f.told(f.members.tick(f.now));
-    f.told(f.members.probed(f.now, 3, Result::ok));
-    CHECK(f.state(3) == State::joining);
-    const double begins = f.members.share(f.now, 3);
+    f.told(f.members.on_health_check(f.now, 3, CallResult::ok));
+    CHECK(f.state(3) == HostState::warming_up);
+    const double begins = f.members.traffic_fraction(f.now, 3);
     f.now += ms(5'000);
-    CHECK(f.members.share(f.now, 3) > begins);
+    CHECK(f.members.traffic_fraction(f.now, 3) > begins);
     f.now += ms(5'000);
     f.told(f.members.tick(f.now));
-    CHECK(f.state(3) == State::ready);
+    CHECK(f.state(3) == HostState::ready);
 }
 
 TEST_CASE("never more than its part of the fleet is out, and when most look bad all are used") {
     Fleet f(10);
-    for (No no = 0; no < 10; ++no)
-        for (int i = 0; i < 6; ++i) f.call(Result::error, ms(1), no);
+    for (HostId no = 0; no < 10; ++no)
+        for (int i = 0; i < 6; ++i) f.call(CallResult::error, ms(1), no);
     std::size_t out = 0;
-    for (No no = 0; no < 10; ++no) out += f.state(no) == State::ejected ? 1 : 0;
+    for (HostId no = 0; no < 10; ++no) out += f.state(no) == HostState::ejected ? 1 : 0;
     CHECK(out == 3);
-    CHECK(f.members.panic());
-    std::set<No> picked;
+    CHECK(f.members.in_panic_mode());
+    std::set<HostId> picked;
     for (int i = 0; i < 500; ++i) picked.insert(f.balancer().pick(f.now, 0, {}, f.random));
     CHECK(f.balancer().candidates().size() == 10);
     CHECK(picked.size() > 7);
     Fleet slow(10);  // far slower than its peers
     for (int i = 0; i < 20; ++i)
-        for (No no = 0; no < 10; ++no) slow.call(Result::ok, ms(no == 4 ? 400 : 50), no);
+        for (HostId no = 0; no < 10; ++no) slow.call(CallResult::ok, ms(no == 4 ? 400 : 50), no);
     slow.told(slow.members.tick(slow.now));
-    CHECK(slow.state(4) == State::ejected);
+    CHECK(slow.state(4) == HostState::ejected);
     Fleet same(10);  // all of them slow at once: nobody's fault
     for (int i = 0; i < 20; ++i)
-        for (No no = 0; no < 10; ++no) same.call(Result::ok, ms(i < 10 ? 50 : 500), no);
+        for (HostId no = 0; no < 10; ++no) same.call(CallResult::ok, ms(i < 10 ? 50 : 500), no);
     same.told(same.members.tick(same.now));
-    for (No no = 0; no < 10; ++no) CHECK(same.state(no) == State::ready);
+    for (HostId no = 0; no < 10; ++no) CHECK(same.state(no) == HostState::ready);
 }
 
 TEST_CASE("the inventory changes: joins, drains, swapped addresses, and a restart under the same one") {
     Fleet f(4);
-    f.balancer().started(f.now, 1);
+    f.balancer().on_call_started(f.now, 1);
     std::swap(f.specs[1].address, f.specs[2].address);  // two swap theirs: both are others now
     f.use();
-    CHECK(f.state(1) == State::draining);  // its call ends where it is
-    CHECK(f.state(2) == State::gone);
-    CHECK(f.members.listed().size() == 4);
+    CHECK(f.state(1) == HostState::draining);  // its call ends where it is
+    CHECK(f.state(2) == HostState::removed);
+    CHECK(f.members.listed_hosts().size() == 4);
     std::set<std::string> addresses;
-    for (const No no : f.members.listed()) {
+    for (const HostId no : f.members.listed_hosts()) {
         addresses.insert(f.members.at(no).spec.address);
-        CHECK(f.state(no) != State::draining);
+        CHECK(f.state(no) != HostState::draining);
     }
     CHECK(addresses.size() == 4);
-    f.told(f.members.ended(f.now, 1, Result::ok, ms(5)));
-    CHECK(f.state(1) == State::gone);
-    f.specs[0].drains = true;
+    f.told(f.members.on_call_finished(f.now, 1, CallResult::ok, ms(5)));
+    CHECK(f.state(1) == HostState::removed);
+    f.specs[0].drain_requested = true;
     f.use();
-    CHECK(f.state(0) == State::draining);
+    CHECK(f.state(0) == HostState::draining);
     for (int i = 0; i < 200; ++i) CHECK(f.balancer().pick(f.now, 0, {}, f.random) != 0);
-    f.specs[0].drains = false;
+    f.specs[0].drain_requested = false;
     f.specs[0].weight = 2.0;
     f.use();
-    CHECK(f.state(0) == State::joining);  // same server, another weight
+    CHECK(f.state(0) == HostState::warming_up);  // same server, another weight
     // A restart: refused, then back. It had done well, and does so again after slow start.
-    for (int i = 0; i < 2; ++i) f.call(Result::refused, ms(1), 3);
-    CHECK(f.state(3) == State::suspect);
-    f.call(Result::ok, ms(20), 3);
-    CHECK(f.state(3) == State::joining);
+    for (int i = 0; i < 2; ++i) f.call(CallResult::connection_refused, ms(1), 3);
+    CHECK(f.state(3) == HostState::suspect);
+    f.call(CallResult::ok, ms(20), 3);
+    CHECK(f.state(3) == HostState::warming_up);
     f.specs.clear();
     f.use();
-    CHECK(f.balancer().pick(f.now, 0, {}, f.random) == nobody);
+    CHECK(f.balancer().pick(f.now, 0, {}, f.random) == no_host);
 }
 
 TEST_CASE("who fails fast draws no traffic, a black hole shows before its time-out, and a slow one gets less") {
-    Rules blind;  // the balancer alone, nobody is ejected
-    blind.suspect_after = blind.eject_after = ~0U, blind.failing = 2.0, blind.slow = 1e9;
+    HealthSettings blind;  // the balancer alone, nobody is ejected
+    blind.suspect_after_failures = blind.eject_after_failures = ~0U, blind.max_failure_rate = 2.0, blind.max_latency_ratio = 1e9;
     Fleet f(10, blind);
-    std::map<No, int> calls;
+    std::map<HostId, int> calls;
     for (int i = 0; i < 2'000; ++i) {
-        const No no = f.balancer().pick(f.now, 0, {}, f.random);
+        const HostId no = f.balancer().pick(f.now, 0, {}, f.random);
         ++calls[no];
-        f.call(no == 6 ? Result::error : Result::ok, ms(no == 6 ? 1 : no == 2 ? 90 : 50), no);
+        f.call(no == 6 ? CallResult::error : CallResult::ok, ms(no == 6 ? 1 : no == 2 ? 90 : 50), no);
         if (i % 20 == 0) f.told(f.members.tick(f.now));
     }
     CHECK(calls[6] < 2'000 / 20);
     CHECK(calls[2] < calls[3]);
     Fleet hole(10, blind);
-    for (int i = 0; i < 200; ++i) hole.call(Result::ok, ms(50));
-    for (int i = 0; i < 3; ++i) hole.balancer().started(hole.now, 5);  // and nothing comes back
+    for (int i = 0; i < 200; ++i) hole.call(CallResult::ok, ms(50));
+    for (int i = 0; i < 3; ++i) hole.balancer().on_call_started(hole.now, 5);  // and nothing comes back
     hole.now += ms(1'000);
     CHECK(hole.balancer().cost(hole.now, 5) > 20.0 * hole.balancer().cost(hole.now, 4));
 }
 
 TEST_CASE("the near ones first, and the others when those are full; a subset and a key's server stay what they are") {
     Fleet f(10);
-    f.rules.place = "thies";
+    f.rules.local_data_centre = "thies";
     for (int i = 0; i < 7; ++i) {  // 1.5 for each of five
-        const No no = f.balancer().pick(f.now, 0, {}, f.random);
-        CHECK(f.members.at(no).spec.place == "thies");
-        f.balancer().started(f.now, no);
+        const HostId no = f.balancer().pick(f.now, 0, {}, f.random);
+        CHECK(f.members.at(no).spec.data_centre == "thies");
+        f.balancer().on_call_started(f.now, no);
     }
-    f.balancer().started(f.now, 0);
+    f.balancer().on_call_started(f.now, 0);
     std::set<std::string> places;
-    for (int i = 0; i < 50; ++i) places.insert(f.members.at(f.balancer().pick(f.now, 0, {}, f.random)).spec.place);
+    for (int i = 0; i < 50; ++i) places.insert(f.members.at(f.balancer().pick(f.now, 0, {}, f.random)).spec.data_centre);
     CHECK(places.size() == 2);
     std::vector<std::string> names;
     for (int i = 0; i < 200; ++i) names.push_back("tiles-" + std::to_string(i));
-    const auto before = subset("n3", names, 20);
+    const auto before = rendezvous_subset("n3", names, 20);
     CHECK(before.size() == 20);
-    CHECK(subset("n4", names, 20) != before);
+    CHECK(rendezvous_subset("n4", names, 20) != before);
     std::set<std::string> was;
     for (const auto i : before) was.insert(names[i]);
     names.erase(names.begin() + before[0]);
     int same = 0;
-    for (const auto i : subset("n3", names, 20)) same += was.count(names[i]) != 0 ? 1 : 0;
+    for (const auto i : rendezvous_subset("n3", names, 20)) same += was.count(names[i]) != 0 ? 1 : 0;
     CHECK(same == 19);
-    Maglev m, less;
+    MaglevTable m, less;
     m.build(names);
     std::vector<int> share(names.size());
     for (const auto i : m.table()) ++share[i];
@@ -200,52 +201,52 @@
     for (std::uint64_t key = 1; key <= 10'000; ++key) moved += names[m.find(key)] != fewer[less.find(key)] ? 1 : 0;
     CHECK(moved < 10'000 / 20);  // one server of 199 went
     Fleet keyed(10);
-    const No own = keyed.balancer().pick(keyed.now, 77, {}, keyed.random);
+    const HostId own = keyed.balancer().pick(keyed.now, 77, {}, keyed.random);
     CHECK(keyed.balancer().pick(keyed.now, 77, {}, keyed.random) == own);
-    for (int i = 0; i < 3; ++i) keyed.balancer().started(keyed.now, own);
+    for (int i = 0; i < 3; ++i) keyed.balancer().on_call_started(keyed.now, own);
     CHECK(keyed.balancer().pick(keyed.now, 77, {}, keyed.random) != own);  // over 1.25 times the mean
 }
 
 TEST_CASE("extra tries stay within their share, whatever fails, also over three tiers") {
     double load = 1.0;
     for (int tier = 0; tier < 3; ++tier) {
-        Budget b(0.1);
+        RetryBudget b(0.1);
         double calls = 0.0;
         const double firsts = load * 10'000;
         for (int i = 0; i < static_cast<int>(firsts); ++i) {  // everything fails
-            b.first_try();
-            for (calls += 1.0; b.take();) calls += 1.0;
+            b.on_first_attempt();
+            for (calls += 1.0; b.try_acquire();) calls += 1.0;
         }
         CHECK(calls / firsts <= 1.1 + 0.001);
         load = calls / 10'000;
     }
     CHECK(load < 1.34);
-    AttemptRules rules;
+    RetrySettings rules;
     Random random(3, 3);
     for (std::uint32_t tries = 1; tries < 9; ++tries) {
-        Time least = Time::max(), most{0};
+        Timestamp least = Timestamp::max(), most{0};
         for (int i = 0; i < 500; ++i) {
-            const Time t = retry_at(Time(0), tries, Span(0), rules, random);
+            const Timestamp t = next_retry_time(Timestamp(0), tries, Duration(0), rules, random);
             least = std::min(least, t), most = std::max(most, t);
         }
-        const Span bound = std::min(ms(25 * (1 << (tries - 1))), ms(1'000));
+        const Duration bound = std::min(ms(25 * (1 << (tries - 1))), ms(1'000));
         CHECK(most <= bound);
         CHECK(most > bound * 9 / 10);
         CHECK(least < bound / 10);
     }
-    CHECK(retry_at(Time(0), 1, ms(3'000), rules, random) == ms(3'000));
-    CHECK(try_deadline(Time(0), ms(1'000), 1, rules) == ms(500));
-    CHECK(try_deadline(Time(0), ms(1'000), 3, rules) == ms(1'000));
-    Hedge h(rules);
-    CHECK(h.after() == Span::max());
-    for (int i = 1; i <= 1'000; ++i) h.learn(ms(i % 100 + 1));
-    CHECK(h.after() > ms(85));
-    CHECK(h.after() < ms(101));
-    Breaker breaker;
-    for (int i = 0; i < 200; ++i) breaker.ended(false);
-    CHECK(breaker.open());
-    for (int i = 0; i < 50; ++i) breaker.ended(true);
-    CHECK_FALSE(breaker.open());
+    CHECK(next_retry_time(Timestamp(0), 1, ms(3'000), rules, random) == ms(3'000));
+    CHECK(attempt_deadline(Timestamp(0), ms(1'000), 1, rules) == ms(500));
+    CHECK(attempt_deadline(Timestamp(0), ms(1'000), 3, rules) == ms(1'000));
+    HedgePolicy h(rules);
+    CHECK(h.delay() == Duration::max());
+    for (int i = 1; i <= 1'000; ++i) h.record(ms(i % 100 + 1));
+    CHECK(h.delay() > ms(85));
+    CHECK(h.delay() < ms(101));
+    CircuitBreaker breaker;
+    for (int i = 0; i < 200; ++i) breaker.record(false);
+    CHECK(breaker.is_open());
+    for (int i = 0; i < 50; ++i) breaker.record(true);
+    CHECK_FALSE(breaker.is_open());
 }
 
 // ---- on sockets ----
@@ -255,13 +256,13 @@
     int status = 200;
     std::string more;
 };
-struct Host {  // an HTTP stand-in
+struct RecordingHost {  // an HTTP stand-in
     struct Call final : net::Stream::Owner {
-        Host& of;
+        RecordingHost& of;
         net::Stream* stream = nullptr;
         std::string got;
         int calls = 0;  // on this connection
-        explicit Call(Host& h) : of(h) {}
+        explicit Call(RecordingHost& h) : of(h) {}
         ~Call() override { hang_up(); }
         void hang_up() {
             if (stream != nullptr) std::exchange(stream, nullptr)->close();
@@ -300,9 +301,9 @@
     std::vector<std::unique_ptr<Call>> calls;
     std::unique_ptr<net::Listener> listener;
     int port = 0;
-    explicit Host(World& w) { listen(w); }
-    void listen(World& w) {
-        listener = std::make_unique<net::Listener>(w.loop.uv(), at(port), [this] {
+    explicit RecordingHost(TestLoop& w) { listen(w); }
+    void listen(TestLoop& w) {
+        listener = std::make_unique<net::Listener>(w.loop.uv(), loopback_address(port), [this] {
             std::erase_if(calls, [](const auto& c) { return c->stream == nullptr; });
             auto made = std::make_unique<Call>(*this);
             made->stream = net::Stream::accept(*listener, *made);
@@ -316,21 +317,21 @@
 };
 
 struct Town {
-    World w;
-    Folder folder;
-    std::vector<std::unique_ptr<Host>> hosts;
-    config::Operator o;
-    std::unique_ptr<upstream::Gateway> gateway;
-    std::unique_ptr<Peer> client;
+    TestLoop w;
+    TemporaryDirectory folder;
+    std::vector<std::unique_ptr<RecordingHost>> hosts;
+    config::OperatorConfig o;
+    std::unique_ptr<upstream::UpstreamGateway> gateway;
+    std::unique_ptr<StreamPeer> client;
     explicit Town(std::size_t n) {
-        for (std::size_t i = 0; i < n; ++i) hosts.push_back(std::make_unique<Host>(w));
-        o.scgi = o.http = "127.0.0.1:0";
-        o.inventory = folder.path + "/s.csv";
+        for (std::size_t i = 0; i < n; ++i) hosts.push_back(std::make_unique<RecordingHost>(w));
+        o.scgi_address = o.http_address = "127.0.0.1:0";
+        o.inventory_path = folder.path + "/s.csv";
         write(rows());
-        o.settings = settings();
-        o.settings.cores = 16;
-        o.routing.watch = Span(0);
-        o.routing.probes = false;
+        o.policy_settings = test_settings();
+        o.policy_settings.cores = 16;
+        o.routing.inventory_poll_interval = Duration(0);
+        o.routing.health_checks_enabled = false;
     }
     std::string row(std::size_t i) const {
         return "tiles-" + std::to_string(i) + ",127.0.0.1:" + std::to_string(hosts[i]->port) + ",http,maps,thies,1\n";
@@ -340,14 +341,14 @@
         for (std::size_t i = 0; i < hosts.size(); ++i) all += row(i);
         return all;
     }
-    void write(const std::string& text) { folder.write("s.csv", text); }
-    void start() { gateway = std::make_unique<upstream::Gateway>(w.loop, w.deadlines, w.loop, o, 7); }
+    void write(const std::string& text) { folder.write_file("s.csv", text); }
+    void start() { gateway = std::make_unique<upstream::UpstreamGateway>(w.loop, w.timers, w.loop, o, 7); }
     std::string ask(const std::string& kind, const std::string& body, const std::string& more = "") {
-        if (!client || client->ended) client = dial(w, gateway->http_port());
-        client->got.clear();
+        if (!client || client->is_closed) client = connect_peer(w, gateway->http_port());
+        client->received.clear();
         client->send("POST /v1/" + kind + " HTTP/1.1\r\n" + more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-        w.until([&] { return client->has("\r\n\r\n") || client->ended; });
-        return client->got.substr(9, 3);
+        w.run_until([&] { return client->has_received("\r\n\r\n") || client->is_closed; });
+        return client->received.substr(9, 3);
     }
     int runs() const {
         int all = 0;
@@ -357,39 +358,39 @@
     }
 };
 
-struct Always final : curlewreel::Controller {  // runs whatever comes: the program's own controller would spare a sick fleet
-    void handle(Time, const curlewreel::Event& event, std::vector<curlewreel::Action>& actions) override {
-        if (const auto* r = std::get_if<curlewreel::Request>(&event)) actions.push_back(curlewreel::Run{r->id});
+struct Always final : cressledge::policy::AdmissionController {  // runs whatever comes: the program's own controller would spare a sick fleet
+    void handle(Timestamp, const cressledge::policy::Event& event, std::vector<cressledge::policy::Action>& actions) override {
+        if (const auto* r = std::get_if<cressledge::policy::RequestArrived>(&event)) actions.push_back(cressledge::policy::Run{r->id});
     }
 };
-struct Desk final : core::Responder, core::Surroundings {
-    std::vector<core::Verdict> verdicts;
-    void answer(std::uint64_t, const core::Answer& a) override { verdicts.push_back(a.verdict); }
-    void idle_limit(Span) override {}
+struct Desk final : request::Responder, request::ConnectionSettingsSink {
+    std::vector<request::ResponseStatus> verdicts;
+    void respond(std::uint64_t, const request::Response& a) override { verdicts.push_back(a.status); }
+    void set_idle_timeout(Duration) override {}
 };
 
 TEST_CASE("10,000 orders under resets at every point of the exchange: none runs twice, none is called twice") {
-    World w;
-    std::vector<std::unique_ptr<Host>> hosts;
+    TestLoop w;
+    std::vector<std::unique_ptr<RecordingHost>> hosts;
     std::vector<config::Upstream> all;
     for (int i = 0; i < 3; ++i) {
-        hosts.push_back(std::make_unique<Host>(w));
+        hosts.push_back(std::make_unique<RecordingHost>(w));
         config::Upstream u;
         u.name = "tiles-" + std::to_string(i);
         u.address = "127.0.0.1:" + std::to_string(hosts.back()->port);
         u.protocol = "http";
         all.push_back(u);
     }
-    admission::Needs needs;
+    connection_admission::DescriptorDemand needs;
     needs.upstream = 100;
-    admission::Descriptors descriptors(admission::plan(1'000, 0, needs, 100));
-    core::Server server(settings(), std::make_unique<Always>(), w.loop, w.deadlines);
-    upstream::NoRecords records;
+    connection_admission::FileDescriptorBudget descriptors(connection_admission::plan_descriptors(1'000, 0, needs, 100));
+    request::RequestManager server(test_settings(), std::make_unique<Always>(), w.loop, w.timers);
+    upstream::NullRecordsClient records;
     Desk desk;
-    upstream::Upstream up(w.loop, w.deadlines, server, w.loop, descriptors, config::Routing{}, 7);
-    up.use(all);
+    upstream::UpstreamExecutor up(w.loop, w.timers, server, w.loop, descriptors, config::RoutingConfig{}, 7);
+    up.set_servers(all);
     server.attach(up, records, desk);
-    server.start(wall());
+    server.start(wall_clock_now());
     std::mt19937 random(9);
     static const Act acts[] = {{Act::answer, 200, ""},
                                {Act::reset_at_once, 0, ""},
@@ -404,16 +405,16 @@
         for (auto& h : hosts) h->next = act;
         if (i % 100 == 50) hosts[0]->listener->close();  // refused: the next is called
         if (i % 100 == 60) hosts[0]->listen(w);
-        core::Arrival a;
-        a.name = std::to_string(i);
-        a.kind = 2;
-        a.held_kb = 1.0;
-        a.accepted = wall();
+        request::IncomingRequest a;
+        a.external_id = std::to_string(i);
+        a.class_index = 2;
+        a.reserved_kb = 1.0;
+        a.accepted_at = wall_clock_now();
         a.body = std::to_string(i) + '.';
-        server.arrive(a, desk, 1);
-        w.until([&] { return desk.verdicts.size() == static_cast<std::size_t>(i) + 1; });
-        if (act.how == Act::answer) REQUIRE(desk.verdicts.back() == core::Verdict::served);
-        if (act.how != Act::answer) REQUIRE(desk.verdicts.back() == core::Verdict::failed);
+        server.submit(a, desk, 1);
+        w.run_until([&] { return desk.verdicts.size() == static_cast<std::size_t>(i) + 1; });
+        if (act.how == Act::answer) REQUIRE(desk.verdicts.back() == request::ResponseStatus::served);
+        if (act.how != Act::answer) REQUIRE(desk.verdicts.back() == request::ResponseStatus::failed);
     }
     std::map<std::string, int> ran;
     std::uint64_t connections = 0;
@@ -425,9 +426,9 @@
     CHECK(refused == 0);
     CHECK(ran.size() > 6'000);
     CHECK(connections == 10'000);  // one each, and never a second once one stood
-    CHECK(up.counts().calls >= 10'000);
-    CHECK(up.counts().retries == 0);
-    CHECK(up.counts().hedges == 0);
+    CHECK(up.counters().attempts >= 10'000);
+    CHECK(up.counters().retries == 0);
+    CHECK(up.counters().hedges == 0);
 }
 
 TEST_CASE("a safe call is tried again elsewhere within its budget, on kept connections, and a stale one costs nothing") {
@@ -436,10 +437,10 @@
     t.hosts[1]->next = {Act::reset_in_answer, 200, ""};
     t.hosts[2]->next = {Act::say_status, 500, ""};
     for (int i = 0; i < 40; ++i) t.ask("route-profile", std::to_string(i) + '.');
-    const auto& n = t.gateway->upstream().counts();
+    const auto& n = t.gateway->executor().counters();
     CHECK(n.retries > 0);
     CHECK(n.retries <= 40 * 0.1 + 5);
-    CHECK(n.calls == n.requests + n.retries);
+    CHECK(n.attempts == n.requests + n.retries);
     CHECK(t.hosts[0]->reused > 5);
     // The server closes what was kept: the next call finds it out, and is made anew on another connection.
     for (auto& h : t.hosts) {
@@ -450,22 +451,22 @@
     // Nothing left in the budget is told at once.
     for (auto& h : t.hosts) h->next = {Act::say_status, 500, ""};
     for (int i = 0; i < 60; ++i) CHECK(t.ask("trail-sheet", "f" + std::to_string(i) + '.') != "200");
-    CHECK(n.no_budget + n.retries > 0);
-    CHECK(n.calls <= n.requests * 11 / 10 + 6);
-    t.gateway->report();
-    CHECK(logged().find("on kept connections") != std::string::npos);
+    CHECK(n.retry_budget_exhausted + n.retries > 0);
+    CHECK(n.attempts <= n.requests * 11 / 10 + 6);
+    t.gateway->log_report();
+    CHECK(take_log().find("on kept connections") != std::string::npos);
 }
 
 TEST_CASE("a server's Retry-After keeps calls away from it, and a black hole costs part of a request's time") {
     Town t(2);
-    t.o.settings.classes[1].deadline = Span(800'000);  // a route-profile, and its try gets half of it
-    t.o.settings.classes[1].target = Span(700'000);
+    t.o.policy_settings.classes[1].answer_deadline = Duration(800'000);  // a route-profile, and its try gets half of it
+    t.o.policy_settings.classes[1].latency_objective = Duration(700'000);
     t.start();
     t.hosts[0]->next = {Act::say_status, 503, "Retry-After: 60\r\n"};
     for (int i = 0; i < 30; ++i) CHECK(t.ask("route-profile", std::to_string(i) + '.') == "200");
     CHECK(t.hosts[0]->ran.size() <= 1);
     Town hole(2);
-    hole.o.settings.classes[1] = t.o.settings.classes[1];
+    hole.o.policy_settings.classes[1] = t.o.policy_settings.classes[1];
     hole.start();
     hole.hosts[0]->next = {Act::nothing, 0, ""};
     for (int i = 0; i < 6; ++i) CHECK(hole.ask("route-profile", std::to_string(i) + '.') == "200");
@@ -473,7 +474,7 @@
 
 TEST_CASE("calls go where servers say they are idle, on kept connections; nonsense and fast failures draw none") {
     Town t(4);
-    t.o.routing.policy = Policy::probe_pool;
+    t.o.routing.policy = BalancingPolicy::probe_pool;
     for (auto& h : t.hosts) h->load = "TEXT named_metrics.in_flight=6, named_metrics.capacity=8";
     t.hosts[2]->load = "TEXT named_metrics.in_flight=0, named_metrics.capacity=8";
     t.start();
@@ -485,15 +486,15 @@
     };
     served(10);  // until some have been heard
     CHECK(served(60) >= 40);
-    CHECK(t.gateway->upstream().counts().load_probes >= 100);
-    CHECK(t.gateway->upstream().counts().loads_heard >= 100);
+    CHECK(t.gateway->executor().counters().load_probes >= 100);
+    CHECK(t.gateway->executor().counters().load_reports >= 100);
     int probes = 0, connections = 0;
     for (const auto& h : t.hosts) probes += h->probes, connections += h->connections;
     CHECK(probes >= 100);
     CHECK(connections <= 40);  // probes and calls share those that are kept
     t.hosts[2]->load = "TEXT named_metrics.in_flight=-5, named_metrics.capacity=0";
     served(10);
-    CHECK(t.gateway->upstream().counts().loads_bad > 0);
+    CHECK(t.gateway->executor().counters().malformed_load_reports > 0);
     CHECK(served(60) <= 30);
     t.hosts[2]->load = "TEXT named_metrics.in_flight=0, named_metrics.capacity=8";
     t.hosts[2]->next = {Act::say_status, 500, ""};
@@ -503,9 +504,9 @@
 
 TEST_CASE("a call whose probes go out first goes where it is least loaded, and is not held up by one that hangs") {
     Town t(5);
-    t.o.routing.policy = Policy::probe_first;
-    t.o.routing.probing.per_call = 4.0;
-    t.o.routing.probe_patience = ms(200);
+    t.o.routing.policy = BalancingPolicy::probe_first;
+    t.o.routing.probing.probes_per_call = 4.0;
+    t.o.routing.probe_timeout = ms(200);
     for (auto& h : t.hosts) h->load = "TEXT named_metrics.in_flight=6, named_metrics.capacity=8";
     t.hosts[2]->load = "TEXT named_metrics.in_flight=1, named_metrics.capacity=8";
     t.hosts[4]->hangs = true;
@@ -524,46 +525,46 @@
 TEST_CASE("a reload takes other rules of routing whole or not at all, with calls under way") {
     Town t(4);
     const auto file = [&](const std::string& routing) {
-        return t.folder.write("o.yaml", "listen: {http: \"127.0.0.1:0\"}\ninventory: s.csv\ncores: 16\nclasses:\n"
+        return t.folder.write_file("o.yaml", "listen: {http: \"127.0.0.1:0\"}\ninventory: s.csv\ncores: 16\nclasses:\n"
                                         "  - {name: trail-sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\nrouting: {" +
                                             routing + "}\n");
     };
-    t.o = config::load_operator(file("probes: false, watch_ms: 0"));
+    t.o = config::load_operator_config(file("probes: false, watch_ms: 0"));
     for (auto& h : t.hosts) h->load = "TEXT named_metrics.in_flight=6, named_metrics.capacity=8";
     t.hosts[1]->load = "TEXT named_metrics.in_flight=0, named_metrics.capacity=8";
     t.start();
     t.hosts[2]->hangs = true;
     for (int i = 0; i < 10; ++i) CHECK(t.ask("trail-sheet", "a" + std::to_string(i) + '.') == "200");
-    CHECK(t.gateway->upstream().counts().load_probes == 0);
-    const auto open = dial(t.w, t.gateway->http_port());
+    CHECK(t.gateway->executor().counters().load_probes == 0);
+    const auto open = connect_peer(t.w, t.gateway->http_port());
     for (auto& h : t.hosts) h->next = {Act::nothing, 200, ""};
     open->send("POST /v1/trail-sheet HTTP/1.1\r\nContent-Length: 3\r\n\r\nold");
     open->send(".");
-    t.w.until([&] { return t.gateway->server().unanswered() == 1; });
+    t.w.run_until([&] { return t.gateway->request_manager().unanswered_count() == 1; });
     for (auto& h : t.hosts) h->next = {};
-    logged();
+    take_log();
     file("policy: probe-first, probing: {per_call: 0}, probes: false, watch_ms: 0, subset: 2");
     t.gateway->reload();
-    CHECK(logged().find("o.yaml:6: subset: needs a node") != std::string::npos);
-    CHECK(t.gateway->upstream().servers() == 4);
+    CHECK(take_log().find("o.yaml:6: subset: needs a node") != std::string::npos);
+    CHECK(t.gateway->executor().candidate_count() == 4);
     file("policy: probe-first, probing: {per_call: 4, patience_ms: 200}, probes: false, watch_ms: 0");
     t.gateway->reload();
-    CHECK(logged().find("stays in force") == std::string::npos);
+    CHECK(take_log().find("stays in force") == std::string::npos);
     const std::size_t before = t.hosts[1]->ran.size();
     for (int i = 0; i < 20; ++i) CHECK(t.ask("trail-sheet", "b" + std::to_string(i) + '.') == "200");
     CHECK(t.hosts[1]->ran.size() - before >= 15);  // where it is idle
-    CHECK(t.gateway->server().unanswered() == 1);
+    CHECK(t.gateway->request_manager().unanswered_count() == 1);
     file("policy: round-robin, probes: false, watch_ms: 0, subset: 2, node: n1");
     t.gateway->reload();
-    CHECK(t.gateway->upstream().servers() == 2);
-    const auto probes = t.gateway->upstream().counts().load_probes;
+    CHECK(t.gateway->executor().candidate_count() == 2);
+    const auto probes = t.gateway->executor().counters().load_probes;
     for (int i = 0; i < 10; ++i) CHECK(t.ask("trail-sheet", "c" + std::to_string(i) + '.') == "200");
-    CHECK(t.gateway->upstream().counts().load_probes == probes);
+    CHECK(t.gateway->executor().counters().load_probes == probes);
 }
 
 TEST_CASE("requests of one key go to one server where affinity is on") {
     Town t(4);
-    t.o.routing.affinity = true;
+    t.o.routing.key_affinity_enabled = true;
     t.start();
     for (int key = 0; key < 8; ++key) {
         std::size_t before[4], at = 0;
@@ -577,13 +578,13 @@
 
 TEST_CASE("a hedge goes out for a safe call only, within the budget") {
     Town t(2);
-    t.o.routing.hedging = true;
+    t.o.routing.hedging_enabled = true;
     t.start();
     for (int i = 0; i < 80; ++i) CHECK(t.ask("route-profile", std::to_string(i) + '.') == "200");
-    Host& busy = *t.hosts[t.hosts[0]->ran.size() > t.hosts[1]->ran.size() ? 0 : 1];
+    RecordingHost& busy = *t.hosts[t.hosts[0]->ran.size() > t.hosts[1]->ran.size() ? 0 : 1];
     busy.next = {Act::nothing, 0, ""};
     for (int i = 0; i < 6; ++i) CHECK(t.ask("route-profile", "h" + std::to_string(i) + '.') == "200");
-    const auto hedges = t.gateway->upstream().counts().hedges;
+    const auto hedges = t.gateway->executor().counters().hedges;
     CHECK(hedges > 0);
     CHECK(hedges <= 13);
     busy.next = {};
@@ -595,11 +596,11 @@
     Town t(6);
     t.start();
     std::mt19937 random(4);
-    std::vector<std::unique_ptr<Peer>> clients;
+    std::vector<std::unique_ptr<StreamPeer>> clients;
     int asked = 0, told = 0, refused_files = 0;
     for (int i = 0; i < 100; ++i) {
         for (int k = 0; k < 4; ++k, ++asked) {  // on their way while the file changes
-            clients.push_back(dial(t.w, t.gateway->http_port()));
+            clients.push_back(connect_peer(t.w, t.gateway->http_port()));
             const std::string body = std::to_string(asked) + '.';
             clients.back()->send("POST /v1/route-profile HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
         }
@@ -618,9 +619,9 @@
             default: break;
         }
         t.write(text);
-        logged();
+        take_log();
         t.gateway->reload();
-        const std::string log = logged();
+        const std::string log = take_log();
         for (const std::string& w : wrong) {
             INFO(i << ' ' << w << "\n" << log);
             CHECK(log.find(w) != std::string::npos);
@@ -628,26 +629,26 @@
         }
         refused_files += log.find("the old one stays in force") != std::string::npos ? 1 : 0;
         CHECK(wrong.empty() == (log.find("servers in force, version") != std::string::npos));
-        t.w.loop.turn(false);
+        t.w.loop.run_once(false);
     }
     CHECK(refused_files == 76);
-    t.w.until([&] { return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->has("\r\n\r\nok"); }); });
-    CHECK(t.gateway->server().counts().served == static_cast<std::uint64_t>(asked));
+    t.w.run_until([&] { return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->has_received("\r\n\r\nok"); }); });
+    CHECK(t.gateway->request_manager().counts().served == static_cast<std::uint64_t>(asked));
     CHECK(t.runs() == asked);
 }
 
 TEST_CASE("a file that is replaced is picked up without a signal") {
     Town t(2);
-    t.o.routing.watch = ms(20);
+    t.o.routing.inventory_poll_interval = ms(20);
     t.write("name,address,protocol,group,data_centre,weight\n" + t.row(0));
     t.start();
-    t.folder.write("next", t.rows());
+    t.folder.write_file("next", t.rows());
     bool replaced = false;
-    t.w.until([&] {  // once it has been looked at, whenever that is
-        if (!replaced) replaced = std::rename((t.folder.path + "/next").c_str(), t.o.inventory.c_str()) == 0;
-        return t.gateway->upstream().members().listed().size() == 2;
+    t.w.run_until([&] {  // once it has been looked at, whenever that is
+        if (!replaced) replaced = std::rename((t.folder.path + "/next").c_str(), t.o.inventory_path.c_str()) == 0;
+        return t.gateway->executor().hosts().listed_hosts().size() == 2;
     });
-    CHECK(logged().find("2 servers in force, version 2: +1 (tiles-1)") != std::string::npos);
+    CHECK(take_log().find("2 servers in force, version 2: +1 (tiles-1)") != std::string::npos);
 }
 
 }  // namespace
--- a/tests/cressledge/store_test.cpp
+++ b/tests/cressledge/store_test.cpp
@@ -3,10 +3,10 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#include "memory_files.hpp"
-#include "store/posix_files.hpp"
+#include "in_memory_file_system.hpp"
+#include "store/posix_file_system.hpp"
 #include "store/store.hpp"
-#include "store/writer.hpp"
+#include "store/background_writer.hpp"
 #include "support.hpp"
 
 // The entry of a coverage-guided fuzzer, as libFuzzer calls it: reads a file as snapshot and as log. The corpus here is
@@ -17,13 +17,13 @@
     std::string why;
     cressledge::store::decode_snapshot(bytes, s, why);
     s = {};
-    cressledge::store::read_log(bytes, s);
+    cressledge::store::replay_log(bytes, s);
     return 0;
 }
 
 namespace {
 
-using namespace story;
+using namespace cressledge::testing;
 using namespace cressledge::store;
 
 // The state after so many commits: every entry tells which, so that a mixture of two would show.
@@ -49,7 +49,7 @@
 struct Run {
     int done = 0, tried = 0;
 };
-Run run(Files& files, int from, int most, Limits limits = {600, 2}) {
+Run run(FileSystem& files, int from, int most, Limits limits = {600, 2}) {
     Run r{from, from};
     Store s(files, limits);
     if (s.open() != 0) return r;
@@ -61,32 +61,32 @@
 }
 
 TEST_CASE("what was committed is there at the next start, over generations, and old ones are removed") {
-    MemoryFiles f;
-    f.short_writes = true;
+    InMemoryFileSystem f;
+    f.writes_are_short = true;
     CHECK(run(f, 0, 40).done == 40);
     Store s(f);
     REQUIRE(s.open() == 0);
     CHECK(which(s.entries()) == 40);
-    CHECK(s.refusals().empty());
+    CHECK(s.skipped_files().empty());
     CHECK(s.generation() > 3);
     CHECK(f.names().size() <= 5);  // two generations with their logs, and one being made
-    CHECK(s.commit({{"large", std::string(most_raw + 1, 'x')}}) == EFBIG);
+    CHECK(s.commit({{"large", std::string(max_uncompressed_bytes + 1, 'x')}}) == EFBIG);
     CHECK(s.reset() == 0);
     CHECK(s.entries().empty());
 }
 
 TEST_CASE("killed between any two system calls, with or without the power: the last whole state, never another") {
-    MemoryFiles whole;
+    InMemoryFileSystem whole;
     run(whole, 0, 12);
-    const int calls = whole.calls;
+    const int calls = whole.call_count;
     REQUIRE(calls > 40);
     for (const bool lose : {false, true})
         for (int kill = 1; kill <= calls; ++kill)
             for (std::uint32_t seed = 1; seed <= (lose ? 8U : 1U); ++seed) {
                 INFO("kill " << kill << " seed " << seed << " power lost " << lose);
                 std::mt19937 random(seed * 1000 + static_cast<std::uint32_t>(kill));
-                MemoryFiles f;
-                f.kill_at = kill;
+                InMemoryFileSystem f;
+                f.kill_at_call = kill;
                 Run r;
                 int done = 0, tried = 0;
                 try {
@@ -96,7 +96,7 @@
                             tried = n;
                             if (s.commit(to(s.entries(), state_of(n))) == 0) done = n;
                         }
-                } catch (const MemoryFiles::Killed&) {}
+                } catch (const InMemoryFileSystem::Killed&) {}
                 f.crash(random, lose);
                 Store after(f);
                 REQUIRE(after.open() == 0);
@@ -112,8 +112,8 @@
         for (int fail = 2; fail <= 120; ++fail) {
             INFO("call " << fail << " error " << error);
             std::mt19937 random(static_cast<std::uint32_t>(fail));
-            MemoryFiles f;
-            f.fail_at = fail;
+            InMemoryFileSystem f;
+            f.fail_at_call = fail;
             f.error = error;
             Run r = run(f, 0, 12);
             if (r.tried == 0) r = run(f, 0, 12);  // it could not be opened, and is on the next start
@@ -127,7 +127,7 @@
 }
 
 TEST_CASE("each cut of a file and 10,000 flipped bits: refused, or an older whole state") {
-    MemoryFiles f;
+    InMemoryFileSystem f;
     for (const int n : {3, 6, 9}) run(f, n - 3, n, {1'200, 3});  // each start makes a generation
     std::map<std::string, std::string> whole;
     for (const std::string& n : f.names()) whole[n] = f.file(n);
@@ -135,7 +135,7 @@
     const auto check = [&](const std::string& touched) {
         INFO(touched);
         Store s(f);
-        REQUIRE(s.look() == 0);
+        REQUIRE(s.open_read_only() == 0);
         const int found = which(s.entries());
         REQUIRE(found >= 0);
         ++(found == 9 ? same : older);
@@ -163,9 +163,9 @@
     Snapshot s;
     s.generation = 3;
     s.entries = state_of(7);
-    LogEnd end;
-    std::vector<std::string> corpus{encode_snapshot(s), encode_log_head(3, s.sum, end)};
-    corpus.push_back(corpus[1] + encode_record(to({}, state_of(8)), end) + encode_record({{"k1", std::nullopt}}, end));
+    LogPosition end;
+    std::vector<std::string> corpus{encode_snapshot(s), encode_log_header(3, s.checksum, end)};
+    corpus.push_back(corpus[1] + encode_log_record(to({}, state_of(8)), end) + encode_log_record({{"k1", std::nullopt}}, end));
     std::mt19937 random(5);
     for (int i = 0; i < 20'000; ++i) {
         std::string m = corpus[random() % corpus.size()];
@@ -190,7 +190,7 @@
 }
 
 TEST_CASE("a process killed at 200 seeded moments: each start finds its last whole state") {
-    Folder folder;
+    TemporaryDirectory folder;
     const std::string path = folder.path + "/state";
     int last = 0;
     for (std::uint32_t seed = 1; seed <= 200; ++seed) {
@@ -200,7 +200,7 @@
         const pid_t child = ::fork();
         REQUIRE(child >= 0);
         if (child == 0) {  // commits, and says each that is durable
-            PosixFiles files(path);
+            PosixFileSystem files(path);
             Store s(files, {2'000, 2});
             if (s.open() != 0) _exit(1);
             for (int n = last + 1;; ++n) {
@@ -219,16 +219,16 @@
         int status = 0;
         ::waitpid(child, &status, 0);
         REQUIRE(WIFSIGNALED(status));
-        PosixFiles files(path);
+        PosixFileSystem files(path);
         Store s(files);
-        REQUIRE(s.look() == 0);
+        REQUIRE(s.open_read_only() == 0);
         INFO("seed " << seed);
         last = which(s.entries());
         REQUIRE((last == done || last == done + 1));
     }
     CHECK(last > 200);
     std::vector<std::string> names;
-    PosixFiles files(path);
+    PosixFileSystem files(path);
     files.list(names);
     for (const std::string& n : names)
         if (n.front() != '.') folder.files.push_back(path + '/' + n);
@@ -237,21 +237,21 @@
 }
 
 TEST_CASE("one process writes; a writer on another thread keeps the later of two values, and is through at the end") {
-    World w;
-    Folder folder;
-    PosixFiles files(folder.path), second(folder.path);
+    TestLoop w;
+    TemporaryDirectory folder;
+    PosixFileSystem files(folder.path), second(folder.path);
     Store s(files), other(second);
     REQUIRE(s.open() == 0);
     CHECK(other.open() == EWOULDBLOCK);
     int told = 0;
     {
-        Writer writer(w.loop.uv(), s, [&](int bad) { told += bad == 0 ? 1 : 100; });
+        BackgroundWriter writer(w.loop.uv(), s, [&](int bad) { told += bad == 0 ? 1 : 100; });
         writer.commit({{"a", "1"}});
         writer.commit({{"a", "2"}, {"b", "1"}});
         writer.commit({{"a", "3"}});
-        w.until([&] { return told == 2; });
+        w.run_until([&] { return told == 2; });
         writer.commit({{"c", "1"}});
-        writer.finish();
+        writer.flush();
     }
     CHECK(s.entries() == Entries{{"a", "3"}, {"b", "1"}, {"c", "1"}});
     CHECK(told == 3);
--- a/tests/cressledge/faults.cpp
+++ b/tests/cressledge/system_call_faults.cpp
@@ -1,4 +1,4 @@
-#include "faults.hpp"
+#include "system_call_faults.hpp"
 
 #include <dlfcn.h>
 #include <sys/socket.h>
@@ -9,9 +9,9 @@
 
 namespace {
 
-story::Faults* in_force = nullptr;
+cressledge::testing::Faults* in_force = nullptr;
 
-bool strikes(story::Call call) { return in_force != nullptr && in_force->strikes(call); }
+bool strikes(cressledge::testing::Call call) { return in_force != nullptr && in_force->strikes(call); }
 
 template <class F>
 F next(const char* name) {
@@ -25,23 +25,23 @@
 
 int accept4(int fd, sockaddr* address, socklen_t* length, int flags) {
     static const auto real = next<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-    return strikes(story::Call::accept) ? -1 : real(fd, address, length, flags);
+    return strikes(cressledge::testing::Call::accept) ? -1 : real(fd, address, length, flags);
 }
 int socket(int domain, int type, int protocol) {
     static const auto real = next<int (*)(int, int, int)>("socket");
-    return strikes(story::Call::socket) ? -1 : real(domain, type, protocol);
+    return strikes(cressledge::testing::Call::socket) ? -1 : real(domain, type, protocol);
 }
 FILE* fopen64(const char* path, const char* mode) {
     static const auto real = next<FILE* (*)(const char*, const char*)>("fopen64");
-    return strikes(story::Call::open) ? nullptr : real(path, mode);
+    return strikes(cressledge::testing::Call::open) ? nullptr : real(path, mode);
 }
 FILE* fopen(const char* path, const char* mode) {
     static const auto real = next<FILE* (*)(const char*, const char*)>("fopen");
-    return strikes(story::Call::open) ? nullptr : real(path, mode);
+    return strikes(cressledge::testing::Call::open) ? nullptr : real(path, mode);
 }
 }
 
-namespace story {
+namespace cressledge::testing {
 
 Faults::Faults(std::uint32_t seed) : random_(seed) {
     if (in_force != nullptr) throw std::logic_error("faults are in force already");
@@ -64,4 +64,4 @@
     return true;
 }
 
-}  // namespace story
+}  // namespace cressledge::testing
--- a/tests/cressledge/faults.hpp
+++ b/tests/cressledge/system_call_faults.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <random>
 
-namespace story {
+namespace cressledge::testing {
 
 enum class Call { accept, socket, open };
 
@@ -30,4 +30,4 @@
     std::mt19937 random_;
 };
 
-}  // namespace story
+}  // namespace cressledge::testing
--- /dev/null
+++ b/tests/policy/simulator_adapter_test.cpp
@@ -0,0 +1,141 @@
+// The wire: short hand-written batches in, actions out.
+#include "simulator_adapter/simulator_adapter.hpp"
+
+#include <gtest/gtest.h>
+
+namespace {
+
+using cressledge::simulator_adapter::SimulatorAdapter;
+using cressledge::simulator_adapter::MalformedBatch;
+
+// Settings with a dependency, all advice and a stop; `extra` goes into the domain.
+std::string born_message(const std::string& who, const std::string& extra = "") {
+    return R"({"born":{"who":")" + who +
+           R"(","salt":7,"info":{"accounts":[{"name":"t","share":1,"allowance-per-s":50}],)"
+           R"("classes":[{"name":"read","effect":"free","importance":1,"target":1000,"deadline":3000},)"
+           R"({"name":"buy","effect":"guarded","importance":5,"target":1000,"deadline":3000,"repeat-window":9000}],)"
+           R"("contract":{"fall-multiple":6,"fall":1500,"drain-grace":2000},"new-part":{"x":[1,2]},)"
+           R"("domain":{"cores":2,"memory-kb":90000,"blowup":4,"kb-per-key":1,"advert":"floor","halt":"discard",)"
+           R"("depends-on":"one_for_all","calls-out":5,"class-calls":[true,true],"class-skip-worth":[0.5,0])" +
+           extra + R"(},"policy-limits":{"retry-after":true,"max-retry-after":1000},"replicas-of-me":4}}})";
+}
+std::string batch(double time, const std::string& messages) {
+    return R"({"time":)" + std::to_string(time) + R"(,"msgs":[)" + messages + "]}";
+}
+std::string inbound(const std::string& who, int id, const std::string& type, const std::string& more = "") {
+    return R"({"inbound":{"who":")" + who + R"(","txn":)" + std::to_string(id) + R"(,"type":")" + type +
+           R"(","by":3,"lay":1,"held-kb":10)" + more + "}}";
+}
+bool contains(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+
+TEST(Wire, EmptyBatchGetsEmptyReply) {
+    SimulatorAdapter a;
+    EXPECT_EQ(a.handle_batch(R"({"time":8412.25,"msgs":[]})"), R"({"actions":[]})");
+}
+
+TEST(Wire, BornSetsHealthAndTimer) {
+    SimulatorAdapter a;
+    const std::string r = a.handle_batch(batch(10, born_message("backend-1")));
+    EXPECT_TRUE(contains(r, R"("health":{"who":"backend-1","active":true,"cheap":true})")) << r;
+    EXPECT_TRUE(contains(r, R"("sleep":{"who":"backend-1","offset":)")) << r;
+}
+
+TEST(Wire, IdleLimitIsSentWhereTheSettingAndTheGaugesAreThere) {
+    SimulatorAdapter a;
+    a.handle_batch(batch(10, born_message("b", R"(,"idle":30000.0,"clients-total":900)")));
+    std::string all;
+    for (int i = 1; i <= 40; ++i)
+        all += a.handle_batch(batch(10 + 125 * i, R"({"wake":{"who":"b","label":"1","usage":{"cpu_busy":0.2,)"
+                                           R"("runnable":0,"mem_used":0.1,"sockets":90}}})"));
+    EXPECT_TRUE(contains(all, R"("idle-limit":{"who":"b","span":)")) << all;
+}
+
+TEST(Wire, NullsAbsentFieldsAndUnknownFieldsAreSkipped) {
+    SimulatorAdapter a;
+    a.handle_batch(batch(10, born_message("b", R"(,"brand-new":true,"fresh":null)")));
+    const std::string r = a.handle_batch(batch(
+        20, inbound("b", 5, "read", R"(,"account":null,"repeats":null,"client-deadline":null,"novel":[1])")));
+    EXPECT_TRUE(contains(r, R"({"take":{"who":"b","txn":5}})")) << r;
+}
+
+TEST(Wire, EveryEventIsUnderstood) {
+    SimulatorAdapter a;
+    a.handle_batch(batch(10, born_message("b")));
+    a.handle_batch(batch(20, inbound("b", 1, "buy") + "," + inbound("b", 2, "read")));
+    std::string r = a.handle_batch(batch(30, R"({"needs-dep":{"who":"b","txn":1}})"));
+    EXPECT_TRUE(contains(r, R"("invoke":{"who":"b","txn":1,"patience":)")) << r;
+    r = a.handle_batch(batch(40, R"({"downstream":{"who":"b","txn":1,"code":"dropped","wait-time":5}})"));
+    EXPECT_TRUE(contains(r, R"({"respond-error":{"who":"b","txn":1}})"))
+        << r;  // may have run: neither again nor skipped
+    r = a.handle_batch(batch(50, R"({"expired":{"who":"b","txn":2}})"));
+    EXPECT_TRUE(contains(r, R"({"take-off":{"who":"b","txn":2}})")) << r;
+    r = a.handle_batch(batch(60, R"({"finished":{"who":"b","txn":2,"wait-time":40,"code":"revoked"}})"));
+    EXPECT_EQ(r, R"({"actions":[]})");
+    r = a.handle_batch(batch(70, inbound("b", 3, "buy", R"(,"repeats":1)")));
+    EXPECT_TRUE(contains(r, R"({"replay":{"who":"b","txn":3}})")) << r;
+    r = a.handle_batch(batch(80, R"({"terminate-soon":{"who":"b","client-deadline":5000}})"));
+    EXPECT_TRUE(contains(r, R"("health":{"who":"b","active":false,"cheap":true})")) << r;
+    EXPECT_TRUE(contains(r, R"("hint-out":{"who":"b","x":1.0})")) << r;
+    r = a.handle_batch(batch(90, R"({"wake":{"who":"b","label":"1","usage":{"cpu_busy":0.4,"odd_gauge":7}}})"));
+    EXPECT_TRUE(contains(r, R"("sleep":)")) << r;
+    EXPECT_EQ(a.handle_batch(batch(99, R"({"detach":{"who":"b"}})")), R"({"actions":[]})");
+    EXPECT_EQ(a.handle_batch(batch(99.5, R"({"finished":{"who":"b","txn":1,"code":"revoked"}})")),
+              R"({"actions":[]})");
+}
+
+TEST(Wire, SkipIsWrittenWhereItEarns) {
+    SimulatorAdapter a;
+    a.handle_batch(batch(10, born_message("b")));
+    a.handle_batch(batch(20, inbound("b", 1, "read")));
+    a.handle_batch(batch(30, R"({"needs-dep":{"who":"b","txn":1}})"));
+    a.handle_batch(batch(1100, R"({"wake":{"who":"b","label":"2","usage":{}}})"));
+    SimulatorAdapter c;
+    c.handle_batch(batch(10, born_message("b")));
+    c.handle_batch(batch(20, inbound("b", 1, "read")));
+    const std::string r = c.handle_batch(batch(900, R"({"needs-dep":{"who":"b","txn":1}})"));
+    EXPECT_TRUE(contains(r, R"({"fall-back":{"who":"b","txn":1}})")) << r;
+}
+
+TEST(Wire, KeyedRequestsAreKept) {
+    SimulatorAdapter a;
+    a.handle_batch(batch(10, born_message("b")));
+    const std::string r = a.handle_batch(batch(20, inbound("b", 1, "buy")));
+    EXPECT_TRUE(contains(r, R"("store-key":{"who":"b","txn":1,"span":)")) << r;
+}
+
+TEST(Wire, UnknownClassIsTurnedAway) {
+    SimulatorAdapter a;
+    a.handle_batch(batch(10, born_message("b")));
+    const std::string r = a.handle_batch(batch(20, inbound("b", 1, "never-heard-of")));
+    EXPECT_TRUE(contains(r, R"("turn-away":{"who":"b","txn":1,"retry-in":0.0,"dont-retry":false})")) << r;
+}
+
+TEST(Wire, InstancesShareNothing) {
+    SimulatorAdapter together, alone;
+    together.handle_batch(batch(10, born_message("a") + "," + born_message("b")));
+    alone.handle_batch(batch(10, born_message("b")));
+    together.handle_batch(batch(20, inbound("a", 1, "read") + "," + inbound("a", 2, "read")));
+    EXPECT_EQ(together.handle_batch(batch(30, inbound("b", 3, "read"))),
+              alone.handle_batch(batch(30, inbound("b", 3, "read"))));
+}
+
+TEST(Wire, UnknownEventIsSkipped) {
+    SimulatorAdapter a;
+    a.handle_batch(batch(10, born_message("b")));
+    EXPECT_EQ(a.handle_batch(batch(20, R"({"novelty":{"who":"b","txn":1}})")), R"({"actions":[]})");
+}
+
+TEST(Wire, MalformedLinesThrow) {
+    SimulatorAdapter a;
+    EXPECT_THROW(a.handle_batch("not json"), MalformedBatch);
+    EXPECT_THROW(a.handle_batch("[]"), MalformedBatch);
+    EXPECT_THROW(a.handle_batch(R"({"time":1})"), MalformedBatch);
+    EXPECT_THROW(a.handle_batch(R"({"msgs":[]})"), MalformedBatch);
+    EXPECT_THROW(a.handle_batch(R"({"time":1,"msgs":[{"born":{"who":"b"}}]})"), MalformedBatch);
+    EXPECT_THROW(a.handle_batch(R"({"time":1,"msgs":[{"born":{"who":"b","info":{"domain":{"cores":2}}}}]})"),
+                 MalformedBatch);
+    a.handle_batch(batch(10, born_message("b")));
+    EXPECT_THROW(a.handle_batch(batch(20, R"({"inbound":{"who":"b","type":"read"}})")), MalformedBatch);
+}
+
+}  // namespace
--- a/src/emulator/fleet.cpp
+++ b/tools/emulator/fleet.cpp
@@ -2,25 +2,25 @@
 
 namespace cressledge::emulator {
 
-Fleet::Fleet(std::size_t most, const fleet::Rules& rules, const Network& network, std::uint64_t seed)
+Fleet::Fleet(std::size_t most, const membership::MembershipSettings& rules, const Network& network, std::uint64_t seed)
     : most_(most), rules_(rules), network_(network), random_(seed) {
     nodes_.reserve(most);
 }
 
-Span Fleet::delay() {
+Duration Fleet::delay() {
     const auto width = static_cast<double>((network_.most - network_.least).count());
-    return network_.least + Span(static_cast<std::int64_t>(random_() * 0x1p-32 * width));
+    return network_.least + Duration(static_cast<std::int64_t>(random_() * 0x1p-32 * width));
 }
 
 void Fleet::boot(std::size_t no, const std::vector<std::size_t>& seeds) {
     Node& n = nodes_[no];
-    std::vector<fleet::Place> places;
+    std::vector<membership::Endpoint> places;
     for (const std::size_t s : seeds) places.push_back(place(s));
     ++n.life;
     n.leaving = false;
-    n.scheduled = Time::max();
-    const fleet::Self self{n.id, place(no), static_cast<std::uint64_t>(now_.count())};
-    n.view = std::make_unique<fleet::View>(names_, true, rules_, self, std::move(places), random_(), now_);
+    n.scheduled = Timestamp::max();
+    const membership::LocalMember self{n.id, place(no), static_cast<std::uint64_t>(now_.count())};
+    n.view = std::make_unique<membership::MembershipTable>(names_, true, rules_, self, std::move(places), random_(), now_);
     schedule(no);
 }
 
@@ -36,17 +36,17 @@
 void Fleet::start_agreed(std::size_t n) {
     const std::size_t first = nodes_.size();
     for (std::size_t i = 0; i < n; ++i) start({});
-    fleet::Message all;
-    all.kind = fleet::Kind::exchange;
+    membership::Message all;
+    all.type = membership::MessageType::exchange;
     for (std::size_t i = 0; i < n; ++i) {
-        const fleet::Self& s = nodes_[first + i].view->self();
-        all.updates.push_back({s.id, s.place, s.birth, 0, fleet::State::alive, {}});
+        const membership::LocalMember& s = nodes_[first + i].view->local_member();
+        all.updates.push_back({s.id, s.endpoint, s.start_time_us, 0, membership::MemberState::alive, {}});
     }
     all.sender = all.updates.front();
-    fleet::View::Out out;
+    membership::MembershipTable::Effects out;
     for (std::size_t i = 0; i < n; ++i) {
-        nodes_[first + i].view->merge(now_, all, out);
-        nodes_[first + i].view->settle();
+        nodes_[first + i].view->merge_full_state(now_, all, out);
+        nodes_[first + i].view->assume_converged();
         schedule(first + i);
     }
 }
@@ -57,41 +57,41 @@
     schedule(no);
 }
 
-void Fleet::pause(std::size_t no, Time until) { nodes_[no].paused = until; }
+void Fleet::pause(std::size_t no, Timestamp until) { nodes_[no].paused = until; }
 
-void Fleet::put(Time when, std::size_t from, std::size_t to, std::shared_ptr<const fleet::Message> m) {
+void Fleet::put(Timestamp when, std::size_t from, std::size_t to, std::shared_ptr<const membership::Message> m) {
     events_.push({when, ++order_, to, from, 0, std::move(m)});
 }
 
 void Fleet::schedule(std::size_t no) {
     Node& n = nodes_[no];
-    const Time at = std::max(now_, n.view->next());
+    const Timestamp at = std::max(now_, n.view->next_deadline());
     if (at >= n.scheduled) return;
     n.scheduled = at;
     events_.push({at, ++order_, no, no, n.life, nullptr});
 }
 
-void Fleet::carry(std::size_t no, fleet::View::Out& out) {
-    for (auto& s : out.sends) {
-        const std::size_t to = number(s.to);
+void Fleet::carry(std::size_t no, membership::MembershipTable::Effects& out) {
+    for (auto& s : out.messages) {
+        const std::size_t to = number(s.destination);
         ++datagrams_;
-        bytes_ += fleet::size_of(s.message, 5);
-        for (const auto& u : s.message.updates) bytes_ += fleet::size_of(u);
+        bytes_ += membership::max_encoded_size(s.message, 5);
+        for (const auto& u : s.message.updates) bytes_ += membership::max_encoded_size(u);
         if (to >= nodes_.size() || cut(no, to) || random_() * 0x1p-32 < network_.loss) continue;
-        put(now_ + delay(), no, to, std::make_shared<const fleet::Message>(std::move(s.message)));
+        put(now_ + delay(), no, to, std::make_shared<const membership::Message>(std::move(s.message)));
     }
-    for (const auto& p : out.exchanges) {
+    for (const auto& p : out.exchange_peers) {
         const std::size_t to = number(p);
         if (to >= nodes_.size() || to == no || cut(no, to) || cut(to, no)) continue;
-        put(now_ + delay(), no, to, std::make_shared<const fleet::Message>(nodes_[no].view->state(fleet::Kind::exchange)));
+        put(now_ + delay(), no, to, std::make_shared<const membership::Message>(nodes_[no].view->full_state(membership::MessageType::exchange)));
     }
     for (const auto& c : out.changes) {
-        if (c.to != fleet::State::dead) continue;
-        const std::size_t of = number(c.place);
+        if (c.new_state != membership::MemberState::dead) continue;
+        const std::size_t of = number(c.endpoint);
         false_deaths_ += of < nodes_.size() && nodes_[of].view != nullptr && !nodes_[of].leaving && !cut(no, of) &&
                          !cut(of, no);
     }
-    if (nodes_[no].leaving && nodes_[no].view->gone())
+    if (nodes_[no].leaving && nodes_[no].view->departure_announced())
         nodes_[no].view.reset();
     else
         schedule(no);
@@ -108,26 +108,26 @@
         events_.push(std::move(later));
         return;
     }
-    fleet::View::Out out;
+    membership::MembershipTable::Effects out;
     if (e.message == nullptr) {
         if (e.life != n.life || e.when != n.scheduled) return;
-        n.scheduled = Time::max();
+        n.scheduled = Timestamp::max();
         n.view->tick(now_, out);
-    } else if (e.message->kind == fleet::Kind::exchange) {
-        auto reply = std::make_shared<const fleet::Message>(n.view->state(fleet::Kind::exchange_reply));
+    } else if (e.message->type == membership::MessageType::exchange) {
+        auto reply = std::make_shared<const membership::Message>(n.view->full_state(membership::MessageType::exchange_reply));
         for (const auto& m : {e.message, reply})
-            for (const auto& u : m->updates) bytes_ += fleet::size_of(u);
-        n.view->merge(now_, *e.message, out);
+            for (const auto& u : m->updates) bytes_ += membership::max_encoded_size(u);
+        n.view->merge_full_state(now_, *e.message, out);
         put(now_ + delay(), e.to, e.from, std::move(reply));
-    } else if (e.message->kind == fleet::Kind::exchange_reply) {
-        n.view->merge(now_, *e.message, out);
+    } else if (e.message->type == membership::MessageType::exchange_reply) {
+        n.view->merge_full_state(now_, *e.message, out);
     } else {
-        n.view->received(now_, *e.message, place(e.from), out);
+        n.view->on_message(now_, *e.message, place(e.from), out);
     }
     carry(e.to, out);
 }
 
-void Fleet::run(Time until) {
+void Fleet::run(Timestamp until) {
     while (!events_.empty() && events_.top().when <= until) {
         const Event e = events_.top();
         events_.pop();
@@ -137,7 +137,7 @@
     now_ = until;
 }
 
-bool Fleet::run(Time until, Span look_every, const std::function<bool()>& done) {
+bool Fleet::run(Timestamp until, Duration look_every, const std::function<bool()>& done) {
     while (now_ < until) {
         if (done()) return true;
         run(std::min(until, now_ + look_every));
@@ -152,7 +152,7 @@
     bool first = true;
     for (const Node& n : nodes_) {
         if (n.view == nullptr || n.leaving) continue;
-        if (n.view->live() + 1 != running || n.view->suspects() != 0) return false;
+        if (n.view->live_count() + 1 != running || n.view->suspect_count() != 0) return false;
         const std::uint64_t d = n.view->digest();
         if (!first && d != digest) return false;
         digest = d;
--- a/src/emulator/roll.cpp
+++ b/tools/emulator/roll.cpp
@@ -6,10 +6,10 @@
 namespace cressledge::emulator {
 namespace {
 
-using core::Span;
-using core::Time;
-using rollout::ByClass;
-using rollout::Figures;
+using base::Duration;
+using base::Timestamp;
+using rollout::MetricsByClass;
+using rollout::ClassMetrics;
 
 struct Kind {
     const char* name;
@@ -20,17 +20,17 @@
 
 struct Process {
     double speed = 1.0, fault = 1.0;  // of its machine: times, and errors
-    rollout::Spec spec, wanted;
+    rollout::ProcessSpec spec, wanted;
     double changes_at = -1.0, born = 0.0, back_at = -1.0;
     std::uint64_t generation = 1, crashes = 0;
-    ByClass figures;
+    MetricsByClass figures;
     bool fresh = false, cut = false;
 };
 
 class Run {
 public:
     explicit Run(const RollCase& c) : c_(c), random_(c.seed, 23) {
-        std::vector<std::pair<std::string, rollout::Spec>> fleet;
+        std::vector<std::pair<std::string, rollout::ProcessSpec>> fleet;
         for (std::size_t i = 0; i < c.processes; ++i) {
             Process p;
             p.speed = std::exp(std::normal_distribution<>(0.0, c.machines)(random_));
@@ -41,9 +41,9 @@
             numbers_[ids_.back()] = i;
             fleet.emplace_back(ids_.back(), p.spec);
         }
-        rollout::Plan plan = c.plan;
-        plan.change = {"new", ""};
-        plan.seed = c.seed;
+        rollout::RolloutPlan plan = c.plan;
+        plan.target_spec = {"new", ""};
+        plan.order_seed = c.seed;
         roll_.emplace(plan, fleet);
     }
 
@@ -53,26 +53,26 @@
             if (now_ > 0.0) live(c_.looks_s);
             const auto looks = look();
             auto orders = roll_->step(at(), looks);
-            if (orders.save) orders = roll_->step(at(), looks);  // it lasts: on at once
-            for (const auto& [id, spec] : orders.set) {
+            if (orders.must_save_state) orders = roll_->step(at(), looks);  // it lasts: on at once
+            for (const auto& [id, spec] : orders.spec_updates) {
                 Process& p = processes_[numbers_[id]];
                 if (p.wanted == spec) continue;
                 p.wanted = spec;
                 p.changes_at = now_ + change_takes_s;
             }
-            if (orders.over) break;
+            if (orders.is_finished) break;
         }
-        out.done = roll_->state().phase == rollout::Phase::done;
-        out.reverted = roll_->state().phase == rollout::Phase::reverted;
-        out.stage = roll_->state().stage;
+        out.done = roll_->state().phase == rollout::Phase::completed;
+        out.reverted = roll_->state().phase == rollout::Phase::rolled_back;
+        out.stage = roll_->state().stage_index;
         out.seconds = now_;
         out.met = met_ / std::max(1.0, all_);
-        out.why = roll_->state().why;
+        out.why = roll_->state().rollback_reason;
         return out;
     }
 
 private:
-    Time at() const { return Time(static_cast<std::int64_t>(now_ * 1e6) + 1); }
+    Timestamp at() const { return Timestamp(static_cast<std::int64_t>(now_ * 1e6) + 1); }
     bool chance(double p) { return std::bernoulli_distribution(std::min(1.0, p))(random_); }
 
     void live(double seconds) {
@@ -87,7 +87,7 @@
             ++p.crashes;
             p.back_at = now_ + comes_back_s;
         }
-        const bool cut = c_.cut_off && roll_->state().stage == 1 && roll_->state().phase == rollout::Phase::baking;
+        const bool cut = c_.cut_off && roll_->state().stage_index == 1 && roll_->state().phase == rollout::Phase::baking;
         if (cut && cut_at_ < 0.0) cut_at_ = now_;
         for (std::size_t i = 0; i < processes_.size(); ++i)
             processes_[i].cut = cut_at_ >= 0.0 && now_ < cut_at_ + 40.0 && i % 5 == 0;
@@ -105,7 +105,7 @@
         const Version& v = p.fresh ? c_.fresh : ok;
         for (const Kind& k : kinds) {
             const int n = std::poisson_distribution<>(c_.rate_s * seconds * k.share)(random_);
-            Figures& f = p.figures[k.name];
+            ClassMetrics& f = p.figures[k.name];
             all_ += n;
             met_ += p.fresh ? n : 0;
             const double bad = std::min(0.5, c_.errors * p.fault) + (&k == &kinds[1] ? v.errors : 0.0);
@@ -120,23 +120,23 @@
                     const double ms = took(random_) + (v.slow_share > 0.0 && chance(v.slow_share) ? v.slow_ms : 0.0);
                     f.ok += 1.0;
                     f.late += ms > k.target_ms ? 1.0 : 0.0;
-                    f.took[core::Times::bin(Span(static_cast<std::int64_t>(ms * 1e3)))] += 1.0;
+                    f.latency_counts[base::LatencyHistogram::bucket_index(Duration(static_cast<std::int64_t>(ms * 1e3)))] += 1.0;
                 }
             }
         }
     }
-    rollout::Looks look() {
-        rollout::Looks all;
+    rollout::Observations look() {
+        rollout::Observations all;
         for (std::size_t i = 0; i < processes_.size(); ++i) {
             const Process& p = processes_[i];
-            rollout::Look& l = all[ids_[i]];
+            rollout::ProcessObservation& l = all[ids_[i]];
             if (p.cut || chance(c_.lost_looks)) continue;
-            l.reachable = true;
-            l.spec = p.spec;
-            l.change = p.wanted == p.spec ? supervise::Change::done : supervise::Change::under_way;
-            l.serving = p.back_at >= 0.0 ? 0 : p.generation;
-            l.crashes = p.crashes;
-            if (p.back_at < 0.0) l.figures = p.figures;
+            l.is_reachable = true;
+            l.active_spec = p.spec;
+            l.change_status = p.wanted == p.spec ? supervisor::ChangeStatus::succeeded : supervisor::ChangeStatus::in_progress;
+            l.serving_generation = p.back_at >= 0.0 ? 0 : p.generation;
+            l.crash_count = p.crashes;
+            if (p.back_at < 0.0) l.metrics = p.figures;
         }
         return all;
     }
@@ -146,7 +146,7 @@
     std::vector<Process> processes_;
     std::vector<std::string> ids_;
     std::map<std::string, std::size_t> numbers_;
-    std::optional<rollout::Roll> roll_;
+    std::optional<rollout::RolloutStateMachine> roll_;
     double now_ = 0.0, weather_ = 0.0, cut_at_ = -1.0, all_ = 0.0, met_ = 0.0;
 };
 
--- a/src/emulator/roll.hpp
+++ b/tools/emulator/roll.hpp
@@ -5,7 +5,7 @@
 
 #include <pcg_random.hpp>
 
-#include "rollout/roll.hpp"
+#include "rollout/rollout_state_machine.hpp"
 
 namespace cressledge::emulator {
 
@@ -21,7 +21,7 @@
     std::size_t processes = 300;
     double rate_s = 8.0;  // requests of each process
     Version fresh;
-    rollout::Plan plan;
+    rollout::RolloutPlan plan;
     double looks_s = 5.0;  // between two
     // Noise.
     double machines = 0.15;  // standard deviation of the logarithm of a process's own times
--- a/src/emulator/spread.cpp
+++ b/tools/emulator/spread.cpp
@@ -6,16 +6,16 @@
 #include <queue>
 #include <set>
 
-#include "balance/subset.hpp"
+#include "load_balancing/subset.hpp"
 
 namespace cressledge::emulator {
 namespace {
 
-using balance::Load;
-using core::Time;
-using membership::No;
-using membership::Random;
-using standin::CallNo;
+using load_balancing::LoadReport;
+using base::Timestamp;
+using upstream_health::HostId;
+using upstream_health::Random;
+using fake_upstream::CallNo;
 
 constexpr std::int64_t figures_every = 1'000'000, tick_every = 250'000;  // microseconds
 
@@ -25,16 +25,16 @@
     std::uint32_t life = 0;  // of its process
     std::int64_t born = 0, sent = 0;
     bool probes_only = false, out = false;  // out: a server has it
-    std::vector<No> tried;
-    std::vector<std::pair<No, Load>> answers;  // of its own probes
+    std::vector<HostId> tried;
+    std::vector<std::pair<HostId, LoadReport>> answers;  // of its own probes
 };
 
 struct Balancing {  // one process
     std::uint32_t life = 0;
     std::vector<std::uint32_t> in_hand;
     std::vector<double> turn;
-    std::unique_ptr<membership::Membership> members;
-    std::unique_ptr<routing::Balancer> balancer;
+    std::unique_ptr<upstream_health::HostSet> members;
+    std::unique_ptr<load_balancing::Balancer> balancer;
 };
 
 enum class What : std::uint8_t { arrive, read, choose, finish, look, figures, tick, trouble, calm, back };
@@ -61,10 +61,10 @@
         std::vector<double> capacities;
         for (std::size_t i = 0; i < s.servers; ++i) {
             const double capacity = s.capacities[i % s.capacities.size()];
-            standin::Nature n = s.nature;
+            fake_upstream::Nature n = s.nature;
             n.slots = std::max(1U, static_cast<unsigned>(std::lround(capacity * s.nature.slots)));
             n.expects = s.round_trip;
-            n.probes = s.choice == Choice::pool ? static_cast<unsigned>(std::lround(s.pool.per_call)) : s.probes;
+            n.probes = s.choice == Choice::pool ? static_cast<unsigned>(std::lround(s.pool.probes_per_call)) : s.probes;
             places += n.slots;
             capacities.push_back(capacity);
             specs_.push_back({"s" + std::to_string(i), "127.0.0.1:" + std::to_string(i + 1), "http", "", "", capacity, false});
@@ -119,18 +119,18 @@
             for (std::size_t i = 0; i < s_.servers; ++i) b.turn.push_back(uniform() * specs_[i].weight);
         }
         if (!by_balancer()) return;
-        routing::BalancerRules rules;
-        rules.policy = s_.choice == Choice::today  ? routing::Policy::two_choices
-                       : s_.choice == Choice::pool ? routing::Policy::probe_pool
-                                                   : routing::Policy::probe_first;
+        load_balancing::BalancerSettings rules;
+        rules.policy = s_.choice == Choice::today  ? load_balancing::BalancingPolicy::power_of_two_choices
+                       : s_.choice == Choice::pool ? load_balancing::BalancingPolicy::probe_pool
+                                                   : load_balancing::BalancingPolicy::probe_first;
         rules.probing = s_.pool;
-        if (probed_first()) rules.probing.per_call = s_.probes;
-        rules.subset = s_.subset;
-        rules.node = "p" + std::to_string(number);
-        b.members = std::make_unique<membership::Membership>();
-        b.members->use(Time(now_), specs_, random_);
-        b.balancer = std::make_unique<routing::Balancer>(*b.members, rules);
-        if (s_.subset != 0) b.balancer->peers(Time(now_), names(active_));
+        if (probed_first()) rules.probing.probes_per_call = s_.probes;
+        rules.subset_size = s_.subset;
+        rules.node_name = "p" + std::to_string(number);
+        b.members = std::make_unique<upstream_health::HostSet>();
+        b.members->update(Timestamp(now_), specs_, random_);
+        b.balancer = std::make_unique<load_balancing::Balancer>(*b.members, rules);
+        if (s_.subset != 0) b.balancer->update_peers(Timestamp(now_), names(active_));
         b.balancer->refresh();
     }
 
@@ -141,20 +141,20 @@
             case What::choose: return choose(e.about);
             case What::finish: return finish(e.about);
             case What::look:
-                put(now_ + standin::look_every.count(), What::look, 0);
+                put(now_ + fake_upstream::look_every.count(), What::look, 0);
                 return observer_.look(servers_);
             case What::figures:
                 for (std::size_t i = 0; i < servers_.size(); ++i) figures_[i] = servers_[i].load();
                 return put(now_ + figures_every, What::figures, 0);
             case What::tick:
                 for (std::size_t p = 0; p < active_; ++p)
-                    if (!processes_[p].members->tick(Time(now_)).empty()) processes_[p].balancer->refresh();
+                    if (!processes_[p].members->tick(Timestamp(now_)).empty()) processes_[p].balancer->refresh();
                 return put(now_ + tick_every, What::tick, 0);
             case What::trouble: return trouble(s_.troubles[e.about]);
             case What::calm: rate_ /= s_.troubles[e.about].by; return;
             case What::back:
                 gone_[e.about] = false;
-                servers_[e.about].restart(Time(now_));
+                servers_[e.about].restart(Timestamp(now_));
                 return;
         }
     }
@@ -181,9 +181,9 @@
     }
     bool ask(CallNo no) {
         Call& c = at(no);
-        processes_[c.process].balancer->ask(random_, whom_);
+        processes_[c.process].balancer->pick_probe_targets(random_, whom_);
         if (whom_.empty()) return false;
-        for (const No s : whom_) c.answers.push_back({s, {}});
+        for (const HostId s : whom_) c.answers.push_back({s, {}});
         out_.probes += whom_.size();
         put(now_ + s_.round_trip.count() / 2, What::read, no);
         return true;
@@ -193,7 +193,7 @@
         if (c == nullptr) return;
         std::erase_if(c->answers, [this](const auto& a) { return gone_[a.first]; });
         for (auto& [server, load] : c->answers)
-            load = s_.expected ? servers_[server].probed(Time(now_)) : servers_[server].load();
+            load = s_.expected ? servers_[server].probed(Timestamp(now_)) : servers_[server].load();
         put(now_ + s_.round_trip.count() / 2, What::choose, no);
     }
     void choose(CallNo no) {
@@ -202,14 +202,14 @@
         Balancing& b = processes_[c->process];
         if (c->probes_only) {
             if (b.life == c->life)
-                for (const auto& [server, load] : c->answers) b.balancer->heard(Time(now_), server, load);
+                for (const auto& [server, load] : c->answers) b.balancer->on_load_report(Timestamp(now_), server, load);
             return release(no);
         }
-        std::vector<std::pair<No, Load>> said;
+        std::vector<std::pair<HostId, LoadReport>> said;
         for (const auto& [server, load] : c->answers)
-            if (const auto weighed = b.balancer->weigh(Time(now_), server, load)) said.emplace_back(server, *weighed);
-        const No best = balance::best(said);
-        send(no, best != membership::nobody ? best : b.balancer->pick(Time(now_), 0, c->tried, random_));
+            if (const auto weighed = b.balancer->effective_load(Timestamp(now_), server, load)) said.emplace_back(server, *weighed);
+        const HostId best = load_balancing::least_loaded(said);
+        send(no, best != upstream_health::no_host ? best : b.balancer->pick(Timestamp(now_), 0, c->tried, random_));
     }
 
     // ---- calls ----
@@ -234,11 +234,11 @@
         free_.push_back(static_cast<std::uint32_t>(no));
     }
 
-    No pick(CallNo no) {
+    HostId pick(CallNo no) {
         Call& c = at(no);
         Balancing& b = processes_[c.process];
         switch (s_.choice) {
-            case Choice::random: return by_capacity_.draw(random_);
+            case Choice::random: return by_capacity_.sample(random_);
             case Choice::round_robin: {
                 // Smooth weighted: each gains its weight, the foremost pays for all.
                 std::uint32_t best = 0;
@@ -252,9 +252,9 @@
                 return best;
             }
             case Choice::stale:
-                return static_cast<std::uint32_t>(std::min_element(figures_.begin(), figures_.end(), [](const Load& x, const Load& y) { return x.share() < y.share(); }) - figures_.begin());
+                return static_cast<std::uint32_t>(std::min_element(figures_.begin(), figures_.end(), [](const LoadReport& x, const LoadReport& y) { return x.utilization() < y.utilization(); }) - figures_.begin());
             case Choice::own_two: {
-                const std::uint32_t x = by_capacity_.draw(random_), y = by_capacity_.draw(random_);
+                const std::uint32_t x = by_capacity_.sample(random_), y = by_capacity_.sample(random_);
                 return b.in_hand[x] / specs_[x].weight <= b.in_hand[y] / specs_[y].weight ? x : y;
             }
             case Choice::all_seen: {
@@ -263,33 +263,33 @@
                 for (std::uint32_t k = 0; k < servers_.size(); ++k) {
                     const std::uint32_t i = (from + k) % static_cast<std::uint32_t>(servers_.size());
                     if (gone_[i]) continue;
-                    if (k == 0 || servers_[i].load().share(1.0) < servers_[best].load().share(1.0)) best = i;
+                    if (k == 0 || servers_[i].load().utilization(1.0) < servers_[best].load().utilization(1.0)) best = i;
                 }
                 return best;
             }
             case Choice::today:
             case Choice::pool:
-            case Choice::probed: return b.balancer->pick(Time(now_), 0, c.tried, random_);
+            case Choice::probed: return b.balancer->pick(Timestamp(now_), 0, c.tried, random_);
         }
         return 0;
     }
 
-    void send(CallNo no, No server) {
+    void send(CallNo no, HostId server) {
         Call& c = at(no);
         Balancing& b = processes_[c.process];
         // A refused connection proves that nothing ran, and the next server is called at once.
-        while (server != membership::nobody && gone_[server]) {
+        while (server != upstream_health::no_host && gone_[server]) {
             c.tried.push_back(server);
             if (!by_balancer() || c.tried.size() > 8) {
-                server = membership::nobody;
+                server = upstream_health::no_host;
                 break;
             }
-            b.balancer->started(Time(now_), server);
-            b.balancer->ended(Time(now_), server, membership::Result::refused, Span(0));
-            if (!b.members->ended(Time(now_), server, membership::Result::refused, Span(0)).empty()) b.balancer->refresh();
+            b.balancer->on_call_started(Timestamp(now_), server);
+            b.balancer->on_call_finished(Timestamp(now_), server, upstream_health::CallResult::connection_refused, Duration(0));
+            if (!b.members->on_call_finished(Timestamp(now_), server, upstream_health::CallResult::connection_refused, Duration(0)).empty()) b.balancer->refresh();
             server = pick(no);
         }
-        if (server == membership::nobody) {
+        if (server == upstream_health::no_host) {
             count(c, true);
             return release(no);
         }
@@ -297,8 +297,8 @@
         c.sent = now_;
         c.out = true;
         ++b.in_hand[server];
-        if (b.balancer) b.balancer->started(Time(now_), server);
-        if (const auto begun = servers_[server].arrive(Time(now_), no, random_)) put(begun->ends.count(), What::finish, begun->call);
+        if (b.balancer) b.balancer->on_call_started(Timestamp(now_), server);
+        if (const auto begun = servers_[server].arrive(Timestamp(now_), no, random_)) put(begun->ends.count(), What::finish, begun->call);
     }
     void finish(CallNo no) {
         Call* c = find(no);
@@ -306,15 +306,15 @@
     }
     void ended(CallNo no, bool error) {
         const Call& c = at(no);
-        if (const auto begun = servers_[c.server].leave(Time(now_), no, random_)) put(begun->ends.count(), What::finish, begun->call);
+        if (const auto begun = servers_[c.server].leave(Timestamp(now_), no, random_)) put(begun->ends.count(), What::finish, begun->call);
         Balancing& b = processes_[c.process];
         if (b.life == c.life) {
             --b.in_hand[c.server];
-            const auto result = error ? membership::Result::error : membership::Result::ok;
+            const auto result = error ? upstream_health::CallResult::error : upstream_health::CallResult::ok;
             if (b.balancer) {
-                const Span span(now_ - c.sent);
-                b.balancer->ended(Time(now_), c.server, result, span);
-                if (!b.members->ended(Time(now_), c.server, result, span).empty()) b.balancer->refresh();
+                const Duration span(now_ - c.sent);
+                b.balancer->on_call_finished(Timestamp(now_), c.server, result, span);
+                if (!b.members->on_call_finished(Timestamp(now_), c.server, result, span).empty()) b.balancer->refresh();
             }
         }
         count(c, error);
@@ -357,7 +357,7 @@
                 for (std::size_t p = before; p < active_; ++p) begin(processes_[p], p);
                 if (s_.subset == 0 || !by_balancer()) return;
                 const auto now = names(active_);
-                for (std::size_t p = 0; p < active_; ++p) processes_[p].balancer->peers(Time(now_), now);
+                for (std::size_t p = 0; p < active_; ++p) processes_[p].balancer->update_peers(Timestamp(now_), now);
                 moved(before);
                 return;
             }
@@ -376,7 +376,7 @@
         std::vector<std::string> all;
         for (const auto& s : specs_) all.push_back(s.name);
         const auto of_before = names(before), of_now = names(active_);
-        const auto a = balance::subsets(of_before, all, s_.subset), b = balance::subsets(of_now, all, s_.subset);
+        const auto a = load_balancing::assign_subsets(of_before, all, s_.subset), b = load_balancing::assign_subsets(of_now, all, s_.subset);
         double changed = 0.0, places = 0.0;
         for (std::size_t i = 0; i < of_before.size(); ++i) {
             const auto it = std::lower_bound(of_now.begin(), of_now.end(), of_before[i]);
@@ -391,14 +391,14 @@
 
     const Spread s_;
     Random random_;
-    std::vector<membership::Spec> specs_;
-    std::vector<standin::Queue> servers_;
+    std::vector<upstream_health::HostSpec> specs_;
+    std::vector<fake_upstream::Queue> servers_;
     std::vector<bool> gone_;
     std::vector<Balancing> processes_;
     std::size_t active_ = 0;
-    balance::ByCapacity by_capacity_;
-    std::vector<No> whom_;
-    std::vector<Load> figures_;
+    load_balancing::WeightedSampler by_capacity_;
+    std::vector<HostId> whom_;
+    std::vector<LoadReport> figures_;
     std::vector<Call> calls_;
     std::vector<std::uint32_t> free_;
     std::priority_queue<Event> events_;
@@ -406,7 +406,7 @@
     std::int64_t now_ = 0, warm_ = 0;
     double rate_ = 0.0;
     std::vector<float> took_;
-    standin::Observer observer_;
+    fake_upstream::Observer observer_;
     Outcome out_;
 };
 
--- a/src/emulator/spread.hpp
+++ b/tools/emulator/spread.hpp
@@ -8,21 +8,21 @@
 #include <string>
 #include <vector>
 
-#include "routing/balancer.hpp"
-#include "standin/observer.hpp"
+#include "load_balancing/balancer.hpp"
+#include "fake_upstream/observer.hpp"
 
 namespace cressledge::emulator {
 
-using core::Span;
+using base::Duration;
 
 enum class Choice {
     random,  // by capacity
     round_robin,  // by capacity, each process for itself
     stale,  // the least loaded by figures of all servers, a second old
     own_two,  // two by capacity, the one with fewer calls of this process in hand for its capacity
-    today,  // routing::Balancer, two choices by peak EWMA
-    pool,  // routing::Balancer, probe-pool
-    probed,  // routing::Balancer, probe-first
+    today,  // load_balancing::Balancer, two choices by peak EWMA
+    pool,  // load_balancing::Balancer, probe-pool
+    probed,  // load_balancing::Balancer, probe-first
     all_seen,  // join the shortest queue, by the truth: out of reach
 };
 const char* word(Choice choice);
@@ -48,20 +48,20 @@
     Choice choice = Choice::probed;
     std::size_t processes = 300, servers = 300;
     std::vector<double> capacities{1.0, 2.0, 4.0};  // in turn; times nature.slots is a server's places
-    standin::Nature nature;
+    fake_upstream::Nature nature;
     double load = 0.8, seconds = 10.0, warm_up = 3.0;  // load: of all places
     bool bursty = false;  // arrivals: runs of ten, each run Poisson
-    Span round_trip{500};
+    Duration round_trip{500};
     unsigned probes = 5;  // of a call, where choice is probed
     bool expected = true;  // servers add the calls that late probes may still bring
-    balance::ProbeRules pool;
+    load_balancing::LoadProbeSettings pool;
     std::size_t subset = 0;  // servers a process uses, shared out evenly among the processes; 0: all
     std::uint64_t seed = 1;
     std::vector<Trouble> troubles;
 };
 
 struct Outcome {
-    standin::Evenness even;
+    fake_upstream::Evenness even;
     double p50_ms = 0.0, p95_ms = 0.0, p99_ms = 0.0, p999_ms = 0.0;
     double errors = 0.0;  // share of the calls
     double moved = 0.0;  // places of subsets that a change in the number of processes moved, of all that stayed
--- a/src/lab/experiment.cpp
+++ b/tools/experiment/experiment.cpp
@@ -1,4 +1,4 @@
-#include "lab/experiment.hpp"
+#include "experiment/experiment.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -8,16 +8,16 @@
 #include "config/reader.hpp"
 #include "config/routing.hpp"
 
-namespace cressledge::lab {
+namespace cressledge::experiment {
 namespace {
 
-using config::Reader;
+using config::YamlReader;
 
 const std::map<std::string, emulator::Choice> choices = {{"two-choices", emulator::Choice::today},
                                                          {"probe-pool", emulator::Choice::pool},
                                                          {"probe-first", emulator::Choice::probed}};
 
-std::vector<std::size_t> numbers(const Reader& r, const YAML::Node& at, std::size_t below) {
+std::vector<std::size_t> numbers(const YamlReader& r, const YAML::Node& at, std::size_t below) {
     std::vector<std::size_t> all;
     if (!at || !at.IsSequence() || at.size() == 0) r.fail(at, "servers", "no list of servers by number");
     for (const auto& n : at) {
@@ -28,58 +28,58 @@
     return all;
 }
 
-emulator::Trouble trouble(const Reader& r, const YAML::Node& t, const Experiment& e) {
+emulator::Trouble trouble(const YamlReader& r, const YAML::Node& t, const Experiment& e) {
     using T = emulator::Trouble;
     static const std::map<std::string, T::What> words = {
         {"slow", T::slow}, {"fail", T::fail}, {"mend", T::mend}, {"restart-servers", T::restart_servers},
         {"restart-processes", T::restart_processes}, {"processes", T::processes}, {"burst", T::burst}};
-    r.only(t, "events", {"at_s", "do", "servers", "by", "for_s"});
+    r.require_known_keys(t, "events", {"at_s", "do", "servers", "by", "for_s"});
     T out;
-    out.at_s = r.number(t, "at_s", 0.0, e.seconds, config::needed);
+    out.at_s = r.number(t, "at_s", 0.0, e.seconds, config::required);
     const auto what = words.find(r.text(t, "do"));
     if (what == words.end())
         r.fail(t["do"], "do", "none of slow, fail, mend, restart-servers, restart-processes, processes, burst");
     out.what = what->second;
     const bool at_servers = out.what <= T::restart_servers;
     if (at_servers) out.servers = numbers(r, t["servers"], e.servers);
-    if (out.what == T::slow || out.what == T::burst) out.by = r.number(t, "by", 0.01, 100.0, config::needed);
-    if (out.what == T::processes) out.by = r.whole(t, "by", 1.0, 1000.0, config::needed);
+    if (out.what == T::slow || out.what == T::burst) out.by = r.number(t, "by", 0.01, 100.0, config::required);
+    if (out.what == T::processes) out.by = r.integer(t, "by", 1.0, 1000.0, config::required);
     if (out.what == T::restart_servers || out.what == T::burst) out.for_s = r.number(t, "for_s", 0.0, 3600.0, 1.0);
     return out;
 }
 
 Experiment read(const std::string& path, const YAML::Node& doc) {
-    const Reader r(path);
-    r.only(doc, "file", {"name", "seed", "processes", "servers", "routing", "load", "classes", "warm_up_s", "seconds",
+    const YamlReader r(path);
+    r.require_known_keys(doc, "file", {"name", "seed", "processes", "servers", "routing", "load", "classes", "warm_up_s", "seconds",
                          "round_trip_ms", "gossip_loss", "events"});
     Experiment e;
     e.name = r.text(doc, "name");
-    e.seed = r.whole(doc, "seed", 0.0, 4e9, 1.0);
-    e.processes = r.whole(doc, "processes", 1.0, 1000.0, config::needed);
+    e.seed = r.integer(doc, "seed", 0.0, 4e9, 1.0);
+    e.processes = r.integer(doc, "processes", 1.0, 1000.0, config::required);
     e.warm_up_s = r.number(doc, "warm_up_s", 0.0, 600.0, 3.0);
     e.seconds = r.number(doc, "seconds", 1.0, 3600.0, 10.0);
-    e.round_trip = r.span(doc, "round_trip_ms", 0.002, 1.0);
+    e.round_trip = r.duration_ms(doc, "round_trip_ms", 0.002, 1.0);
     e.gossip_loss = r.number(doc, "gossip_loss", 0.0, 1.0, 0.0);
     const YAML::Node s = doc["servers"];
     if (!s) r.fail(doc, "servers", "missing");
-    r.only(s, "servers", {"count", "capacities", "slots", "mean_ms", "law", "cold_s", "cold_speed"});
-    e.servers = r.whole(s, "count", 1.0, 1000.0, config::needed);
+    r.require_known_keys(s, "servers", {"count", "capacities", "slots", "mean_ms", "law", "cold_s", "cold_speed"});
+    e.servers = r.integer(s, "count", 1.0, 1000.0, config::required);
     if (const YAML::Node c = s["capacities"]) {
         e.capacities.clear();
         if (!c.IsSequence() || !YAML::convert<std::vector<double>>::decode(c, e.capacities) || e.capacities.empty() ||
             *std::min_element(e.capacities.begin(), e.capacities.end()) <= 0.0)
             r.fail(c, "capacities", "no list of numbers above 0");
     }
-    e.nature.slots = r.whole(s, "slots", 1.0, 10'000.0, 8.0);
+    e.nature.slots = r.integer(s, "slots", 1.0, 10'000.0, 8.0);
     e.nature.mean_s = r.number(s, "mean_ms", 0.1, 60'000.0, 50.0) * 1e-3;
     const std::string law = r.text(s, "law", "exponential");
     if (law != "exponential" && law != "constant" && law != "lognormal")
         r.fail(s["law"], "law", "none of exponential, constant, lognormal");
-    e.nature.law = law == "constant" ? standin::Law::constant : law == "lognormal" ? standin::Law::lognormal : standin::Law::exponential;
-    e.nature.cold_for = Span(std::llround(r.number(s, "cold_s", 0.0, 600.0, 10.0) * 1e6));
+    e.nature.law = law == "constant" ? fake_upstream::Law::constant : law == "lognormal" ? fake_upstream::Law::lognormal : fake_upstream::Law::exponential;
+    e.nature.cold_for = Duration(std::llround(r.number(s, "cold_s", 0.0, 600.0, 10.0) * 1e6));
     e.nature.cold_speed = r.number(s, "cold_speed", 0.01, 1.0, 0.2);
     // Checked as the program will check it.
-    config::Routing routing;
+    config::RoutingConfig routing;
     YAML::Node with = YAML::Clone(doc);
     if (!with["routing"]) with["routing"]["policy"] = e.policy;
     with["fleet"]["id"] = "n0";
@@ -92,20 +92,20 @@
     flow << YAML::Flow << with["routing"];
     e.routing = flow.c_str();
     e.routing.erase(std::remove(e.routing.begin(), e.routing.end(), '\n'), e.routing.end());
-    e.subset = routing.subset;
+    e.subset = routing.subset_size;
     e.probing = routing.probing;
-    e.nature.probes = std::max(1U, static_cast<unsigned>(std::lround(routing.probing.per_call)));
+    e.nature.probes = std::max(1U, static_cast<unsigned>(std::lround(routing.probing.probes_per_call)));
     const YAML::Node l = doc["load"];
     if (!l) r.fail(doc, "load", "missing");
-    r.only(l, "load", {"share", "arrivals"});
-    e.load = r.number(l, "share", 0.001, 10.0, config::needed);
+    r.require_known_keys(l, "load", {"share", "arrivals"});
+    e.load = r.number(l, "share", 0.001, 10.0, config::required);
     const std::string arrivals = r.text(l, "arrivals", "poisson");
     if (arrivals != "poisson" && arrivals != "bursty") r.fail(l["arrivals"], "arrivals", "neither poisson nor bursty");
     e.bursty = arrivals == "bursty";
     if (const YAML::Node classes = doc["classes"]) {
         for (const auto& c : classes) {
-            r.only(c, "classes", {"name", "share", "once"});
-            load::Kind k{r.text(c, "name"), r.number(c, "share", 0.0, 1e6, 1.0), false};
+            r.require_known_keys(c, "classes", {"name", "share", "once"});
+            load_generator::Kind k{r.text(c, "name"), r.number(c, "share", 0.0, 1e6, 1.0), false};
             if (c["once"] && !YAML::convert<bool>::decode(c["once"], k.once)) r.fail(c["once"], "once", "neither true nor false");
             e.kinds.push_back(k);
         }
@@ -128,7 +128,7 @@
     return load * all / nature.mean_s;
 }
 
-Experiment load_experiment(const std::string& path) { return config::from_yaml(path, read); }
+Experiment load_experiment(const std::string& path) { return config::load_yaml(path, read); }
 
 emulator::Spread emulated(const Experiment& e) {
     emulator::Spread s;
@@ -150,4 +150,4 @@
     return s;
 }
 
-}  // namespace cressledge::lab
+}  // namespace cressledge::experiment
--- a/src/lab/experiment.hpp
+++ b/tools/experiment/experiment.hpp
@@ -6,29 +6,29 @@
 #include <vector>
 
 #include "emulator/spread.hpp"
-#include "load/arrivals.hpp"
+#include "load_generator/arrivals.hpp"
 
-namespace cressledge::lab {
+namespace cressledge::experiment {
 
-using core::Span;
-using core::Time;
+using base::Duration;
+using base::Timestamp;
 
 struct Experiment {
     std::string name;
     std::uint64_t seed = 1;
     std::size_t processes = 5, servers = 10;
     std::vector<double> capacities{1.0, 2.0, 4.0};
-    standin::Nature nature;  // of a server of capacity 1
+    fake_upstream::Nature nature;  // of a server of capacity 1
     std::string policy = "probe-first";  // as in the operator's file
     std::string routing;  // the whole section, as YAML in one line
     std::size_t subset = 0;
-    balance::ProbeRules probing;
+    load_balancing::LoadProbeSettings probing;
     double load = 0.8;  // of all places
     bool bursty = false;
     double warm_up_s = 3.0, seconds = 10.0;
-    Span round_trip{1'000};  // emulated
+    Duration round_trip{1'000};  // emulated
     double gossip_loss = 0.0;  // share of the datagrams between processes that are lost
-    std::vector<load::Kind> kinds;
+    std::vector<load_generator::Kind> kinds;
     std::vector<emulator::Trouble> troubles;
 
     unsigned places(std::size_t server) const;
@@ -38,4 +38,4 @@
 Experiment load_experiment(const std::string& path);  // throws config::Invalid with file, line and field
 emulator::Spread emulated(const Experiment& e);
 
-}  // namespace cressledge::lab
+}  // namespace cressledge::experiment
--- a/src/lab/main.cpp
+++ b/tools/experiment/main.cpp
@@ -13,8 +13,8 @@
 #include <iostream>
 
 #include "config/node.hpp"
-#include "lab/servers.hpp"
-#include "lab/trial.hpp"
+#include "experiment/servers.hpp"
+#include "experiment/trial.hpp"
 
 namespace {
 
@@ -25,7 +25,7 @@
     try {
         return ordered_json::parse(config::read_file(path));
     } catch (const nlohmann::json::exception&) {
-        throw config::Invalid(path + ": not a report");
+        throw config::ConfigError(path + ": not a report");
     }
 }
 
@@ -69,15 +69,15 @@
         const auto command = given["command"].as<std::string>(), out = given["out"].as<std::string>();
         const auto files = given["files"].as<std::vector<std::string>>();
         if (command == "compare" && files.size() == 2) return compare(files[0], files[1]);
-        if (files.size() != 1 || files[0].empty()) throw config::Invalid(command + ": names no file");
-        const lab::Experiment e = lab::load_experiment(files[0]);
-        if (command == "stand-in") return lab::serve_stand_ins(e);
+        if (files.size() != 1 || files[0].empty()) throw config::ConfigError(command + ": names no file");
+        const experiment::Experiment e = experiment::load_experiment(files[0]);
+        if (command == "stand-in") return experiment::serve_stand_ins(e);
         if (command == "emulate") {
-            write_report(lab::emulate(e), out);
+            write_report(experiment::emulate(e), out);
             return 0;
         }
-        if (command != "run") throw config::Invalid("no such command: " + command);
-        lab::Where where;
+        if (command != "run") throw config::ConfigError("no such command: " + command);
+        experiment::Where where;
         where.program = std::filesystem::absolute(given["program"].as<std::string>());
         where.self = std::filesystem::read_symlink("/proc/self/exe");
         where.file = files[0];
@@ -87,7 +87,7 @@
         std::filesystem::create_directories(where.folder);
         if (given.count("quiet") == 0)
             where.progress = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
-        const ordered_json report = lab::trial(e, where);
+        const ordered_json report = experiment::trial(e, where);
         if (keep.empty()) std::filesystem::remove_all(where.folder);
         write_report(report, out);
         return 0;
--- a/src/lab/rehearsal.cpp
+++ b/tools/experiment/rehearsal.cpp
@@ -1,4 +1,4 @@
-#include "lab/rehearsal.hpp"
+#include "experiment/rehearsal.hpp"
 
 #include <signal.h>
 #include <unistd.h>
@@ -7,22 +7,22 @@
 #include <fstream>
 #include <stdexcept>
 
-#include "store/posix_files.hpp"
+#include "store/posix_file_system.hpp"
 #include "store/store.hpp"
 
-namespace cressledge::lab {
+namespace cressledge::experiment {
 namespace {
 
 using nlohmann::json;
 
-constexpr Span answer_within{2'000'000}, watch_every{200'000};
+constexpr Duration answer_within{2'000'000}, watch_every{200'000};
 constexpr int gossip_port = 7946;
 
-Span span(double s) { return Span(std::llround(s * 1e6)); }
+Duration span(double s) { return Duration(std::llround(s * 1e6)); }
 
 std::string free_address() {
-    const int fd = net::listening_socket(*net::Address::parse("127.0.0.1:0"));
-    const std::string where = "127.0.0.1:" + std::to_string(net::port_of(fd));
+    const int fd = net::open_listening_socket(*net::Address::parse("127.0.0.1:0"));
+    const std::string where = "127.0.0.1:" + std::to_string(net::local_port(fd));
     ::close(fd);
     return where;
 }
@@ -34,17 +34,17 @@
 
 }  // namespace
 
-Rehearsal::Rehearsal(net::Loop& loop, core::Deadlines& deadlines, const Scene& scene)
-    : loop_(loop), deadlines_(deadlines), scene_(scene), asks_(loop, deadlines) {
-    standin::Plan servers;
-    standin::Nature nature;
+Rehearsal::Rehearsal(net::Loop& loop, base::TimerQueue& timers, const Scene& scene)
+    : loop_(loop), timers_(timers), scene_(scene), asks_(loop, timers) {
+    fake_upstream::Plan servers;
+    fake_upstream::Nature nature;
     nature.slots = 64;
     nature.mean_s = scene.mean_s;
     servers.servers.assign(scene.servers, nature);
     for (std::size_t i = 0; i < scene.servers; ++i) servers.addresses.push_back("127.0.0." + std::to_string(10 + i) + ":0");
     servers.once = {"map-order"};
     servers.seed = scene.seed;
-    servers_ = std::make_unique<standin::Fleet>(loop, deadlines, servers);
+    servers_ = std::make_unique<fake_upstream::Fleet>(loop, timers, servers);
     std::ofstream inventory(file("servers.csv"));
     inventory << "name,address,protocol,group\n";
     for (std::size_t i = 0; i < scene.servers; ++i) inventory << 's' << i << ',' << servers_->address(i) << ",http,maps\n";
@@ -65,42 +65,42 @@
                 << "  - {name: route-profile, effect: safe, worth: 2, target_ms: 1500, deadline_ms: 3500}\n"
                 << "  - {name: map-order, effect: unsafe, worth: 5, target_ms: 3500, deadline_ms: 12000}\n";
         }
-        wires_.push_back(std::make_unique<rig::Wire>(loop, deadlines, *net::Address::parse(controls_[s]), scene.seed + s));
+        wires_.push_back(std::make_unique<fault_injection::Wire>(loop, timers, *net::Address::parse(controls_[s]), scene.seed + s));
     }
 }
 
 Rehearsal::~Rehearsal() {
-    deadlines_.cancel(watch_);
+    timers_.cancel(watch_);
     // The supervisors end their processes themselves, if they are told and not killed.
     for (const auto& c : children_) c->signal(SIGTERM);
-    const Time end = loop_.unix_now() + span(15.0);
+    const Timestamp end = loop_.unix_now() + span(15.0);
     while (loop_.unix_now() < end && std::any_of(children_.begin(), children_.end(), [](const auto& c) { return c->running(); })) run(0.05);
 }
 
 void Rehearsal::run(double seconds) {
-    const Time until = loop_.unix_now() + span(seconds);
-    core::Deadlines::Handle end = deadlines_.at(until, [] {});
-    while (loop_.unix_now() < until) loop_.turn(true);
-    deadlines_.cancel(end);
+    const Timestamp until = loop_.unix_now() + span(seconds);
+    base::TimerQueue::Handle end = timers_.schedule(until, [] {});
+    while (loop_.unix_now() < until) loop_.run_once(true);
+    timers_.cancel(end);
 }
 
 std::vector<json> Rehearsal::processes() {
     std::vector<json> all;
     for (const std::string& control : controls_)
-        asks_.get(*net::Address::parse(control), "/v1/processes", loop_.unix_now() + answer_within, [&all](const net::Asks::Reply& r) {
+        asks_.get(*net::Address::parse(control), "/v1/processes", loop_.unix_now() + answer_within, [&all](const net::HttpClient::Response& r) {
             const json j = r.status == 200 ? json::parse(r.body, nullptr, false) : json();
             if (j.is_object())
                 for (const auto& p : j["processes"]) all.push_back(p);
         });
-    while (asks_.open() > 0) loop_.turn(true);
+    while (asks_.requests_in_flight() > 0) loop_.run_once(true);
     return all;
 }
 
 void Rehearsal::up() {
     for (std::size_t s = 0; s < scene_.supervisors; ++s)
-        children_.push_back(std::make_unique<rig::Child>(
+        children_.push_back(std::make_unique<fault_injection::Child>(
             loop_, std::vector<std::string>{scene_.program, "supervise", file("supervisor" + std::to_string(s) + ".yaml")}, file("supervisors.log")));
-    const Time end = loop_.unix_now() + span(30.0);
+    const Timestamp end = loop_.unix_now() + span(30.0);
     std::vector<json> all;
     for (std::size_t ready = 0; ready < scene_.processes;) {
         if (loop_.unix_now() > end) throw std::runtime_error("the processes are not ready within 30 s");
@@ -113,10 +113,10 @@
         ids_.push_back(p["id"]);
         doors.push_back(*net::Address::parse(p["http"].get<std::string>()));
     }
-    driver_ = std::make_unique<load::Driver>(
-        loop_, deadlines_, load::Arrivals(scene_.rate_s, 1, {{"trail-sheet", 0.46, false}, {"route-profile", 0.46, false}, {"map-order", 0.08, true}}, scene_.seed));
+    driver_ = std::make_unique<load_generator::Driver>(
+        loop_, timers_, load_generator::Arrivals(scene_.rate_s, 1, {{"trail-sheet", 0.46, false}, {"route-profile", 0.46, false}, {"map-order", 0.08, true}}, scene_.seed));
     driver_->doors(std::move(doors));
-    driver_->on_end = [this](std::size_t, std::size_t door, load::End, Span) {
+    driver_->on_end = [this](std::size_t, std::size_t door, load_generator::End, Duration) {
         ++all_;
         met_ += others_.count(ids_[door]);
     };
@@ -127,7 +127,7 @@
 // Who runs another program now, a few times a second.
 void Rehearsal::watch() {
     for (const std::string& control : controls_)
-        asks_.get(*net::Address::parse(control), "/v1/processes", loop_.unix_now() + answer_within, [this](const net::Asks::Reply& r) {
+        asks_.get(*net::Address::parse(control), "/v1/processes", loop_.unix_now() + answer_within, [this](const net::HttpClient::Response& r) {
             const json j = r.status == 200 ? json::parse(r.body, nullptr, false) : json();
             if (!j.is_object()) return;
             for (const auto& p : j["processes"]) {
@@ -137,7 +137,7 @@
                     others_.insert(p["id"].get<std::string>());
             }
         });
-    watch_ = deadlines_.at(loop_.unix_now() + watch_every, [this] { watch(); });
+    watch_ = timers_.schedule(loop_.unix_now() + watch_every, [this] { watch(); });
 }
 
 double Rehearsal::met() const { return all_ == 0 ? 0.0 : static_cast<double>(met_) / static_cast<double>(all_); }
@@ -159,14 +159,14 @@
     return path;
 }
 
-std::unique_ptr<rig::Child> Rehearsal::start(const std::string& plan) {
+std::unique_ptr<fault_injection::Child> Rehearsal::start(const std::string& plan) {
     const std::string stem = plan.substr(0, plan.size() - std::string(".roll.yaml").size());
-    return std::make_unique<rig::Child>(
+    return std::make_unique<fault_injection::Child>(
         loop_, std::vector<std::string>{scene_.program, "roll", plan, "--state", stem + ".state", "--report", stem + ".json"}, stem + ".log");
 }
 
-int Rehearsal::wait(rig::Child& controller, double most_s) {
-    const Time end = loop_.unix_now() + span(most_s);
+int Rehearsal::wait(fault_injection::Child& controller, double most_s) {
+    const Timestamp end = loop_.unix_now() + span(most_s);
     while (controller.running() && loop_.unix_now() < end) run(0.02);
     return controller.running() ? -2 : controller.status();
 }
@@ -176,10 +176,10 @@
     return json::parse(in, nullptr, false);
 }
 
-std::optional<rollout::State> Rehearsal::state(const std::string& plan) const {
-    store::PosixFiles files(plan.substr(0, plan.size() - std::string(".roll.yaml").size()) + ".state");
+std::optional<rollout::RolloutState> Rehearsal::state(const std::string& plan) const {
+    store::PosixFileSystem files(plan.substr(0, plan.size() - std::string(".roll.yaml").size()) + ".state");
     store::Store kept(files);
-    if (kept.look() != 0) return std::nullopt;
+    if (kept.open_read_only() != 0) return std::nullopt;
     const auto it = kept.entries().find("state");
     if (it == kept.entries().end()) return std::nullopt;
     return rollout::from_json(json::parse(it->second, nullptr, false));
@@ -188,33 +188,33 @@
 std::string Rehearsal::astray(const std::string& plan, bool ended) {
     const auto s = state(plan);
     for (const json& p : processes()) {
-        const rollout::Spec spec{p["program"], p["overlay"]};
+        const rollout::ProcessSpec spec{p["program"], p["overlay"]};
         const std::string id = p["id"];
         if (!s) {  // nothing may have been told yet
-            if (spec != rollout::Spec{scene_.program, ""} && ended) return id + ": changed, and no state says so";
+            if (spec != rollout::ProcessSpec{scene_.program, ""} && ended) return id + ": changed, and no state says so";
             continue;
         }
-        const auto m = std::find_if(s->members.begin(), s->members.end(), [&id](const auto& x) { return x.id == id; });
-        if (m == s->members.end()) return id + ": not in the state";
-        if (spec != m->before && spec != m->after) return id + ": has what no state names";
-        if (spec == m->after && m->before != m->after && !m->changed) return id + ": changed, and the state does not say so";
-        const bool reverted = s->phase == rollout::Phase::reverted;
-        if (ended && (p["change"] == "under way" || spec != (reverted ? m->before : m->after))) return id + ": not as the roll's end says";
+        const auto m = std::find_if(s->targets.begin(), s->targets.end(), [&id](const auto& x) { return x.id == id; });
+        if (m == s->targets.end()) return id + ": not in the state";
+        if (spec != m->original_spec && spec != m->updated_spec) return id + ": has what no state names";
+        if (spec == m->updated_spec && m->original_spec != m->updated_spec && !m->is_updated) return id + ": changed, and the state does not say so";
+        const bool reverted = s->phase == rollout::Phase::rolled_back;
+        if (ended && (p["change"] == "under way" || spec != (reverted ? m->original_spec : m->updated_spec))) return id + ": not as the roll's end says";
     }
-    if (ended && s && s->phase != rollout::Phase::done && s->phase != rollout::Phase::reverted) return "the roll is not over";
+    if (ended && s && s->phase != rollout::Phase::completed && s->phase != rollout::Phase::rolled_back) return "the roll is not over";
     return "";
 }
 
 std::string Rehearsal::settle(double most_s) {
     driver_->stop();
-    const Time end = loop_.unix_now() + span(most_s);
+    const Timestamp end = loop_.unix_now() + span(most_s);
     while (driver_->open() > 0 && loop_.unix_now() < end) run(0.02);
-    const load::Record all = driver_->total();
+    const load_generator::Record all = driver_->total();
     std::string wrong;
     const auto note = [&wrong](const char* what, std::uint64_t n) {
         if (n > 0) wrong += (wrong.empty() ? "" : ", ") + std::to_string(n) + ' ' + what;
     };
-    note("lost", all.count(load::End::lost));
+    note("lost", all.count(load_generator::End::lost));
     note("open", driver_->open());
     note("unsent", driver_->unsent());
     note("doubled", servers_->counts().doubled);
@@ -226,4 +226,4 @@
         if (p["id"] == id && p["pid"] != 0) ::kill(p["pid"].get<pid_t>(), SIGKILL);
 }
 
-}  // namespace cressledge::lab
+}  // namespace cressledge::experiment
--- a/src/lab/rehearsal.hpp
+++ b/tools/experiment/rehearsal.hpp
@@ -9,17 +9,17 @@
 #include <string>
 #include <vector>
 
-#include "load/driver.hpp"
-#include "net/ask.hpp"
-#include "rig/child.hpp"
-#include "rig/wire.hpp"
-#include "rollout/roll.hpp"
-#include "standin/fleet.hpp"
+#include "load_generator/driver.hpp"
+#include "net/http_client.hpp"
+#include "fault_injection/child.hpp"
+#include "fault_injection/wire.hpp"
+#include "rollout/rollout_state_machine.hpp"
+#include "fake_upstream/fleet.hpp"
 
-namespace cressledge::lab {
+namespace cressledge::experiment {
 
-using core::Span;
-using core::Time;
+using base::Duration;
+using base::Timestamp;
 
 struct Scene {
     std::string program, faulty;  // cressledge, and the program with faults
@@ -35,7 +35,7 @@
 
 class Rehearsal {
 public:
-    Rehearsal(net::Loop& loop, core::Deadlines& deadlines, const Scene& scene);
+    Rehearsal(net::Loop& loop, base::TimerQueue& timers, const Scene& scene);
     ~Rehearsal();
 
     void up();  // until every process is ready; then load. Throws std::runtime_error
@@ -45,18 +45,18 @@
     // Writes a plan; its path. `change` as in the plan's file.
     std::string plan(const std::string& name, const std::string& change);
     // A controller at work on a plan, and until it has ended; its status, -1: by a signal, -2: not within `most_s`.
-    std::unique_ptr<rig::Child> start(const std::string& plan);
-    int wait(rig::Child& controller, double most_s);
+    std::unique_ptr<fault_injection::Child> start(const std::string& plan);
+    int wait(fault_injection::Child& controller, double most_s);
     nlohmann::json report(const std::string& plan) const;  // null: there is none
 
     std::vector<nlohmann::json> processes();  // of every supervisor that answers
     // What the state in the folder says of each process and does not hold; empty: all is as it says. `ended`: and nothing is under way.
     std::string astray(const std::string& plan, bool ended);
-    std::optional<rollout::State> state(const std::string& plan) const;
+    std::optional<rollout::RolloutState> state(const std::string& plan) const;
 
-    load::Driver& driver() { return *driver_; }
-    standin::Fleet& servers() { return *servers_; }
-    rig::Wire& wire(std::size_t supervisor) { return *wires_[supervisor]; }
+    load_generator::Driver& driver() { return *driver_; }
+    fake_upstream::Fleet& servers() { return *servers_; }
+    fault_injection::Wire& wire(std::size_t supervisor) { return *wires_[supervisor]; }
     // Whether every request had one answer: nothing lost, nothing doubled, nothing open. Stops the load.
     std::string settle(double most_s);
     double met() const;  // share of the requests that processes of another program than the first answered
@@ -67,18 +67,18 @@
     std::string file(const std::string& name) const { return scene_.folder + '/' + name; }
     void watch();
     net::Loop& loop_;
-    core::Deadlines& deadlines_;
+    base::TimerQueue& timers_;
     const Scene scene_;
-    net::Asks asks_;
-    std::unique_ptr<standin::Fleet> servers_;
-    std::vector<std::unique_ptr<rig::Child>> children_;
+    net::HttpClient asks_;
+    std::unique_ptr<fake_upstream::Fleet> servers_;
+    std::vector<std::unique_ptr<fault_injection::Child>> children_;
     std::vector<std::string> controls_;  // of the supervisors themselves
-    std::vector<std::unique_ptr<rig::Wire>> wires_;  // as controllers reach them
-    std::unique_ptr<load::Driver> driver_;
+    std::vector<std::unique_ptr<fault_injection::Wire>> wires_;  // as controllers reach them
+    std::unique_ptr<load_generator::Driver> driver_;
     std::vector<std::string> ids_;  // by door
     std::set<std::string> others_;  // processes of another program, as last seen
-    core::Deadlines::Handle watch_ = 0;
+    base::TimerQueue::Handle watch_ = 0;
     std::uint64_t met_ = 0, all_ = 0;
 };
 
-}  // namespace cressledge::lab
+}  // namespace cressledge::experiment
--- a/src/lab/servers.cpp
+++ b/tools/experiment/servers.cpp
@@ -1,41 +1,41 @@
-#include "lab/servers.hpp"
+#include "experiment/servers.hpp"
 
 #include <csignal>
 #include <cstdio>
 #include <iostream>
 #include <stdexcept>
 
-#include "standin/fleet.hpp"
+#include "fake_upstream/fleet.hpp"
 
-namespace cressledge::lab {
+namespace cressledge::experiment {
 namespace {
 
 using nlohmann::json;
 
-standin::Plan plan_of(const Experiment& e) {
-    standin::Plan p;
+fake_upstream::Plan plan_of(const Experiment& e) {
+    fake_upstream::Plan p;
     for (std::size_t i = 0; i < e.servers; ++i) {
-        standin::Nature n = e.nature;
+        fake_upstream::Nature n = e.nature;
         n.slots = e.places(i);
         n.expects = e.round_trip;
         p.servers.push_back(n);
         // Addresses of their own: what the processes bind is above 127.0.
         p.addresses.push_back("127.0." + std::to_string(1 + i / 250) + '.' + std::to_string(1 + i % 250) + ":0");
     }
-    for (const load::Kind& k : e.kinds)
+    for (const load_generator::Kind& k : e.kinds)
         if (k.once) p.once.insert(k.name);
     p.seed = e.seed;
     return p;
 }
 
-json obey(standin::Fleet& fleet, const json& command) {
+json obey(fake_upstream::Fleet& fleet, const json& command) {
     const std::string what = command.at("do");
     const auto each = [&](const auto& act) {
         for (const std::size_t s : command.at("servers")) act(s);
     };
     if (what == "slow") each([&](std::size_t s) { fleet.slow(s, command.at("by")); });
     else if (what == "fail" || what == "mend") each([&](std::size_t s) { fleet.fail(s, what == "fail"); });
-    else if (what == "restart") each([&](std::size_t s) { fleet.restart(s, Span(static_cast<std::int64_t>(command.at("for_s").get<double>() * 1e6))); });
+    else if (what == "restart") each([&](std::size_t s) { fleet.restart(s, Duration(static_cast<std::int64_t>(command.at("for_s").get<double>() * 1e6))); });
     else if (what == "observe") fleet.observe(command.at("on"));
     else if (what != "report") throw std::invalid_argument("no such command");
     if (what != "report") return {{"done", what}};
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-nlohmann::ordered_json json_of(const standin::Evenness& e) {
+nlohmann::ordered_json json_of(const fake_upstream::Evenness& e) {
     const auto brief = [](double x) { return std::round(x * 1e4) / 1e4; };
     nlohmann::ordered_json j = {{"worst_p99", brief(e.worst_p99)}, {"worst_max", brief(e.worst_max)}, {"worst_mean", brief(e.worst_mean)},
                                 {"variation", brief(e.variation)}, {"idle", e.idle}, {"looks", e.looks},
@@ -67,14 +67,14 @@
 }
 
 int serve_stand_ins(const Experiment& e) {
-    core::Deadlines deadlines;
-    net::Loop loop(deadlines);
-    standin::Fleet fleet(loop, deadlines, plan_of(e));
+    base::TimerQueue timers;
+    net::Loop loop(timers);
+    fake_upstream::Fleet fleet(loop, timers, plan_of(e));
     struct Input {
         uv_pipe_t pipe{};
         std::string got;
         char buffer[4096];
-        standin::Fleet* fleet = nullptr;
+        fake_upstream::Fleet* fleet = nullptr;
         net::Loop* loop = nullptr;
     } input;
     input.fleet = &fleet;
@@ -107,8 +107,8 @@
     return 0;
 }
 
-Servers::Servers(net::Loop& loop, core::Deadlines& deadlines, const std::string& program, const std::string& file)
-    : loop_(loop), deadlines_(deadlines), buffer_(65536) {
+Servers::Servers(net::Loop& loop, base::TimerQueue& timers, const std::string& program, const std::string& file)
+    : loop_(loop), timers_(timers), buffer_(65536) {
     uv_pipe_init(loop.uv(), &in_, 0);
     uv_pipe_init(loop.uv(), &out_, 0);
     for (uv_handle_t* h : {reinterpret_cast<uv_handle_t*>(&in_), reinterpret_cast<uv_handle_t*>(&out_),
@@ -149,18 +149,18 @@
 
 Servers::~Servers() {
     if (pid_ != 0) uv_process_kill(&process_, SIGKILL);
-    while (pid_ != 0) loop_.turn(true);
+    while (pid_ != 0) loop_.run_once(true);
     for (uv_handle_t* h : {reinterpret_cast<uv_handle_t*>(&in_), reinterpret_cast<uv_handle_t*>(&out_),
                            reinterpret_cast<uv_handle_t*>(&process_)}) {
         ++closing_;
         uv_close(h, [](uv_handle_t* closed) { --static_cast<Servers*>(closed->data)->closing_; });
     }
-    while (closing_ > 0) loop_.turn(true);
+    while (closing_ > 0) loop_.run_once(true);
 }
 
 json Servers::next() {
-    const Time end = loop_.unix_now() + Span(10'000'000);
-    core::Deadlines::Handle bound = deadlines_.at(end, [] {});
+    const Timestamp end = loop_.unix_now() + Duration(10'000'000);
+    base::TimerQueue::Handle bound = timers_.schedule(end, [] {});
     for (;;) {
         const std::size_t line = got_.find('\n');
         if (line != std::string::npos) {
@@ -170,13 +170,13 @@
                 --owed_;
                 continue;
             }
-            deadlines_.cancel(bound);
+            timers_.cancel(bound);
             return j;
         }
         if (pid_ == 0 || loop_.unix_now() >= end) break;
-        loop_.turn(true);
+        loop_.run_once(true);
     }
-    deadlines_.cancel(bound);
+    timers_.cancel(bound);
     return {};
 }
 
@@ -198,4 +198,4 @@
     return next();
 }
 
-}  // namespace cressledge::lab
+}  // namespace cressledge::experiment
--- a/src/lab/servers.hpp
+++ b/tools/experiment/servers.hpp
@@ -8,17 +8,17 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "lab/experiment.hpp"
+#include "experiment/experiment.hpp"
 #include "net/loop.hpp"
 
-namespace cressledge::lab {
+namespace cressledge::experiment {
 
 int serve_stand_ins(const Experiment& e);  // the child: until its input ends
 
 class Servers {
 public:
     // Starts `program` as the child for the experiment in `file`.
-    Servers(net::Loop& loop, core::Deadlines& deadlines, const std::string& program, const std::string& file);
+    Servers(net::Loop& loop, base::TimerQueue& timers, const std::string& program, const std::string& file);
     ~Servers();  // ends the child and waits for it
     Servers(const Servers&) = delete;
     Servers& operator=(const Servers&) = delete;
@@ -33,7 +33,7 @@
     void write(const nlohmann::json& command);
     nlohmann::json next();
     net::Loop& loop_;
-    core::Deadlines& deadlines_;
+    base::TimerQueue& timers_;
     uv_process_t process_{};
     uv_pipe_t in_{}, out_{};
     std::string got_;
@@ -44,6 +44,6 @@
     std::vector<std::string> addresses_;
 };
 
-nlohmann::ordered_json json_of(const standin::Evenness& e);
+nlohmann::ordered_json json_of(const fake_upstream::Evenness& e);
 
-}  // namespace cressledge::lab
+}  // namespace cressledge::experiment
--- a/src/lab/trial.cpp
+++ b/tools/experiment/trial.cpp
@@ -1,14 +1,14 @@
-#include "lab/trial.hpp"
+#include "experiment/trial.hpp"
 
 #include <csignal>
 #include <stdexcept>
 
-#include "gossip/port.hpp"
-#include "lab/servers.hpp"
-#include "load/driver.hpp"
-#include "rig/crowd.hpp"
+#include "gossip/transport.hpp"
+#include "experiment/servers.hpp"
+#include "load_generator/driver.hpp"
+#include "fault_injection/crowd.hpp"
 
-namespace cressledge::lab {
+namespace cressledge::experiment {
 namespace {
 
 using nlohmann::ordered_json;
@@ -16,7 +16,7 @@
 constexpr double say_every_s = 5.0, drain_s = 30.0;
 constexpr std::size_t seeds = 3;
 
-Span span(double s) { return Span(std::llround(s * 1e6)); }
+Duration span(double s) { return Duration(std::llround(s * 1e6)); }
 double brief(double x) { return std::round(x * 1e4) / 1e4; }
 
 ordered_json about(const Experiment& e, const char* how) {
@@ -36,38 +36,38 @@
 class Trial {
 public:
     Trial(const Experiment& e, const Where& where)
-        : e_(e), where_(where), servers_(loop_, deadlines_, where.self, where.file), crowd_(loop_, deadlines_, plan()),
-          driver_(loop_, deadlines_, load::Arrivals(e.rate_s(), e.bursty ? 10 : 1, e.kinds, e.seed), 20'000) {}
+        : e_(e), where_(where), servers_(loop_, timers_, where.self, where.file), crowd_(loop_, timers_, plan()),
+          driver_(loop_, timers_, load_generator::Arrivals(e.rate_s(), e.bursty ? 10 : 1, e.kinds, e.seed), 20'000) {}
 
     ordered_json run() {
         // Told to end, it takes the processes that it has started with it.
         for (const int signal : {SIGINT, SIGTERM}) loop_.on_signal(signal, [this] { stopped_ = true; });
         while (crowd_.size() < e_.processes) add();
         settle();
-        if (e_.gossip_loss > 0.0) crowd_.relay().harm({e_.gossip_loss, 0.0, Span(0), Span(0)});
+        if (e_.gossip_loss > 0.0) crowd_.relay().harm({e_.gossip_loss, 0.0, Duration(0), Duration(0)});
         doors();
         driver_.start();
         wait(e_.warm_up_s, "warming up");
         servers_.ask({{"do", "observe"}, {"on", true}});
         driver_.forget();
-        std::vector<core::Deadlines::Handle> handles;
+        std::vector<base::TimerQueue::Handle> handles;
         for (const emulator::Trouble& t : e_.troubles)
-            handles.push_back(deadlines_.at(loop_.unix_now() + span(t.at_s), [this, &t] { meet(t); }));
+            handles.push_back(timers_.schedule(loop_.unix_now() + span(t.at_s), [this, &t] { meet(t); }));
         const auto probes_before = crowd_.sum("upstream.load_probes");
         wait(e_.seconds, "measuring");
         servers_.ask({{"do", "observe"}, {"on", false}});
         const auto probes = crowd_.sum("upstream.load_probes") - probes_before;
         driver_.stop();
-        const Time end = loop_.unix_now() + span(drain_s);
-        while (driver_.open() > 0 && loop_.unix_now() < end) crowd_.run(loop_.unix_now() + Span(50'000));
+        const Timestamp end = loop_.unix_now() + span(drain_s);
+        while (driver_.open() > 0 && loop_.unix_now() < end) crowd_.run(loop_.unix_now() + Duration(50'000));
         const auto seen = servers_.ask({{"do", "report"}});
         if (!seen.is_object()) throw std::runtime_error("no report from the stand-in servers");
         ordered_json j = about(e_, "real processes");
-        const load::Record all = driver_.total();
+        const load_generator::Record all = driver_.total();
         const ordered_json even = seen["evenness"];
         const double n = std::max(1.0, static_cast<double>(all.all()));
         j["figures"] = figures(even, all.quantile_ms(0.5), all.quantile_ms(0.95), all.quantile_ms(0.99), all.quantile_ms(0.999),
-                               brief(1.0 - static_cast<double>(all.count(load::End::ok)) / n));
+                               brief(1.0 - static_cast<double>(all.count(load_generator::End::ok)) / n));
         j["figures"]["probes_a_call"] = brief(static_cast<double>(probes) / n);
         j["requests"] = {{"sent", driver_.sent()}, {"unsent", driver_.unsent()}, {"open_at_end", driver_.open()}};
         for (std::size_t k = 0; k < driver_.kinds().size(); ++k) j["classes"][driver_.kinds()[k].name] = driver_.records()[k].json();
@@ -80,8 +80,8 @@
     }
 
 private:
-    rig::Plan plan() {
-        rig::Plan p;
+    fault_injection::Plan plan() {
+        fault_injection::Plan p;
         p.program = where_.program;
         p.folder = where_.folder;
         p.fleet = "lab";
@@ -106,17 +106,17 @@
     }
     void doors() {
         std::vector<net::Address> all;
-        for (const std::size_t no : crowd_.all_running()) all.push_back(gossip::address(crowd_.door(no)));
+        for (const std::size_t no : crowd_.all_running()) all.push_back(gossip::to_address(crowd_.door(no)));
         driver_.doors(std::move(all));
     }
     void wait(double seconds, const char* what) {
-        const Time end = loop_.unix_now() + span(seconds);
+        const Timestamp end = loop_.unix_now() + span(seconds);
         while (loop_.unix_now() < end) {
             crowd_.run(std::min(end, loop_.unix_now() + span(0.25)));
             if (stopped_) throw std::runtime_error("told to end");
             if (!where_.progress || (loop_.unix_now() < next_line_ && loop_.unix_now() < end)) continue;
             next_line_ = loop_.unix_now() + span(say_every_s);
-            const load::Record all = driver_.total();
+            const load_generator::Record all = driver_.total();
             where_.progress(e_.name + ": " + what + ", " + std::to_string((end - loop_.unix_now()).count() / 1'000'000) + " s left, " +
                             std::to_string(all.all()) + " ended, " + std::to_string(driver_.open()) + " open, p99 " +
                             std::to_string(std::lround(all.quantile_ms(0.99))) + " ms");
@@ -141,20 +141,20 @@
             }
             case T::burst:
                 driver_.rate(driver_.rate() * t.by);
-                deadlines_.at(loop_.unix_now() + span(t.for_s), [this, by = t.by] { driver_.rate(driver_.rate() / by); });
+                timers_.schedule(loop_.unix_now() + span(t.for_s), [this, by = t.by] { driver_.rate(driver_.rate() / by); });
                 return;
         }
     }
 
     const Experiment e_;
     const Where where_;
-    core::Deadlines deadlines_;
-    net::Loop loop_{deadlines_};
+    base::TimerQueue timers_;
+    net::Loop loop_{timers_};
     Servers servers_;
-    rig::Crowd crowd_;
-    load::Driver driver_;
+    fault_injection::Crowd crowd_;
+    load_generator::Driver driver_;
     bool stopped_ = false;
-    Time next_line_{0};
+    Timestamp next_line_{0};
 };
 
 }  // namespace
@@ -164,7 +164,7 @@
         "cores: 1024\nmemory_kb: 1000000\nrequest_kb: 1\nstop_ms: 3000\nconnections: 1000\nadmission: {descriptors: 4096}\n"
         "routing: " + e.routing + "\nclasses:\n";
     // As much time as it takes: what is looked at is the spread, not what is given up.
-    for (const load::Kind& k : e.kinds)
+    for (const load_generator::Kind& k : e.kinds)
         text += "  - {name: " + k.name + ", effect: " + (k.once ? "unsafe" : "safe") + ", target_ms: 30000, deadline_ms: 60000}\n";
     return text;
 }
@@ -183,4 +183,4 @@
     return j;
 }
 
-}  // namespace cressledge::lab
+}  // namespace cressledge::experiment
--- a/src/lab/trial.hpp
+++ b/tools/experiment/trial.hpp
@@ -6,9 +6,9 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "lab/experiment.hpp"
+#include "experiment/experiment.hpp"
 
-namespace cressledge::lab {
+namespace cressledge::experiment {
 
 struct Where {
     std::string program;  // cressledge
@@ -26,4 +26,4 @@
 // nothing for want of it.
 std::string general_settings(const Experiment& e);
 
-}  // namespace cressledge::lab
+}  // namespace cressledge::experiment
--- a/src/standin/fleet.cpp
+++ b/tools/fake_upstream/fleet.cpp
@@ -1,10 +1,10 @@
-#include "standin/fleet.hpp"
+#include "fake_upstream/fleet.hpp"
 
 #include <http_parser.h>
 
-#include "balance/report.hpp"
+#include "load_balancing/load_reports.hpp"
 
-namespace cressledge::standin {
+namespace cressledge::fake_upstream {
 namespace {
 
 constexpr std::size_t most_accepts = 64, most_body = 64U << 10U;
@@ -64,7 +64,7 @@
         out.append(text);
         if (stream == nullptr) return;
         if (!stream->write(out)) return fleet_.gone(no);
-        if (!stays) stream->finish();
+        if (!stays) stream->shut_down_writes();
     }
 
 private:
@@ -75,15 +75,15 @@
 
 public:
     const std::size_t server;
-    core::SlotNo no = 0;
+    base::SlotId no = 0;
     net::Stream* stream = nullptr;
     std::string url, body;
     CallNo call = 0;  // that it waits for; 0: none
     bool whole = false, stays = false;
 };
 
-Fleet::Fleet(net::Loop& loop, core::Deadlines& deadlines, Plan plan)
-    : loop_(loop), deadlines_(deadlines), plan_(std::move(plan)), random_(plan_.seed, 5) {
+Fleet::Fleet(net::Loop& loop, base::TimerQueue& timers, Plan plan)
+    : loop_(loop), timers_(timers), plan_(std::move(plan)), random_(plan_.seed, 5) {
     for (const Nature& n : plan_.servers) queues_.emplace_back(n);
     listeners_.resize(queues_.size());
     ports_.resize(queues_.size());
@@ -92,10 +92,10 @@
 }
 
 Fleet::~Fleet() {
-    for (auto& [call, handle] : ends_) deadlines_.cancel(handle);
-    for (auto& [server, handle] : back_) deadlines_.cancel(handle);
-    deadlines_.cancel(look_);
-    deadlines_.cancel(sweep_);
+    for (auto& [call, handle] : ends_) timers_.cancel(handle);
+    for (auto& [server, handle] : back_) timers_.cancel(handle);
+    timers_.cancel(look_);
+    timers_.cancel(sweep_);
 }
 
 void Fleet::listen(std::size_t server) {
@@ -123,10 +123,10 @@
 
 void Fleet::read(Connection& c) {
     Queue& q = queues_[c.server];
-    const Time now = loop_.unix_now();
+    const Timestamp now = loop_.unix_now();
     if (c.url == "/healthz") {
         ++counts_.probes;
-        return c.answer(q.failing() ? "503 x" : "200 x", balance::report(q.probed(now)), "ok");
+        return c.answer(q.failing() ? "503 x" : "200 x", load_balancing::format_load_report(q.probed(now)), "ok");
     }
     ++counts_.calls;
     ++calls_[c.server];
@@ -138,29 +138,29 @@
 
 void Fleet::follow(std::size_t server, const std::optional<Queue::Begun>& begun) {
     if (!begun) return;
-    ends_[begun->call] = deadlines_.at(begun->ends, [this, server, call = begun->call] {
+    ends_[begun->call] = timers_.schedule(begun->ends, [this, server, call = begun->call] {
         ends_.erase(call);
-        const core::SlotNo no = open_[call];
+        const base::SlotId no = open_[call];
         leave(server, call);
         Connection* c = connections_.find(no);
         if (c == nullptr) return;
         c->call = 0;
         const bool bad = queues_[server].failing();
         ++(bad ? counts_.errors : counts_.answers);
-        c->answer(bad ? "500 x" : "200 x", balance::report(queues_[server].load()), bad ? "no" : "ok");
+        c->answer(bad ? "500 x" : "200 x", load_balancing::format_load_report(queues_[server].load()), bad ? "no" : "ok");
     });
 }
 
 void Fleet::leave(std::size_t server, CallNo call) {
     open_.erase(call);
     if (const auto it = ends_.find(call); it != ends_.end()) {
-        deadlines_.cancel(it->second);
+        timers_.cancel(it->second);
         ends_.erase(it);
     }
     follow(server, queues_[server].leave(loop_.unix_now(), call, random_));
 }
 
-void Fleet::gone(core::SlotNo no) {
+void Fleet::gone(base::SlotId no) {
     Connection* c = connections_.find(no);
     if (c == nullptr) return;
     if (c->call != 0) {
@@ -171,19 +171,19 @@
     if (c->stream != nullptr) std::exchange(c->stream, nullptr)->close();
     over_.push_back(no);
     if (sweep_ != 0) return;
-    sweep_ = deadlines_.at(Time(0), [this] {
+    sweep_ = timers_.schedule(Timestamp(0), [this] {
         sweep_ = 0;
-        for (const core::SlotNo over : std::exchange(over_, {})) connections_.erase(over);
+        for (const base::SlotId over : std::exchange(over_, {})) connections_.erase(over);
     });
 }
 
-void Fleet::restart(std::size_t server, Span gone_for) {
+void Fleet::restart(std::size_t server, Duration gone_for) {
     listeners_.at(server).reset();
-    for (const core::SlotNo no : connections_.numbers())
+    for (const base::SlotId no : connections_.ids())
         if (Connection* c = connections_.find(no); c->server == server) gone(no);
     auto& back = back_[server];
-    deadlines_.cancel(back);
-    back = deadlines_.at(loop_.unix_now() + gone_for, [this, server] {
+    timers_.cancel(back);
+    back = timers_.schedule(loop_.unix_now() + gone_for, [this, server] {
         back_.erase(server);
         queues_[server].restart(loop_.unix_now());
         listen(server);
@@ -191,7 +191,7 @@
 }
 
 void Fleet::observe(bool on) {
-    deadlines_.cancel(look_);
+    timers_.cancel(look_);
     look_ = 0;
     if (!on) return;
     observer_ = Observer();
@@ -201,8 +201,8 @@
 
 void Fleet::look() {
     // Every one that was due is taken, late or not: a figure over time counts moments, not turns of the loop.
-    for (const Time now = loop_.unix_now(); next_look_ <= now; next_look_ += look_every) observer_.look(queues_);
-    look_ = deadlines_.at(next_look_, [this] { look(); });
+    for (const Timestamp now = loop_.unix_now(); next_look_ <= now; next_look_ += look_every) observer_.look(queues_);
+    look_ = timers_.schedule(next_look_, [this] { look(); });
 }
 
-}  // namespace cressledge::standin
+}  // namespace cressledge::fake_upstream
--- a/src/standin/fleet.hpp
+++ b/tools/fake_upstream/fleet.hpp
@@ -1,5 +1,5 @@
 // A stand-in for the servers of an inventory: many HTTP/1.1 servers in one process, each a Queue on a listening socket of
-// its own, that say their load (balance::report) in their answers. They slow down, fail and restart cold on command.
+// its own, that say their load (load_balancing::report) in their answers. They slow down, fail and restart cold on command.
 #pragma once
 
 #include <map>
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
-#include "core/slots.hpp"
+#include "base/slot_map.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
-#include "standin/observer.hpp"
+#include "fake_upstream/observer.hpp"
 
-namespace cressledge::standin {
+namespace cressledge::fake_upstream {
 
 struct Plan {
     std::vector<Nature> servers;
@@ -24,7 +24,7 @@
 
 class Fleet {
 public:
-    Fleet(net::Loop& loop, core::Deadlines& deadlines, Plan plan);
+    Fleet(net::Loop& loop, base::TimerQueue& timers, Plan plan);
     ~Fleet();
     Fleet(const Fleet&) = delete;
     Fleet& operator=(const Fleet&) = delete;
@@ -33,7 +33,7 @@
     std::string address(std::size_t server) const;
     void slow(std::size_t server, double factor) { queues_.at(server).slow(factor); }
     void fail(std::size_t server, bool on) { queues_.at(server).fail(on); }
-    void restart(std::size_t server, Span gone_for);  // its connections break; it listens again, cold
+    void restart(std::size_t server, Duration gone_for);  // its connections break; it listens again, cold
     void observe(bool on);  // from now on; what was seen before is forgotten when it is turned on
 
     struct Counts {
@@ -54,28 +54,28 @@
     void follow(std::size_t server, const std::optional<Queue::Begun>& begun);
     void end(CallNo call);
     void leave(std::size_t server, CallNo call);
-    void gone(core::SlotNo no);
+    void gone(base::SlotId no);
     void look();
 
     net::Loop& loop_;
-    core::Deadlines& deadlines_;
+    base::TimerQueue& timers_;
     const Plan plan_;
     Random random_;
     std::vector<Queue> queues_;
     std::vector<std::unique_ptr<net::Listener>> listeners_;
     std::vector<int> ports_;
-    core::Slots<Connection> connections_;
-    std::map<CallNo, core::SlotNo> open_;  // calls that a connection waits for
-    std::map<CallNo, core::Deadlines::Handle> ends_;
-    std::map<std::size_t, core::Deadlines::Handle> back_;
+    base::SlotMap<Connection> connections_;
+    std::map<CallNo, base::SlotId> open_;  // calls that a connection waits for
+    std::map<CallNo, base::TimerQueue::Handle> ends_;
+    std::map<std::size_t, base::TimerQueue::Handle> back_;
     std::set<std::string> seen_;
     CallNo last_ = 0;
-    core::Deadlines::Handle look_ = 0, sweep_ = 0;
-    std::vector<core::SlotNo> over_;  // freed on the next turn: their own code may be on the stack
-    Time next_look_{0};
+    base::TimerQueue::Handle look_ = 0, sweep_ = 0;
+    std::vector<base::SlotId> over_;  // freed on the next turn: their own code may be on the stack
+    Timestamp next_look_{0};
     Observer observer_;
     Counts counts_;
     std::vector<std::uint64_t> calls_;
 };
 
-}  // namespace cressledge::standin
+}  // namespace cressledge::fake_upstream
--- a/src/standin/observer.cpp
+++ b/tools/fake_upstream/observer.cpp
@@ -1,10 +1,10 @@
-#include "standin/observer.hpp"
+#include "fake_upstream/observer.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <numeric>
 
-namespace cressledge::standin {
+namespace cressledge::fake_upstream {
 namespace {
 
 constexpr double look_s = static_cast<double>(look_every.count()) * 1e-6;
@@ -31,7 +31,7 @@
     std::size_t idle = 0;
     bool queues = false;
     for (const Queue& q : servers) {
-        const double share = q.load().share();
+        const double share = q.load().utilization();
         places += q.slots();
         all += static_cast<double>(q.in_flight());
         worst = std::max(worst, share);
@@ -50,7 +50,7 @@
     Evenness::Stretch& s = stretches_.back();
     worst_.push_back(all > 0.0 ? static_cast<float>(worst / mean) : 0.0F);
     for (std::size_t i = 0; i < servers.size(); ++i)
-        s.shares[i] += static_cast<float>(servers[i].load().share() / static_cast<double>(looks_a_stretch));
+        s.shares[i] += static_cast<float>(servers[i].load().utilization() / static_cast<double>(looks_a_stretch));
     s.mean += mean / static_cast<double>(looks_a_stretch);
     s.worst += static_cast<double>(worst_.back()) / static_cast<double>(looks_a_stretch);
     if (sum > 0.0) variation_ += std::sqrt(std::max(0.0, squares / n - sum / n * (sum / n))) / (sum / n);
@@ -74,4 +74,4 @@
     return e;
 }
 
-}  // namespace cressledge::standin
+}  // namespace cressledge::fake_upstream
--- a/src/standin/observer.hpp
+++ b/tools/fake_upstream/observer.hpp
@@ -5,9 +5,9 @@
 #include <cstddef>
 #include <vector>
 
-#include "standin/queue.hpp"
+#include "fake_upstream/queue.hpp"
 
-namespace cressledge::standin {
+namespace cressledge::fake_upstream {
 
 // Shares are calls in hand over places; `worst` is the busiest server's over that of all servers together.
 struct Evenness {
@@ -25,7 +25,7 @@
     double longest_over(double bound) const;
 };
 
-constexpr Span look_every{10'000};
+constexpr Duration look_every{10'000};
 constexpr std::size_t looks_a_stretch = 25;
 
 class Observer {
@@ -40,4 +40,4 @@
     std::vector<Evenness::Stretch> stretches_;
 };
 
-}  // namespace cressledge::standin
+}  // namespace cressledge::fake_upstream
--- a/src/standin/queue.cpp
+++ b/tools/fake_upstream/queue.cpp
@@ -1,18 +1,18 @@
-#include "standin/queue.hpp"
+#include "fake_upstream/queue.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <random>
 
-namespace cressledge::standin {
+namespace cressledge::fake_upstream {
 
-double Queue::speed(Time now) const {
+double Queue::speed(Timestamp now) const {
     if (!cold_since_ || now - *cold_since_ >= nature_.cold_for) return 1.0 / slow_;
     const double warm = static_cast<double>((now - *cold_since_).count()) / static_cast<double>(nature_.cold_for.count());
     return (nature_.cold_speed + (1.0 - nature_.cold_speed) * warm) / slow_;
 }
 
-Queue::Begun Queue::serve(Time now, CallNo call, Random& random) {
+Queue::Begun Queue::serve(Timestamp now, CallNo call, Random& random) {
     double s = nature_.mean_s;
     if (fails_)
         s = 0.001;
@@ -21,10 +21,10 @@
     else if (nature_.law == Law::lognormal)
         s = std::lognormal_distribution<>(std::log(nature_.mean_s) - 0.5 * std::log(2.0), std::sqrt(std::log(2.0)))(random);
     if (!fails_) s /= speed(now);
-    return {call, now + Span(std::max<std::int64_t>(1, std::llround(s * 1e6)))};
+    return {call, now + Duration(std::max<std::int64_t>(1, std::llround(s * 1e6)))};
 }
 
-std::optional<Queue::Begun> Queue::arrive(Time now, CallNo call, Random& random) {
+std::optional<Queue::Begun> Queue::arrive(Timestamp now, CallNo call, Random& random) {
     if (served_.size() >= nature_.slots) {
         waiting_.emplace_back(call, now);
         return std::nullopt;
@@ -33,7 +33,7 @@
     return serve(now, call, random);
 }
 
-std::optional<Queue::Begun> Queue::leave(Time now, CallNo call, Random& random) {
+std::optional<Queue::Begun> Queue::leave(Timestamp now, CallNo call, Random& random) {
     const auto it = served_.find(call);
     if (it == served_.end()) {
         std::erase_if(waiting_, [call](const auto& w) { return w.first == call; });
@@ -48,18 +48,18 @@
     return serve(now, next, random);
 }
 
-void Queue::restart(Time now) {
+void Queue::restart(Timestamp now) {
     served_.clear();
     waiting_.clear();
     latency_ = 0.0;
     cold_since_ = now;
 }
 
-balance::Load Queue::probed(Time now) {
-    balance::Load l = load();
-    l.in_flight += expected_.calls(now);
-    expected_.probed(now);
+load_balancing::LoadReport Queue::probed(Timestamp now) {
+    load_balancing::LoadReport l = load();
+    l.in_flight += expected_.expected_calls(now);
+    expected_.on_probe(now);
     return l;
 }
 
-}  // namespace cressledge::standin
+}  // namespace cressledge::fake_upstream
--- a/src/standin/queue.hpp
+++ b/tools/fake_upstream/queue.hpp
@@ -9,13 +9,13 @@
 #include <optional>
 #include <unordered_map>
 
-#include "balance/probes.hpp"
+#include "load_balancing/load_probes.hpp"
 
-namespace cressledge::standin {
+namespace cressledge::fake_upstream {
 
-using core::Span;
-using core::Time;
-using membership::Random;
+using base::Duration;
+using base::Timestamp;
+using upstream_health::Random;
 
 enum class Law { exponential, constant, lognormal };  // of service times; lognormal: of a coefficient of variation of 1
 
@@ -23,10 +23,10 @@
     unsigned slots = 8;  // calls at once, 1 or more
     double mean_s = 0.05;  // of a call's service at full speed
     Law law = Law::exponential;
-    Span cold_for{10'000'000};
+    Duration cold_for{10'000'000};
     double cold_speed = 0.2;  // above 0
-    // For its word on its load: calls that probes of the last moments may still bring (balance::Expected). 0: none.
-    Span expects{500};
+    // For its word on its load: calls that probes of the last moments may still bring (load_balancing::Expected). 0: none.
+    Duration expects{500};
     unsigned probes = 5;
 };
 
@@ -38,36 +38,36 @@
 
     struct Begun {
         CallNo call = 0;
-        Time ends{0};
+        Timestamp ends{0};
     };
     // A call has been read. None: it waits for a place.
-    std::optional<Begun> arrive(Time now, CallNo call, Random& random);
+    std::optional<Begun> arrive(Timestamp now, CallNo call, Random& random);
     // A call has ended, or nobody waits for it any more. The one that takes its place, if one does.
-    std::optional<Begun> leave(Time now, CallNo call, Random& random);
+    std::optional<Begun> leave(Timestamp now, CallNo call, Random& random);
     bool failing() const { return fails_; }  // its answers are errors, given in a millisecond
 
     void slow(double factor) { slow_ = factor; }  // 1: as it was
     void fail(bool on) { fails_ = on; }
     // It begins anew, cold, with nothing in hand.
-    void restart(Time now);
+    void restart(Timestamp now);
 
-    balance::Load load() const { return {static_cast<double>(in_flight()), static_cast<double>(nature_.slots), latency_}; }
-    balance::Load probed(Time now);  // its word to a probe
+    load_balancing::LoadReport load() const { return {static_cast<double>(in_flight()), static_cast<double>(nature_.slots), latency_}; }
+    load_balancing::LoadReport probed(Timestamp now);  // its word to a probe
     std::size_t in_flight() const { return served_.size() + waiting_.size(); }
     unsigned slots() const { return nature_.slots; }
     bool queues() const { return !waiting_.empty(); }
 
 private:
-    Begun serve(Time now, CallNo call, Random& random);
-    double speed(Time now) const;
+    Begun serve(Timestamp now, CallNo call, Random& random);
+    double speed(Timestamp now) const;
 
     Nature nature_;
-    balance::Expected expected_;
-    std::unordered_map<CallNo, Time> served_;  // and when each was read
-    std::deque<std::pair<CallNo, Time>> waiting_;
+    load_balancing::ExpectedCallEstimator expected_;
+    std::unordered_map<CallNo, Timestamp> served_;  // and when each was read
+    std::deque<std::pair<CallNo, Timestamp>> waiting_;
     double slow_ = 1.0, latency_ = 0.0;
     bool fails_ = false;
-    std::optional<Time> cold_since_;
+    std::optional<Timestamp> cold_since_;
 };
 
-}  // namespace cressledge::standin
+}  // namespace cressledge::fake_upstream
--- a/src/rig/child.cpp
+++ b/tools/fault_injection/child.cpp
@@ -1,4 +1,4 @@
-#include "rig/child.hpp"
+#include "fault_injection/child.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -6,7 +6,7 @@
 
 #include <stdexcept>
 
-namespace cressledge::rig {
+namespace cressledge::fault_injection {
 
 Child::Child(net::Loop& loop, const std::vector<std::string>& words, const std::string& log) : loop_(loop) {
     std::vector<char*> argv;
@@ -32,15 +32,15 @@
     running_ = bad == 0;
     if (bad == 0) return;
     uv_close(reinterpret_cast<uv_handle_t*>(&handle_), [](uv_handle_t* h) { static_cast<Child*>(h->data)->closed_ = true; });
-    while (!closed_) loop_.turn(true);
+    while (!closed_) loop_.run_once(true);
     throw std::runtime_error(words[0] + ": " + uv_strerror(bad));
 }
 
 Child::~Child() {
     signal(SIGKILL);
-    while (running_) loop_.turn(true);
+    while (running_) loop_.run_once(true);
     uv_close(reinterpret_cast<uv_handle_t*>(&handle_), [](uv_handle_t* h) { static_cast<Child*>(h->data)->closed_ = true; });
-    while (!closed_) loop_.turn(true);
+    while (!closed_) loop_.run_once(true);
 }
 
-}  // namespace cressledge::rig
+}  // namespace cressledge::fault_injection
--- a/src/rig/child.hpp
+++ b/tools/fault_injection/child.hpp
@@ -8,7 +8,7 @@
 
 #include "net/loop.hpp"
 
-namespace cressledge::rig {
+namespace cressledge::fault_injection {
 
 class Child {
 public:
@@ -30,4 +30,4 @@
     int status_ = 0;
 };
 
-}  // namespace cressledge::rig
+}  // namespace cressledge::fault_injection
--- a/src/rig/crowd.cpp
+++ b/tools/fault_injection/crowd.cpp
@@ -1,4 +1,4 @@
-#include "rig/crowd.hpp"
+#include "fault_injection/crowd.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -11,12 +11,12 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "gossip/port.hpp"
+#include "gossip/transport.hpp"
 
-namespace cressledge::rig {
+namespace cressledge::fault_injection {
 namespace {
 
-constexpr Span answer_within{2'000'000}, look_every{50'000};
+constexpr Duration answer_within{2'000'000}, look_every{50'000};
 
 // 127.x.y.z, one for each use of each process, and others for rigs that run beside this one: a port that was free a
 // moment ago is taken by nobody else.
@@ -27,9 +27,9 @@
 
 }  // namespace
 
-Crowd::Crowd(net::Loop& loop, core::Deadlines& deadlines, const Plan& plan)
-    : loop_(loop), deadlines_(deadlines), plan_(plan), asks_(loop, deadlines) {
-    if (plan.relay) relay_ = std::make_unique<Relay>(loop, deadlines, plan.fleet, plan.seed);
+Crowd::Crowd(net::Loop& loop, base::TimerQueue& timers, const Plan& plan)
+    : loop_(loop), timers_(timers), plan_(plan), asks_(loop, timers) {
+    if (plan.relay) relay_ = std::make_unique<Relay>(loop, timers, plan.fleet, plan.seed);
     std::ofstream(plan_.folder + "/servers.csv") << plan_.servers;
 }
 
@@ -38,11 +38,11 @@
         members_[no]->again = false;
         signal(no, SIGKILL);
     }
-    while (alive_ > 0) loop_.turn(true);
+    while (alive_ > 0) loop_.run_once(true);
 }
 
-fleet::Place Crowd::free_place(std::uint32_t ip) const {
-    const net::Address any = gossip::address({ip, 0});
+membership::Endpoint Crowd::free_place(std::uint32_t ip) const {
+    const net::Address any = gossip::to_address({ip, 0});
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in name{};
     socklen_t length = sizeof name;
@@ -55,10 +55,10 @@
 
 void Crowd::write_file(Member& m, const std::vector<std::size_t>& seeds) {
     std::string list;
-    for (const std::size_t s : seeds) list += (list.empty() ? "\"" : ", \"") + fleet::text(members_[s]->place) + '"';
-    std::ofstream(m.file) << "listen: {http: \"" << fleet::text(m.web) << "\", control: \""
-                          << fleet::text(m.control) << "\"}\ninventory: servers.csv\n" << plan_.general << "fleet:\n  name: " << plan_.fleet << "\n  id: " << m.id << "\n  gossip: " << fleet::text(m.own)
-                          << "\n  advertise: " << fleet::text(m.place) << "\n  seeds: [" << list
+    for (const std::size_t s : seeds) list += (list.empty() ? "\"" : ", \"") + membership::to_string(members_[s]->place) + '"';
+    std::ofstream(m.file) << "listen: {http: \"" << membership::to_string(m.web) << "\", control: \""
+                          << membership::to_string(m.control) << "\"}\ninventory: servers.csv\n" << plan_.general << "fleet:\n  name: " << plan_.fleet << "\n  id: " << m.id << "\n  gossip: " << membership::to_string(m.own)
+                          << "\n  advertise: " << membership::to_string(m.place) << "\n  seeds: [" << list
                           << "]\n  probe_ms: " << plan_.probe_ms << '\n' << plan_.more;
 }
 
@@ -68,7 +68,7 @@
     m->id = "n" + std::to_string(no);
     m->own = free_place(loopback(no, 0));
     m->control = free_place(loopback(no, 1));
-    m->web = plan_.doors ? free_place(loopback(no, 2)) : fleet::Place{loopback(no, 2), 0};
+    m->web = plan_.doors ? free_place(loopback(no, 2)) : membership::Endpoint{loopback(no, 2), 0};
     m->place = relay_ ? relay_->add(m->id, m->own, loopback(no, 3)) : m->own;
     m->file = plan_.folder + '/' + m->id + ".yaml";
     members_.push_back(std::move(m));
@@ -142,8 +142,8 @@
 }
 
 void Crowd::ask(std::size_t no, const std::string& path, std::function<void(const std::string&)> told) {
-    asks_.get(gossip::address(members_[no]->control), path, loop_.unix_now() + answer_within,
-              [told = std::move(told)](const net::Asks::Reply& r) { told(r.status == 200 ? r.body : std::string()); });
+    asks_.get(gossip::to_address(members_[no]->control), path, loop_.unix_now() + answer_within,
+              [told = std::move(told)](const net::HttpClient::Response& r) { told(r.status == 200 ? r.body : std::string()); });
 }
 
 std::vector<std::size_t> Crowd::all_running() const {
@@ -153,19 +153,19 @@
     return all;
 }
 
-void Crowd::run(Time until) {
-    core::Deadlines::Handle end = deadlines_.at(until, [] {});
-    while (loop_.unix_now() < until) loop_.turn(true);
-    deadlines_.cancel(end);
+void Crowd::run(Timestamp until) {
+    base::TimerQueue::Handle end = timers_.schedule(until, [] {});
+    while (loop_.unix_now() < until) loop_.run_once(true);
+    timers_.cancel(end);
 }
 
-std::vector<std::optional<Time>> Crowd::until_seen(const std::vector<std::size_t>& whom,
-                                                   const std::vector<std::size_t>& expected, Time bound) {
+std::vector<std::optional<Timestamp>> Crowd::until_seen(const std::vector<std::size_t>& whom,
+                                                   const std::vector<std::size_t>& expected, Timestamp bound) {
     std::uint64_t digest = 0;
-    for (const std::size_t no : expected) digest += fleet::View::mark(members_[no]->id, members_[no]->place);
+    for (const std::size_t no : expected) digest += membership::MembershipTable::member_digest(members_[no]->id, members_[no]->place);
     const std::string want = fmt::format("{:016x}", digest);
     struct Looks {
-        std::vector<std::optional<Time>> seen;
+        std::vector<std::optional<Timestamp>> seen;
         std::vector<bool> asking;
         std::size_t missing = 0;
     };
@@ -191,7 +191,7 @@
     return looks->seen;
 }
 
-bool Crowd::agreed(Span within) {
+bool Crowd::agreed(Duration within) {
     const auto all = all_running();
     const auto seen = until_seen(all, all, loop_.unix_now() + within);
     return std::all_of(seen.begin(), seen.end(), [](const auto& s) { return s.has_value(); });
@@ -201,7 +201,7 @@
     std::map<std::string, std::uint64_t> all;
     auto done = std::make_shared<std::optional<std::string>>();
     ask(no, "/v1/metrics", [done](const std::string& body) { *done = body; });
-    while (!*done) loop_.turn(true);
+    while (!*done) loop_.run_once(true);
     for (std::size_t at = 0; at < (*done)->size();) {
         const std::size_t end = std::min((*done)->find('\n', at), (*done)->size());
         const std::string line = (*done)->substr(at, end - at);
@@ -218,4 +218,4 @@
     return n;
 }
 
-}  // namespace cressledge::rig
+}  // namespace cressledge::fault_injection
--- a/src/rig/crowd.hpp
+++ b/tools/fault_injection/crowd.hpp
@@ -12,12 +12,12 @@
 #include <string>
 #include <vector>
 
-#include "fleet/view.hpp"
-#include "net/ask.hpp"
+#include "membership/membership_table.hpp"
+#include "net/http_client.hpp"
 #include "net/loop.hpp"
-#include "rig/relay.hpp"
+#include "fault_injection/relay.hpp"
 
-namespace cressledge::rig {
+namespace cressledge::fault_injection {
 
 struct Plan {
     std::string program;  // the path of cressledge
@@ -37,7 +37,7 @@
 
 class Crowd {
 public:
-    Crowd(net::Loop& loop, core::Deadlines& deadlines, const Plan& plan);
+    Crowd(net::Loop& loop, base::TimerQueue& timers, const Plan& plan);
     ~Crowd();  // kills what runs still, and waits for it
     Crowd(const Crowd&) = delete;
     Crowd& operator=(const Crowd&) = delete;
@@ -45,25 +45,25 @@
     std::size_t add(const std::vector<std::size_t>& seeds);  // a process that is started; its number
     void start(std::size_t no);  // again: the same id and addresses
     void restart(std::size_t no);  // SIGKILL, and started again once it has ended
-    fleet::Place door(std::size_t no) const { return members_[no]->web; }
+    membership::Endpoint door(std::size_t no) const { return members_[no]->web; }
     const std::string& file(std::size_t no) const { return members_[no]->file; }
-    fleet::Place control(std::size_t no) const { return members_[no]->control; }
+    membership::Endpoint control(std::size_t no) const { return members_[no]->control; }
     pid_t pid(std::size_t no) const { return members_[no]->pid; }
     void signal(std::size_t no, int signal);
     std::size_t size() const { return members_.size(); }
     const std::string& id(std::size_t no) const { return members_[no]->id; }
-    fleet::Place place(std::size_t no) const { return members_[no]->place; }
+    membership::Endpoint place(std::size_t no) const { return members_[no]->place; }
     bool running(std::size_t no) const { return members_[no]->running; }
     std::size_t crashes() const { return crashes_; }  // processes that ended though nobody here told them to
     Relay& relay() { return *relay_; }
 
     // Turns the loop until every process of `whom` says it sees exactly `expected` alive and nobody suspect, or until
     // `bound`. When each was first seen to say so; none: it was not.
-    std::vector<std::optional<Time>> until_seen(const std::vector<std::size_t>& whom,
-                                                const std::vector<std::size_t>& expected, Time bound);
-    bool agreed(Span within);  // all that run, of all that run
+    std::vector<std::optional<Timestamp>> until_seen(const std::vector<std::size_t>& whom,
+                                                const std::vector<std::size_t>& expected, Timestamp bound);
+    bool agreed(Duration within);  // all that run, of all that run
     std::vector<std::size_t> all_running() const;
-    void run(Time until);
+    void run(Timestamp until);
     // The figures of one process; empty: no answer.
     std::map<std::string, std::uint64_t> figures(std::size_t no);
     std::uint64_t sum(const std::string& figure);  // over all that run
@@ -71,23 +71,23 @@
 private:
     struct Member {
         std::string id;
-        fleet::Place place, own, control, web;
+        membership::Endpoint place, own, control, web;
         std::string file;
         pid_t pid = 0;
         bool running = false, expected_to_end = false, again = false;
     };
-    fleet::Place free_place(std::uint32_t ip) const;
+    membership::Endpoint free_place(std::uint32_t ip) const;
     void write_file(Member& m, const std::vector<std::size_t>& seeds);
     void ended(pid_t pid);
     void ask(std::size_t no, const std::string& path, std::function<void(const std::string&)> told);
 
     net::Loop& loop_;
-    core::Deadlines& deadlines_;
+    base::TimerQueue& timers_;
     const Plan plan_;
     std::unique_ptr<Relay> relay_;
     std::vector<std::unique_ptr<Member>> members_;
-    net::Asks asks_;
+    net::HttpClient asks_;
     std::size_t crashes_ = 0, alive_ = 0;
 };
 
-}  // namespace cressledge::rig
+}  // namespace cressledge::fault_injection
--- a/src/rig/relay.cpp
+++ b/tools/fault_injection/relay.cpp
@@ -1,8 +1,8 @@
-#include "rig/relay.hpp"
+#include "fault_injection/relay.hpp"
 
-#include "gossip/port.hpp"
+#include "gossip/transport.hpp"
 
-namespace cressledge::rig {
+namespace cressledge::fault_injection {
 
 // A connection through the relay: the accepted end, the dialled one, and what came before the link was known.
 class Relay::Pipe {
@@ -38,11 +38,11 @@
             return;
         }
         first.append(bytes);
-        if (far.stream != nullptr || first.size() < gossip::frame_head) return;
-        const std::size_t n = gossip::frame_length(first);
-        if (first.size() < n + gossip::frame_head) return;
-        const auto m = fleet::decode(std::string_view(first).substr(gossip::frame_head, n), relay.fleet_, fleet::most_exchange);
-        const auto* who = std::get_if<fleet::Message>(&m);
+        if (far.stream != nullptr || first.size() < gossip::frame_header_bytes) return;
+        const std::size_t n = gossip::decode_frame_length(first);
+        if (first.size() < n + gossip::frame_header_bytes) return;
+        const auto m = membership::decode(std::string_view(first).substr(gossip::frame_header_bytes, n), relay.fleet_, membership::max_exchange_bytes);
+        const auto* who = std::get_if<membership::Message>(&m);
         const auto sender = who == nullptr ? relay.numbers_.end() : relay.numbers_.find(who->sender.id);
         const bool through = sender != relay.numbers_.end() && relay.cuts_.count({sender->second, to}) == 0 &&
                              relay.cuts_.count({to, sender->second}) == 0;
@@ -51,31 +51,31 @@
             return relay.end(no);
         }
         ++relay.counts_.connections;
-        far.stream = net::Stream::dial(relay.loop_.uv(), gossip::address(relay.processes_[to]->own), far);
+        far.stream = net::Stream::connect(relay.loop_.uv(), gossip::to_address(relay.processes_[to]->own), far);
         if (far.stream == nullptr) relay.end(no);
     }
 
     Relay& relay;
     const std::size_t to;
-    core::SlotNo no = 0;
+    base::SlotId no = 0;
     End near, far;
     std::string first;
     bool far_open = false;
 };
 
-Relay::Relay(net::Loop& loop, core::Deadlines& deadlines, std::string fleet, std::uint64_t seed)
-    : loop_(loop), deadlines_(deadlines), fleet_(std::move(fleet)), random_(seed) {}
+Relay::Relay(net::Loop& loop, base::TimerQueue& timers, std::string fleet, std::uint64_t seed)
+    : loop_(loop), timers_(timers), fleet_(std::move(fleet)), random_(seed) {}
 
 Relay::~Relay() {
-    for (core::Deadlines::Handle h : delayed_) deadlines_.cancel(h);
+    for (base::TimerQueue::Handle h : delayed_) timers_.cancel(h);
 }
 
-fleet::Place Relay::add(const std::string& id, const fleet::Place& own, std::uint32_t ip) {
+membership::Endpoint Relay::add(const std::string& id, const membership::Endpoint& own, std::uint32_t ip) {
     const std::size_t no = processes_.size();
     auto p = std::make_unique<Process>();
     p->id = id;
     p->own = own;
-    gossip::Port port = gossip::open_port(
+    gossip::GossipTransport port = gossip::open_transport(
         loop_.uv(), {ip, 0}, [this, no](std::string_view b, const net::Address& from) { heard(no, b, from); },
         [this, no] { accept(no); });
     p->datagrams = std::move(port.datagrams);
@@ -83,7 +83,7 @@
     numbers_[id] = no;
     owners_[own] = no;
     processes_.push_back(std::move(p));
-    return port.where;
+    return port.local_endpoint;
 }
 
 void Relay::harm(const Harm& all) {
@@ -102,7 +102,7 @@
 void Relay::heal() { cuts_.clear(); }
 
 void Relay::heard(std::size_t to, std::string_view bytes, const net::Address& from) {
-    const auto sender = owners_.find(gossip::place(from));
+    const auto sender = owners_.find(gossip::to_endpoint(from));
     if (sender == owners_.end()) {
         ++counts_.strangers;
         return;
@@ -122,13 +122,13 @@
     const bool twice = chance() < h.twice;
     counts_.doubled += twice ? 1 : 0;
     for (int copy = twice ? 2 : 1; copy > 0; --copy) {
-        if (h.most <= Span(0)) {
+        if (h.most <= Duration(0)) {
             pass(link.first, to, std::string(bytes));
             continue;
         }
-        const Span delay = h.least + Span(static_cast<std::int64_t>(chance() * static_cast<double>((h.most - h.least).count())));
-        auto handle = std::make_shared<core::Deadlines::Handle>(0);
-        *handle = deadlines_.at(loop_.unix_now() + delay, [this, link, handle, b = std::string(bytes)] {
+        const Duration delay = h.least + Duration(static_cast<std::int64_t>(chance() * static_cast<double>((h.most - h.least).count())));
+        auto handle = std::make_shared<base::TimerQueue::Handle>(0);
+        *handle = timers_.schedule(loop_.unix_now() + delay, [this, link, handle, b = std::string(bytes)] {
             delayed_.erase(*handle);
             pass(link.first, link.second, b);
         });
@@ -138,7 +138,7 @@
 
 void Relay::pass(std::size_t from, std::size_t to, const std::string& bytes) {
     ++counts_.passed;
-    processes_[from]->datagrams->send(gossip::address(processes_[to]->own), bytes);
+    processes_[from]->datagrams->send(gossip::to_address(processes_[to]->own), bytes);
 }
 
 void Relay::accept(std::size_t to) {
@@ -149,6 +149,6 @@
     if (pipe->near.stream == nullptr) pipes_.erase(pipe->no);
 }
 
-void Relay::end(core::SlotNo no) { pipes_.erase(no); }
+void Relay::end(base::SlotId no) { pipes_.erase(no); }
 
-}  // namespace cressledge::rig
+}  // namespace cressledge::fault_injection
--- a/src/rig/relay.hpp
+++ b/tools/fault_injection/relay.hpp
@@ -13,19 +13,19 @@
 
 #include <pcg_random.hpp>
 
-#include "core/slots.hpp"
-#include "fleet/message.hpp"
-#include "net/datagrams.hpp"
+#include "base/slot_map.hpp"
+#include "membership/message.hpp"
+#include "net/udp_socket.hpp"
 #include "net/loop.hpp"
 
-namespace cressledge::rig {
+namespace cressledge::fault_injection {
 
-using core::Span;
-using core::Time;
+using base::Duration;
+using base::Timestamp;
 
 struct Harm {  // of one link, one way; shares of the datagrams
     double loss = 0.0, twice = 0.0;
-    Span least{0}, most{0};  // delay, by chance between the two: what is delayed less overtakes
+    Duration least{0}, most{0};  // delay, by chance between the two: what is delayed less overtakes
 };
 
 class Relay {
@@ -33,13 +33,13 @@
     struct Counts {
         std::uint64_t passed = 0, lost = 0, doubled = 0, cut = 0, strangers = 0, connections = 0, refused = 0;
     };
-    Relay(net::Loop& loop, core::Deadlines& deadlines, std::string fleet, std::uint64_t seed);
+    Relay(net::Loop& loop, base::TimerQueue& timers, std::string fleet, std::uint64_t seed);
     ~Relay();
     Relay(const Relay&) = delete;
     Relay& operator=(const Relay&) = delete;
 
     // A process by its id, which binds `own`; gives the address it advertises, on `ip`.
-    fleet::Place add(const std::string& id, const fleet::Place& own, std::uint32_t ip);
+    membership::Endpoint add(const std::string& id, const membership::Endpoint& own, std::uint32_t ip);
     void harm(const Harm& all);  // every link, until the next call
     void harm(const std::string& from, const std::string& to, const Harm& one);
     void cut(const std::string& from, const std::string& to);  // one way
@@ -51,8 +51,8 @@
     class Pipe;
     struct Process {
         std::string id;
-        fleet::Place own;
-        std::unique_ptr<net::Datagrams> datagrams;
+        membership::Endpoint own;
+        std::unique_ptr<net::UdpSocket> datagrams;
         std::unique_ptr<net::Listener> listener;
     };
     using Link = std::pair<std::size_t, std::size_t>;
@@ -60,21 +60,21 @@
     void heard(std::size_t to, std::string_view bytes, const net::Address& from);
     void pass(std::size_t from, std::size_t to, const std::string& bytes);
     void accept(std::size_t to);
-    void end(core::SlotNo no);
+    void end(base::SlotId no);
 
     net::Loop& loop_;
-    core::Deadlines& deadlines_;
+    base::TimerQueue& timers_;
     const std::string fleet_;
     pcg32 random_;
     std::vector<std::unique_ptr<Process>> processes_;
     std::map<std::string, std::size_t> numbers_;
-    std::map<fleet::Place, std::size_t> owners_;
+    std::map<membership::Endpoint, std::size_t> owners_;
     Harm all_;
     std::map<Link, Harm> harms_;
     std::set<Link> cuts_;
-    std::set<core::Deadlines::Handle> delayed_;
-    core::Slots<Pipe> pipes_;
+    std::set<base::TimerQueue::Handle> delayed_;
+    base::SlotMap<Pipe> pipes_;
     Counts counts_;
 };
 
-}  // namespace cressledge::rig
+}  // namespace cressledge::fault_injection
--- a/src/rig/wire.cpp
+++ b/tools/fault_injection/wire.cpp
@@ -1,9 +1,9 @@
-#include "rig/wire.hpp"
+#include "fault_injection/wire.hpp"
 
 #include <utility>
 #include <vector>
 
-namespace cressledge::rig {
+namespace cressledge::fault_injection {
 
 class Wire::Pair {
 public:
@@ -40,22 +40,22 @@
         if (std::exchange(over, true)) return;
         wire.over_.push_back(no);
         if (wire.sweep_ != 0) return;
-        wire.sweep_ = wire.deadlines_.at(core::Time(0), [w = &wire] {
+        wire.sweep_ = wire.timers_.schedule(base::Timestamp(0), [w = &wire] {
             w->sweep_ = 0;
-            for (const core::SlotNo gone : std::exchange(w->over_, {})) w->pairs_.erase(gone);
+            for (const base::SlotId gone : std::exchange(w->over_, {})) w->pairs_.erase(gone);
         });
     }
     Wire& wire;
-    core::SlotNo no = 0;
+    base::SlotId no = 0;
     End near, far;
     bool over = false;
 };
 
-Wire::Wire(net::Loop& loop, core::Deadlines& deadlines, const net::Address& to, std::uint64_t seed)
-    : loop_(loop), deadlines_(deadlines), to_(to), random_(seed, 29),
+Wire::Wire(net::Loop& loop, base::TimerQueue& timers, const net::Address& to, std::uint64_t seed)
+    : loop_(loop), timers_(timers), to_(to), random_(seed, 29),
       listener_(loop.uv(), *net::Address::parse("127.0.0.1:0"), [this] { take(); }) {}
 
-Wire::~Wire() { deadlines_.cancel(sweep_); }
+Wire::~Wire() { timers_.cancel(sweep_); }
 
 void Wire::take() {
     auto made = std::make_unique<Pair>(*this);
@@ -69,7 +69,7 @@
     if (cut_) return;  // it hangs
     if (lost) return p.end();
     ++passed_;
-    p.far.stream = net::Stream::dial(loop_.uv(), to_, p.far);
+    p.far.stream = net::Stream::connect(loop_.uv(), to_, p.far);
     if (p.far.stream == nullptr) p.end();
 }
 
@@ -77,7 +77,7 @@
     cut_ = on;
     if (on) return;
     // What hung is broken off: its caller asks again.
-    for (const core::SlotNo no : pairs_.numbers()) pairs_.find(no)->end();
+    for (const base::SlotId no : pairs_.ids()) pairs_.find(no)->end();
 }
 
-}  // namespace cressledge::rig
+}  // namespace cressledge::fault_injection
--- a/src/rig/wire.hpp
+++ b/tools/fault_injection/wire.hpp
@@ -9,15 +9,15 @@
 
 #include <pcg_random.hpp>
 
-#include "core/slots.hpp"
+#include "base/slot_map.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
 
-namespace cressledge::rig {
+namespace cressledge::fault_injection {
 
 class Wire {
 public:
-    Wire(net::Loop& loop, core::Deadlines& deadlines, const net::Address& to, std::uint64_t seed);
+    Wire(net::Loop& loop, base::TimerQueue& timers, const net::Address& to, std::uint64_t seed);
     ~Wire();
     std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
     void cut(bool on);
@@ -29,16 +29,16 @@
     class Pair;
     void take();
     net::Loop& loop_;
-    core::Deadlines& deadlines_;
+    base::TimerQueue& timers_;
     const net::Address to_;
     pcg32 random_;
-    core::Slots<Pair> pairs_;
-    std::vector<core::SlotNo> over_;
-    core::Deadlines::Handle sweep_ = 0;
+    base::SlotMap<Pair> pairs_;
+    std::vector<base::SlotId> over_;
+    base::TimerQueue::Handle sweep_ = 0;
     double loss_ = 0.0;
     bool cut_ = false;
     std::uint64_t passed_ = 0, harmed_ = 0;
     net::Listener listener_;
 };
 
-}  // namespace cressledge::rig
+}  // namespace cressledge::fault_injection
--- a/src/load/arrivals.hpp
+++ b/tools/load_generator/arrivals.hpp
@@ -8,12 +8,12 @@
 
 #include <pcg_random.hpp>
 
-#include "core/deadlines.hpp"
+#include "base/timer_queue.hpp"
 
-namespace cressledge::load {
+namespace cressledge::load_generator {
 
-using core::Span;
-using core::Time;
+using base::Duration;
+using base::Timestamp;
 
 struct Kind {
     std::string name;
@@ -32,8 +32,8 @@
     void rate(double rate_s) { rate_ = rate_s; }
     double rate() const { return rate_; }
     // The moment of the next run after one at `after`; at least a microsecond later.
-    Time next(Time after) {
-        return after + Span(std::max<std::int64_t>(1, std::llround(-std::log(uniform()) * run_ / rate_ * 1e6)));
+    Timestamp next(Timestamp after) {
+        return after + Duration(std::max<std::int64_t>(1, std::llround(-std::log(uniform()) * run_ / rate_ * 1e6)));
     }
     unsigned run() const { return run_; }
     std::size_t kind() {  // of one request
@@ -54,4 +54,4 @@
     double shares_ = 0.0;
 };
 
-}  // namespace cressledge::load
+}  // namespace cressledge::load_generator
--- a/src/load/driver.cpp
+++ b/tools/load_generator/driver.cpp
@@ -1,13 +1,13 @@
-#include "load/driver.hpp"
+#include "load_generator/driver.hpp"
 
 #include <http_parser.h>
 
 #include <algorithm>
 
-namespace cressledge::load {
+namespace cressledge::load_generator {
 namespace {
 
-constexpr Span rests_for{2'000'000};  // a connection that has nothing to do
+constexpr Duration rests_for{2'000'000};  // a connection that has nothing to do
 
 std::uint64_t key(const net::Address& a) {
     const auto& in = reinterpret_cast<const sockaddr_in&>(a.raw);
@@ -37,7 +37,7 @@
         };
     }
     ~Connection() override {
-        driver_.deadlines_.cancel(rest);
+        driver_.timers_.cancel(rest);
         if (stream != nullptr) std::exchange(stream, nullptr)->close();
     }
     void ask(const std::string& text) {
@@ -74,31 +74,31 @@
 public:
     const net::Address door;
     std::size_t door_no = 0;
-    core::SlotNo no = 0;
+    base::SlotId no = 0;
     net::Stream* stream = nullptr;
     std::string request;
     std::size_t kind = 0;
-    Time due{0};
-    core::Deadlines::Handle rest = 0;
+    Timestamp due{0};
+    base::TimerQueue::Handle rest = 0;
     bool open = false, busy = false, whole = false, stays = false;
 };
 
-Driver::Driver(net::Loop& loop, core::Deadlines& deadlines, Arrivals arrivals, std::size_t most)
-    : loop_(loop), deadlines_(deadlines), arrivals_(std::move(arrivals)), most_(most), records_(arrivals_.kinds().size()) {}
+Driver::Driver(net::Loop& loop, base::TimerQueue& timers, Arrivals arrivals, std::size_t most)
+    : loop_(loop), timers_(timers), arrivals_(std::move(arrivals)), most_(most), records_(arrivals_.kinds().size()) {}
 
 Driver::~Driver() {
-    deadlines_.cancel(next_);
-    deadlines_.cancel(sweep_);
+    timers_.cancel(next_);
+    timers_.cancel(sweep_);
 }
 
 void Driver::start() {
     on_ = true;
     due_ = arrivals_.next(loop_.unix_now());
-    next_ = deadlines_.at(due_, [this] { come(); });
+    next_ = timers_.schedule(due_, [this] { come(); });
 }
 void Driver::stop() {
     on_ = false;
-    deadlines_.cancel(next_);
+    timers_.cancel(next_);
 }
 void Driver::forget() {
     counted_from_ = loop_.unix_now();
@@ -112,12 +112,12 @@
 }
 
 void Driver::come() {
-    for (const Time now = loop_.unix_now(); on_ && due_ <= now; due_ = arrivals_.next(due_))
+    for (const Timestamp now = loop_.unix_now(); on_ && due_ <= now; due_ = arrivals_.next(due_))
         for (unsigned k = 0; k < arrivals_.run(); ++k) send(due_);
-    if (on_) next_ = deadlines_.at(due_, [this] { come(); });
+    if (on_) next_ = timers_.schedule(due_, [this] { come(); });
 }
 
-void Driver::send(Time due) {
+void Driver::send(Timestamp due) {
     if (doors_.empty()) return;
     const std::size_t kind = arrivals_.kind(), where = arrivals_.pick(static_cast<std::uint32_t>(doors_.size()));
     const net::Address& door = doors_[where];
@@ -126,7 +126,7 @@
     if (auto& idle = idle_[key(door)]; !idle.empty()) {
         c = connections_.find(idle.back());
         idle.pop_back();
-        deadlines_.cancel(c->rest);
+        timers_.cancel(c->rest);
     }
     if (c == nullptr && connections_.size() >= most_) {
         ++unsent_;
@@ -148,7 +148,7 @@
                              std::to_string(body.size()) + "\r\n\r\n" + body;
     if (c->stream == nullptr) {
         c->request = text;
-        c->stream = net::Stream::dial(loop_.uv(), door, *c);
+        c->stream = net::Stream::connect(loop_.uv(), door, *c);
         if (c->stream == nullptr) ended(*c, End::lost);
         return;
     }
@@ -159,24 +159,24 @@
     if (!c.busy) return;
     c.busy = false;
     --waiting_;
-    const Span took = loop_.unix_now() - c.due;
+    const Duration took = loop_.unix_now() - c.due;
     if (c.due >= counted_from_) {
         records_[c.kind].add(end, took);
         if (on_end) on_end(c.kind, c.door_no, end, took);
     }
     if (!c.stays || c.stream == nullptr) return drop(c.no);
     idle_[key(c.door)].push_back(c.no);
-    c.rest = deadlines_.at(loop_.unix_now() + rests_for, [this, no = c.no] { drop(no); });
+    c.rest = timers_.schedule(loop_.unix_now() + rests_for, [this, no = c.no] { drop(no); });
 }
 
-void Driver::drop(core::SlotNo no) {
+void Driver::drop(base::SlotId no) {
     if (Connection* c = connections_.find(no); c != nullptr) std::erase(idle_[key(c->door)], no);
     over_.push_back(no);
     if (sweep_ != 0) return;
-    sweep_ = deadlines_.at(Time(0), [this] {
+    sweep_ = timers_.schedule(Timestamp(0), [this] {
         sweep_ = 0;
-        for (const core::SlotNo over : std::exchange(over_, {})) connections_.erase(over);
+        for (const base::SlotId over : std::exchange(over_, {})) connections_.erase(over);
     });
 }
 
-}  // namespace cressledge::load
+}  // namespace cressledge::load_generator
--- a/src/load/driver.hpp
+++ b/tools/load_generator/driver.hpp
@@ -9,17 +9,17 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/slots.hpp"
-#include "load/arrivals.hpp"
-#include "load/record.hpp"
+#include "base/slot_map.hpp"
+#include "load_generator/arrivals.hpp"
+#include "load_generator/record.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
 
-namespace cressledge::load {
+namespace cressledge::load_generator {
 
 class Driver {
 public:
-    Driver(net::Loop& loop, core::Deadlines& deadlines, Arrivals arrivals, std::size_t most = 8192);
+    Driver(net::Loop& loop, base::TimerQueue& timers, Arrivals arrivals, std::size_t most = 8192);
     ~Driver();
     Driver(const Driver&) = delete;
     Driver& operator=(const Driver&) = delete;
@@ -37,30 +37,30 @@
     const std::vector<Kind>& kinds() const { return arrivals_.kinds(); }
     Record total() const;
     // Called for each request that has ended, with its class, its door's place and what became of it.
-    std::function<void(std::size_t kind, std::size_t door, End end, Span took)> on_end;
+    std::function<void(std::size_t kind, std::size_t door, End end, Duration took)> on_end;
 
 private:
     class Connection;
     void come();
-    void send(Time due);
+    void send(Timestamp due);
     void ended(Connection& c, End end);
-    void drop(core::SlotNo no);
+    void drop(base::SlotId no);
 
     net::Loop& loop_;
-    core::Deadlines& deadlines_;
+    base::TimerQueue& timers_;
     Arrivals arrivals_;
     const std::size_t most_;
     std::vector<net::Address> doors_;
-    core::Slots<Connection> connections_;
-    std::unordered_map<std::uint64_t, std::vector<core::SlotNo>> idle_;  // by door; used last comes last
-    std::vector<core::SlotNo> over_;  // freed on the next turn: their own code may be on the stack
-    core::Deadlines::Handle sweep_ = 0;
+    base::SlotMap<Connection> connections_;
+    std::unordered_map<std::uint64_t, std::vector<base::SlotId>> idle_;  // by door; used last comes last
+    std::vector<base::SlotId> over_;  // freed on the next turn: their own code may be on the stack
+    base::TimerQueue::Handle sweep_ = 0;
     std::vector<Record> records_;
-    core::Deadlines::Handle next_ = 0;
-    Time due_{0}, counted_from_{0};
+    base::TimerQueue::Handle next_ = 0;
+    Timestamp due_{0}, counted_from_{0};
     std::uint64_t sent_ = 0, unsent_ = 0, serial_ = 0;
     std::size_t waiting_ = 0;
     bool on_ = false;
 };
 
-}  // namespace cressledge::load
+}  // namespace cressledge::load_generator
--- a/src/load/record.cpp
+++ b/tools/load_generator/record.cpp
@@ -1,10 +1,10 @@
-#include "load/record.hpp"
+#include "load_generator/record.hpp"
 
 #include <cmath>
 
-namespace cressledge::load {
+namespace cressledge::load_generator {
 
-void Record::add(End end, core::Span took) {
+void Record::add(End end, base::Duration took) {
     ++counts_[static_cast<std::size_t>(end)];
     if (end == End::ok) took_(static_cast<double>(took.count()) * 1e-3);
 }
@@ -43,4 +43,4 @@
     return j;
 }
 
-}  // namespace cressledge::load
+}  // namespace cressledge::load_generator
--- a/src/load/record.hpp
+++ b/tools/load_generator/record.hpp
@@ -7,15 +7,15 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "core/deadlines.hpp"
+#include "base/timer_queue.hpp"
 
-namespace cressledge::load {
+namespace cressledge::load_generator {
 
 enum class End { ok, refused, failed, out_of_time, lost };  // lost: the connection ended without an answer
 
 class Record {
 public:
-    void add(End end, core::Span took);
+    void add(End end, base::Duration took);
     void add(const Record& other);
     std::uint64_t count(End end) const { return counts_[static_cast<std::size_t>(end)]; }
     std::uint64_t all() const;
@@ -32,4 +32,4 @@
     std::uint64_t counts_[5] = {};
 };
 
-}  // namespace cressledge::load
+}  // namespace cressledge::load_generator
