--- a/bench/connection_limiter_bench.cpp
+++ b/bench/connection_limiter_bench.cpp
@@ -33,14 +33,18 @@
     const auto one = [&](std::uint32_t n) {
         now += Duration(20);
         const auto e = gate.admit_connection(now, IpAddress::from_v4(0x0a000000U + n), 0, 1);
-        if (e.rejected) state.SkipWithError("refused");
+        if (e.rejected)
+            state.SkipWithError("refused");
         gate.admit_request(now, e.slot_id);
         gate.on_response_sent(now, e.slot_id, true);
     };
-    for (std::uint32_t i = 0; i < sources; ++i) one(i);
+    for (std::uint32_t i = 0; i < sources; ++i)
+        one(i);
     const std::size_t bytes = gate.memory_bytes();
-    for (auto _ : state) one(static_cast<std::uint32_t>(random() % sources));
-    if (gate.memory_bytes() != bytes) state.SkipWithError("the memory has grown");
+    for (auto _ : state)
+        one(static_cast<std::uint32_t>(random() % sources));
+    if (gate.memory_bytes() != bytes)
+        state.SkipWithError("the memory has grown");
     state.counters["bytes"] = static_cast<double>(gate.memory_bytes());
     state.counters["known"] = static_cast<double>(gate.tracked_source_count());
 }
@@ -50,8 +54,10 @@
 void refuse_one(benchmark::State& state) {
     ConnectionLimiter gate = made(768, {768, 768, 50.0, 100.0});
     const Timestamp now{1'764'576'000'000'000};
-    for (int i = 0; i < 1'000; ++i) gate.admit_connection(now, IpAddress::from_v4(0x0a000001U), 0, 1);
-    for (auto _ : state) benchmark::DoNotOptimize(gate.admit_connection(now, IpAddress::from_v4(0x0a000001U), 0, 1));
+    for (int i = 0; i < 1'000; ++i)
+        gate.admit_connection(now, IpAddress::from_v4(0x0a000001U), 0, 1);
+    for (auto _ : state)
+        benchmark::DoNotOptimize(gate.admit_connection(now, IpAddress::from_v4(0x0a000001U), 0, 1));
 }
 BENCHMARK(refuse_one);
 
--- a/bench/gossip_sim.cpp
+++ b/bench/gossip_sim.cpp
@@ -19,7 +19,9 @@
 using emulator::Fleet;
 using membership::MemberState;
 
-base::Duration ms(std::int64_t n) { return base::Duration(n * 1000); }
+base::Duration ms(std::int64_t n) {
+    return base::Duration(n * 1000);
+}
 
 membership::MembershipSettings rules(std::int64_t probe) {
     membership::MembershipSettings r;
@@ -38,13 +40,16 @@
     f.run(from + ms(bound_ms), ms(10), [&] {
         std::size_t knowing = 0, running = 0;
         for (std::size_t i = 0; i < f.size(); ++i) {
-            if (i == no || !f.running(i)) continue;
+            if (i == no || !f.running(i))
+                continue;
             ++running;
             knowing += f.view(i).state_of(f.id(no)) == state;
         }
         const double at = static_cast<double>((f.now() - from).count()) / 1000.0;
-        if (knowing > 0 && s.first < 0) s.first = at;
-        if (knowing == running) s.all = at;
+        if (knowing > 0 && s.first < 0)
+            s.first = at;
+        if (knowing == running)
+            s.all = at;
         return knowing == running;
     });
     return s;
@@ -56,11 +61,13 @@
 }
 
 int sizes(std::size_t most, std::int64_t probe) {
-    std::printf("probe period %lld ms, no loss; times in ms, median (worst) over the repeats\n", static_cast<long long>(probe));
-    std::printf("%8s %8s %18s %18s %18s %18s %12s\n", "members", "repeats", "crash first", "crash all", "join all",
-                "leave all", "false deaths");
+    std::printf("probe period %lld ms, no loss; times in ms, median (worst) over the repeats\n",
+                static_cast<long long>(probe));
+    std::printf("%8s %8s %18s %18s %18s %18s %12s\n", "members", "repeats", "crash first", "crash all",
+                "join all", "leave all", "false deaths");
     for (const std::size_t n : {std::size_t{100}, std::size_t{1'000}, std::size_t{10'000}}) {
-        if (n > most) break;
+        if (n > most)
+            break;
         const int repeats = n >= 10'000 ? 3 : n >= 1'000 ? 10 : 20;
         std::vector<double> first, all, join, leave;
         Fleet f(n + 64, rules(probe), {}, 17);
@@ -78,10 +85,12 @@
         }
         const std::uint64_t wrong = f.false_deaths();
         const auto cell = [](const std::vector<double>& v) {
-            return std::to_string(std::lround(median(v))) + " (" + std::to_string(std::lround(*std::max_element(v.begin(), v.end()))) + ")";
+            return std::to_string(std::lround(median(v))) + " (" +
+                   std::to_string(std::lround(*std::max_element(v.begin(), v.end()))) + ")";
         };
-        std::printf("%8zu %8d %18s %18s %18s %18s %12llu\n", n, repeats, cell(first).c_str(), cell(all).c_str(),
-                    cell(join).c_str(), cell(leave).c_str(), static_cast<unsigned long long>(wrong));
+        std::printf("%8zu %8d %18s %18s %18s %18s %12llu\n", n, repeats, cell(first).c_str(),
+                    cell(all).c_str(), cell(join).c_str(), cell(leave).c_str(),
+                    static_cast<unsigned long long>(wrong));
         std::fflush(stdout);
     }
     return 0;
@@ -90,7 +99,8 @@
 int runs(int count, double loss, std::size_t n, std::int64_t probe) {
     std::uint64_t wrong = 0, bad = 0, suspicions = 0, refutations = 0;
     for (int seed = 1; seed <= count; ++seed) {
-        Fleet f(n + 4, rules(probe), {loss / 100.0, base::Duration(200), base::Duration(2'000)}, static_cast<std::uint64_t>(seed));
+        Fleet f(n + 4, rules(probe), {loss / 100.0, base::Duration(200), base::Duration(2'000)},
+                static_cast<std::uint64_t>(seed));
         f.start_agreed(n);
         f.run(f.now() + ms(10'000));
         f.crash(3);
@@ -98,13 +108,19 @@
         bad += !f.run(f.now() + ms(10'000), ms(50), [&] { return f.agreed(); });
         wrong += f.false_deaths();
         for (std::size_t i = 0; i < f.size(); ++i)
-            if (f.running(i)) suspicions += f.view(i).counters().suspicions_raised, refutations += f.view(i).counters().own_refutations;
-        if (seed % 100 == 0) std::fprintf(stderr, "%d runs, %llu false deaths\n", seed, static_cast<unsigned long long>(wrong));
+            if (f.running(i))
+                suspicions += f.view(i).counters().suspicions_raised,
+                    refutations += f.view(i).counters().own_refutations;
+        if (seed % 100 == 0)
+            std::fprintf(stderr, "%d runs, %llu false deaths\n", seed,
+                         static_cast<unsigned long long>(wrong));
     }
-    std::printf("%d seeded runs of %zu members at %.1f%% loss: %llu live members declared dead (in any view), %llu runs without "
-                "agreement 10 s after a crash and a join, %llu suspicions raised, %llu refuted by their subjects\n",
-                count, n, loss, static_cast<unsigned long long>(wrong), static_cast<unsigned long long>(bad),
-                static_cast<unsigned long long>(suspicions), static_cast<unsigned long long>(refutations));
+    std::printf(
+        "%d seeded runs of %zu members at %.1f%% loss: %llu live members declared dead (in any view), %llu "
+        "runs without "
+        "agreement 10 s after a crash and a join, %llu suspicions raised, %llu refuted by their subjects\n",
+        count, n, loss, static_cast<unsigned long long>(wrong), static_cast<unsigned long long>(bad),
+        static_cast<unsigned long long>(suspicions), static_cast<unsigned long long>(refutations));
     return wrong == 0 && bad == 0 ? 0 : 1;
 }
 
@@ -112,11 +128,13 @@
 double heartbeat(std::size_t n, std::int64_t probe) {
     membership::Message m;
     m.sender = {"n100", {1, 1}, 1, 0, MemberState::alive, {}};
-    return static_cast<double>((n - 1) * membership::max_encoded_size(m, 5)) * 1000.0 / static_cast<double>(probe);
+    return static_cast<double>((n - 1) * membership::max_encoded_size(m, 5)) * 1000.0 /
+           static_cast<double>(probe);
 }
 
 int bytes(std::int64_t probe) {
-    std::printf("bytes sent a process a second, quiet fleet, 120 s, probe period %lld ms\n", static_cast<long long>(probe));
+    std::printf("bytes sent a process a second, quiet fleet, 120 s, probe period %lld ms\n",
+                static_cast<long long>(probe));
     std::printf("%8s %12s %22s\n", "members", "gossip", "all-to-all heartbeat");
     for (const std::size_t n : {std::size_t{50}, std::size_t{200}, std::size_t{800}}) {
         Fleet f(n, rules(probe), {}, 23);
@@ -124,7 +142,8 @@
         f.run(f.now() + ms(5'000));
         const auto before = f.bytes();
         f.run(f.now() + ms(120'000));
-        std::printf("%8zu %12.0f %22.0f\n", n, static_cast<double>(f.bytes() - before) / 120.0 / static_cast<double>(n),
+        std::printf("%8zu %12.0f %22.0f\n", n,
+                    static_cast<double>(f.bytes() - before) / 120.0 / static_cast<double>(n),
                     heartbeat(n, probe));
     }
     return 0;
@@ -134,7 +153,8 @@
 
 int main(int argc, char** argv) {
     cxxopts::Options options("gossip_sim", "the gossip membership in an emulated fleet");
-    options.add_options()("what", "sizes, runs or bytes", cxxopts::value<std::string>()->default_value("sizes"))(
+    options.add_options()("what", "sizes, runs or bytes",
+                          cxxopts::value<std::string>()->default_value("sizes"))(
         "most", "sizes: the largest fleet", cxxopts::value<std::size_t>()->default_value("10000"))(
         "runs", "seeded runs", cxxopts::value<int>()->default_value("1000"))(
         "loss", "runs: percent of datagrams", cxxopts::value<double>()->default_value("1"))(
@@ -144,9 +164,13 @@
     const auto given = options.parse(argc, argv);
     const auto what = given["what"].as<std::string>();
     const auto probe = given["probe"].as<std::int64_t>();
-    if (what == "sizes") return sizes(given["most"].as<std::size_t>(), probe);
-    if (what == "runs") return runs(given["runs"].as<int>(), given["loss"].as<double>(), given["members"].as<std::size_t>(), probe);
-    if (what == "bytes") return bytes(probe);
+    if (what == "sizes")
+        return sizes(given["most"].as<std::size_t>(), probe);
+    if (what == "runs")
+        return runs(given["runs"].as<int>(), given["loss"].as<double>(), given["members"].as<std::size_t>(),
+                    probe);
+    if (what == "bytes")
+        return bytes(probe);
     std::fprintf(stderr, "gossip_sim: sizes, runs or bytes\n");
     return 2;
 }
--- a/bench/load_balancing_bench.cpp
+++ b/bench/load_balancing_bench.cpp
@@ -13,7 +13,8 @@
 void choose_of_five(benchmark::State& state) {
     load_balancing::WeightedSampler by;
     std::vector<double> capacities;
-    for (std::int64_t i = 0; i < state.range(0); ++i) capacities.push_back(static_cast<double>(1 << i % 3));
+    for (std::int64_t i = 0; i < state.range(0); ++i)
+        capacities.push_back(static_cast<double>(1 << i % 3));
     by.build(capacities);
     upstream_health::Random random(1);
     std::vector<std::uint32_t> asked;
@@ -21,7 +22,8 @@
     for (auto _ : state) {
         by.sample(random, 5, asked);
         answers.clear();
-        for (const std::uint32_t no : asked) answers.push_back({no, {static_cast<double>(no % 7), 4.0, 0.1}});
+        for (const std::uint32_t no : asked)
+            answers.push_back({no, {static_cast<double>(no % 7), 4.0, 0.1}});
         benchmark::DoNotOptimize(load_balancing::least_loaded(answers));
     }
     state.counters["bytes/server"] = sizeof(double) + sizeof(std::uint32_t);
@@ -45,7 +47,8 @@
         processes.push_back("p" + std::to_string(i));
         servers.push_back("s" + std::to_string(i));
     }
-    for (auto _ : state) benchmark::DoNotOptimize(load_balancing::assign_subsets(processes, servers, 20));
+    for (auto _ : state)
+        benchmark::DoNotOptimize(load_balancing::assign_subsets(processes, servers, 20));
 }
 
 BENCHMARK(choose_of_five)->RangeMultiplier(10)->Range(10, 10'000);
--- a/bench/load_spread_sim.cpp
+++ b/bench/load_spread_sim.cpp
@@ -16,15 +16,24 @@
 std::vector<Trouble> troubles(const std::string& name, const Spread& s) {
     const double at = s.seconds / 4;
     std::vector<std::size_t> third;
-    for (std::size_t i = 0; i < s.servers; i += 3) third.push_back(i);
-    if (name == "none") return {};
-    if (name == "slow") return {{at, Trouble::slow, {2}, 10.0, 0.0}};
-    if (name == "fails") return {{at, Trouble::fail, {1}, 1.0, 0.0}};
-    if (name == "burst") return {{at, Trouble::burst, {}, 2.0, 5.0}};
-    if (name == "cold") return {{at, Trouble::restart_servers, {2}, 1.0, 1.0}};
-    if (name == "restart") return {{at, Trouble::restart_processes, {}, 1.0, 0.0}};
-    if (name == "crowd") return {{at, Trouble::processes, {}, 300.0, 0.0}, {3 * at, Trouble::processes, {}, 50.0, 0.0}};
-    if (name == "dead") return {{at, Trouble::restart_servers, third, 1.0, 2.0}};
+    for (std::size_t i = 0; i < s.servers; i += 3)
+        third.push_back(i);
+    if (name == "none")
+        return {};
+    if (name == "slow")
+        return {{at, Trouble::slow, {2}, 10.0, 0.0}};
+    if (name == "fails")
+        return {{at, Trouble::fail, {1}, 1.0, 0.0}};
+    if (name == "burst")
+        return {{at, Trouble::burst, {}, 2.0, 5.0}};
+    if (name == "cold")
+        return {{at, Trouble::restart_servers, {2}, 1.0, 1.0}};
+    if (name == "restart")
+        return {{at, Trouble::restart_processes, {}, 1.0, 0.0}};
+    if (name == "crowd")
+        return {{at, Trouble::processes, {}, 300.0, 0.0}, {3 * at, Trouble::processes, {}, 50.0, 0.0}};
+    if (name == "dead")
+        return {{at, Trouble::restart_servers, third, 1.0, 2.0}};
     throw std::invalid_argument(name + ": no such trouble");
 }
 
@@ -32,7 +41,8 @@
 
 int main(int argc, char** argv) {
     cxxopts::Options options("spread_sim", "even load from partial views");
-    options.add_options()("processes", "balancing processes", cxxopts::value<std::size_t>()->default_value("300"))(
+    options.add_options()("processes", "balancing processes",
+                          cxxopts::value<std::size_t>()->default_value("300"))(
         "servers", "servers", cxxopts::value<std::size_t>()->default_value("300"))(
         "slots", "calls at once of a server of capacity 1", cxxopts::value<unsigned>()->default_value("16"))(
         "seconds", "after the warm-up of 3 s", cxxopts::value<double>()->default_value("10"))(
@@ -41,13 +51,15 @@
         "unexpected", "servers do not count the calls that late probes may bring")(
         "hot", "quantile, probe pool", cxxopts::value<double>()->default_value("0"))(
         "subset", "servers a process uses; 0: all", cxxopts::value<std::size_t>()->default_value("0"))(
-        "trouble", "none, slow, fails, burst, cold (a server restarts), restart (all processes), crowd (50, 300, 50 "
-                   "processes) or dead (a third of the servers gone for 2 s)",
-        cxxopts::value<std::string>()->default_value("none"))("seed", "", cxxopts::value<std::uint64_t>()->default_value("1"));
+        "trouble",
+        "none, slow, fails, burst, cold (a server restarts), restart (all processes), crowd (50, 300, 50 "
+        "processes) or dead (a third of the servers gone for 2 s)",
+        cxxopts::value<std::string>()->default_value("none"))(
+        "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"));
     try {
         const auto given = options.parse(argc, argv);
-        std::printf("%5s  %-24s %9s %9s %7s %8s %8s %8s %8s %9s %9s %7s\n", "load", "choice", "worst p99", "over 2 s", "cv",
-                    "idle", "p50 ms", "p99 ms", "x JSQ", "errors", "probes", "moved");
+        std::printf("%5s  %-24s %9s %9s %7s %8s %8s %8s %8s %9s %9s %7s\n", "load", "choice", "worst p99",
+                    "over 2 s", "cv", "idle", "p50 ms", "p99 ms", "x JSQ", "errors", "probes", "moved");
         for (const double load : given["load"].as<std::vector<double>>()) {
             Spread s;
             s.processes = given["processes"].as<std::size_t>();
@@ -61,18 +73,21 @@
             s.subset = given["subset"].as<std::size_t>();
             s.seed = given["seed"].as<std::uint64_t>();
             const auto trouble = given["trouble"].as<std::string>();
-            if (trouble == "crowd") s.processes = 50;
+            if (trouble == "crowd")
+                s.processes = 50;
             s.troubles = troubles(trouble, s);
             double best = 0.0;
-            for (const Choice c : {Choice::all_seen, Choice::random, Choice::round_robin, Choice::stale, Choice::own_two,
-                                   Choice::today, Choice::pool, Choice::probed}) {
+            for (const Choice c : {Choice::all_seen, Choice::random, Choice::round_robin, Choice::stale,
+                                   Choice::own_two, Choice::today, Choice::pool, Choice::probed}) {
                 s.choice = c;
                 const Outcome o = run(s);
-                if (c == Choice::all_seen) best = o.p99_ms;
-                std::printf("%4.0f%%  %-24s %9.3f %9.2f %7.3f %7.3f%% %8.1f %8.1f %8.2f %8.3f%% %9.2f %6.1f%%\n", load, word(c),
-                            o.even.worst_p99, o.even.longest_over(2.0), o.even.variation, 100.0 * o.even.idle, o.p50_ms,
-                            o.p99_ms, o.p99_ms / best, 100.0 * o.errors,
-                            static_cast<double>(o.probes) / static_cast<double>(o.calls), 100.0 * o.moved);
+                if (c == Choice::all_seen)
+                    best = o.p99_ms;
+                std::printf(
+                    "%4.0f%%  %-24s %9.3f %9.2f %7.3f %7.3f%% %8.1f %8.1f %8.2f %8.3f%% %9.2f %6.1f%%\n",
+                    load, word(c), o.even.worst_p99, o.even.longest_over(2.0), o.even.variation,
+                    100.0 * o.even.idle, o.p50_ms, o.p99_ms, o.p99_ms / best, 100.0 * o.errors,
+                    static_cast<double>(o.probes) / static_cast<double>(o.calls), 100.0 * o.moved);
                 std::fflush(stdout);
             }
         }
--- a/bench/membership_rig.cpp
+++ b/bench/membership_rig.cpp
@@ -37,15 +37,17 @@
     void wait(double seconds) { crowd.run(now() + Duration(static_cast<std::int64_t>(seconds * 1e6))); }
     std::size_t add() {
         std::vector<std::size_t> at;
-        for (std::size_t s = 0; s < std::min(seeds, crowd.size()); ++s) at.push_back(s);
+        for (std::size_t s = 0; s < std::min(seeds, crowd.size()); ++s)
+            at.push_back(s);
         return crowd.add(at);
     }
     // Ms from `since` until each of `whom` saw `expected`; reports median and worst, and who did not by the bound.
-    ordered_json spread(const std::vector<std::size_t>& whom, const std::vector<std::size_t>& expected, Timestamp since,
-                        double bound_s) {
+    ordered_json spread(const std::vector<std::size_t>& whom, const std::vector<std::size_t>& expected,
+                        Timestamp since, double bound_s) {
         std::vector<double> ms;
         std::size_t missing = 0;
-        for (const auto& s : crowd.until_seen(whom, expected, now() + Duration(static_cast<std::int64_t>(bound_s * 1e6)))) {
+        for (const auto& s :
+             crowd.until_seen(whom, expected, now() + Duration(static_cast<std::int64_t>(bound_s * 1e6)))) {
             if (s)
                 ms.push_back(static_cast<double>((*s - since).count()) / 1000.0);
             else
@@ -55,7 +57,8 @@
         ordered_json j;
         j["views"] = whom.size();
         j["not_agreed"] = missing;
-        if (!ms.empty()) j["median_ms"] = std::lround(ms[ms.size() / 2]), j["worst_ms"] = std::lround(ms.back());
+        if (!ms.empty())
+            j["median_ms"] = std::lround(ms[ms.size() / 2]), j["worst_ms"] = std::lround(ms.back());
         return j;
     }
     ordered_json spread(Timestamp since, double bound_s) {
@@ -65,7 +68,8 @@
     // Starts all and waits for them; the time counts from when the last process was started.
     void gather(std::size_t n) {
         const Timestamp from = now();
-        for (std::size_t i = 0; i < n; ++i) add();
+        for (std::size_t i = 0; i < n; ++i)
+            add();
         const Timestamp started = now();
         auto j = spread(started, 60);
         j["what"] = "join";
@@ -100,7 +104,10 @@
         r.say(j);
     }
     std::sort(worst.begin(), worst.end());
-    r.say({{"what", "kills"}, {"count", times}, {"median_ms", worst[worst.size() / 2]}, {"worst_ms", worst.back()},
+    r.say({{"what", "kills"},
+           {"count", times},
+           {"median_ms", worst[worst.size() / 2]},
+           {"worst_ms", worst.back()},
            {"not_agreed", std::count(worst.begin(), worst.end(), -1)}});
 }
 
@@ -108,17 +115,22 @@
     std::vector<long> worst;
     for (int k = 0; k < times; ++k) {
         const std::size_t goer = r.seeds + 40 + static_cast<std::size_t>(k);
-        if (goer >= r.crowd.size()) break;
+        if (goer >= r.crowd.size())
+            break;
         const Timestamp at = r.now();
         r.crowd.signal(goer, SIGTERM);
         worst.push_back(r.spread(at, 30).value("worst_ms", -1L));
     }
     std::sort(worst.begin(), worst.end());
-    r.say({{"what", "leaves"}, {"count", worst.size()}, {"median_ms", worst[worst.size() / 2]}, {"worst_ms", worst.back()}});
+    r.say({{"what", "leaves"},
+           {"count", worst.size()},
+           {"median_ms", worst[worst.size() / 2]},
+           {"worst_ms", worst.back()}});
 }
 
 void loss(Rig& r, double seconds, double share) {
-    const auto names = {"dead", "suspicions", "suspected", "refuted", "refutations", "standstills", "probes", "indirect_probes"};
+    const auto names = {"dead",        "suspicions",  "suspected", "refuted",
+                        "refutations", "standstills", "probes",    "indirect_probes"};
     r.crowd.relay().harm({share, 0.0, Duration(0), Duration(0)});
     const Timestamp end = r.now() + Duration(static_cast<std::int64_t>(seconds * 1e6));
     while (r.now() < end) {
@@ -143,7 +155,8 @@
     std::vector<std::size_t> halves[2];
     for (std::size_t i = 0; i < all.size(); ++i) {
         halves[i % 2].push_back(all[i]);
-        if (i % 2 == 0) names.insert(r.crowd.id(all[i]));
+        if (i % 2 == 0)
+            names.insert(r.crowd.id(all[i]));
     }
     const Timestamp cut = r.now();
     r.crowd.relay().part(names);
@@ -181,8 +194,11 @@
     for (std::size_t k = 0; k < gone; ++k) {
         r.crowd.signal(n - 1 - k, k % 2 == 0 ? SIGTERM : SIGKILL);
         r.add();
-        const Timestamp due = from + Duration(static_cast<std::int64_t>(seconds * 1e6 * static_cast<double>(k + 1) / static_cast<double>(gone)));
-        if (r.now() < due) r.crowd.run(due);
+        const Timestamp due =
+            from + Duration(static_cast<std::int64_t>(seconds * 1e6 * static_cast<double>(k + 1) /
+                                                      static_cast<double>(gone)));
+        if (r.now() < due)
+            r.crowd.run(due);
     }
     const Timestamp done = r.now();
     auto j = r.spread(done, 60);
@@ -198,12 +214,17 @@
     const Timestamp from = r.now();
     r.wait(seconds);
     const auto after = r.sums({"bytes_sent", "bytes_received", "datagrams_sent"});
-    const double s = static_cast<double>((r.now() - from).count()) / 1e6 * static_cast<double>(r.crowd.all_running().size());
+    const double s = static_cast<double>((r.now() - from).count()) / 1e6 *
+                     static_cast<double>(r.crowd.all_running().size());
     const auto rate = [&](const char* name) {
-        return std::lround(static_cast<double>(after[name].get<std::uint64_t>() - before[name].get<std::uint64_t>()) / s);
+        return std::lround(
+            static_cast<double>(after[name].get<std::uint64_t>() - before[name].get<std::uint64_t>()) / s);
     };
-    r.say({{"what", "bytes"}, {"processes", r.crowd.all_running().size()}, {"seconds", seconds},
-           {"sent_per_process_s", rate("bytes_sent")}, {"received_per_process_s", rate("bytes_received")},
+    r.say({{"what", "bytes"},
+           {"processes", r.crowd.all_running().size()},
+           {"seconds", seconds},
+           {"sent_per_process_s", rate("bytes_sent")},
+           {"received_per_process_s", rate("bytes_received")},
            {"datagrams_per_process_s", rate("datagrams_sent")}});
 }
 
@@ -211,16 +232,17 @@
 
 int main(int argc, char** argv) {
     cxxopts::Options options("fleet_rig", "many processes, with faults between them");
-    options.add_options()("what", "join, kill, leave, loss, partition, pause, replace, bytes; several may follow each other",
-                          cxxopts::value<std::vector<std::string>>())(
-        "n,processes", "how many", cxxopts::value<std::size_t>()->default_value("200"))(
+    options.add_options()(
+        "what", "join, kill, leave, loss, partition, pause, replace, bytes; several may follow each other",
+        cxxopts::value<std::vector<std::string>>())("n,processes", "how many",
+                                                    cxxopts::value<std::size_t>()->default_value("200"))(
         "program", "the program", cxxopts::value<std::string>()->default_value("build/cressledge"))(
         "probe", "probe period, ms", cxxopts::value<int>()->default_value("250"))(
         "seconds", "loss, partition, bytes: how long", cxxopts::value<double>()->default_value("30"))(
         "times", "kill, leave: how many", cxxopts::value<int>()->default_value("20"))(
         "loss", "share of datagrams lost", cxxopts::value<double>()->default_value("0.1"))(
-        "seed", "of the relay", cxxopts::value<std::uint64_t>()->default_value("1"))("keep", "a folder for files and logs",
-                                                                                      cxxopts::value<std::string>());
+        "seed", "of the relay", cxxopts::value<std::uint64_t>()->default_value("1"))(
+        "keep", "a folder for files and logs", cxxopts::value<std::string>());
     options.parse_positional({"what"});
     try {
         const auto given = options.parse(argc, argv);
@@ -237,18 +259,28 @@
             const double seconds = given["seconds"].as<double>();
             r.gather(given["processes"].as<std::size_t>());
             for (const std::string& what : given["what"].as<std::vector<std::string>>()) {
-                if (what == "kill") kills(r, given["times"].as<int>());
-                else if (what == "leave") leaves(r, given["times"].as<int>());
-                else if (what == "loss") loss(r, seconds, given["loss"].as<double>());
-                else if (what == "partition") partition(r, seconds);
-                else if (what == "pause") pause(r, 3.0);
-                else if (what == "replace") replace(r, 7.0);
-                else if (what == "bytes") bytes(r, seconds);
-                else if (what != "join") throw std::invalid_argument(what + ": no such scenario");
+                if (what == "kill")
+                    kills(r, given["times"].as<int>());
+                else if (what == "leave")
+                    leaves(r, given["times"].as<int>());
+                else if (what == "loss")
+                    loss(r, seconds, given["loss"].as<double>());
+                else if (what == "partition")
+                    partition(r, seconds);
+                else if (what == "pause")
+                    pause(r, 3.0);
+                else if (what == "replace")
+                    replace(r, 7.0);
+                else if (what == "bytes")
+                    bytes(r, seconds);
+                else if (what != "join")
+                    throw std::invalid_argument(what + ": no such scenario");
             }
-            if (r.crowd.crashes() > 0) r.say({{"what", "crashes"}, {"count", r.crowd.crashes()}});
+            if (r.crowd.crashes() > 0)
+                r.say({{"what", "crashes"}, {"count", r.crowd.crashes()}});
         }
-        if (!keep) std::filesystem::remove_all(plan.folder);
+        if (!keep)
+            std::filesystem::remove_all(plan.folder);
     } catch (const std::exception& e) {
         std::fprintf(stderr, "fleet_rig: %s\n", e.what());
         return 2;
--- a/bench/rollout_rig.cpp
+++ b/bench/rollout_rig.cpp
@@ -27,15 +27,19 @@
 ordered_json judged(experiment::Rehearsal& r, const std::string& plan, int status) {
     ordered_json j = {{"status", status}};
     const json report = r.report(plan);
-    if (!report.is_object()) return j;
+    if (!report.is_object())
+        return j;
     j["phase"] = report["phase"];
     j["why"] = report["why"];
     j["stages"] = report["stages"].size();
     j["holds"] = ordered_json::array();
     for (const auto& s : report["stages"])
-        for (const auto& h : s["holds"]) j["holds"].push_back(h.get<std::string>());
+        for (const auto& h : s["holds"])
+            j["holds"].push_back(h.get<std::string>());
     if (report["phase"] == "reverted")
-        j["reverted_after_ms"] = (report["samples"].back()["at_us"].get<std::int64_t>() - report["stages"].back()["ended_us"].get<std::int64_t>()) / 1000;
+        j["reverted_after_ms"] = (report["samples"].back()["at_us"].get<std::int64_t>() -
+                                  report["stages"].back()["ended_us"].get<std::int64_t>()) /
+                                 1000;
     return j;
 }
 
@@ -55,7 +59,8 @@
             r.wire(1).cut(true);
             r.run(6.0);
             r.wire(1).cut(false);
-            for (std::size_t s = 0; s < 4; ++s) r.wire(s).loss(0.1);
+            for (std::size_t s = 0; s < 4; ++s)
+                r.wire(s).loss(0.1);
         }
     }
     const int status = r.wait(*controller, most_s);
@@ -80,7 +85,8 @@
         std::string change = "{program: " + r.faulty(bad ? "never" : k % 8 == 2 ? "none" : "also-none") + '}';
         if (!program) {
             const std::string path = r.plan(name, "{}");
-            std::ofstream(path.substr(0, path.rfind('/') + 1) + settings) << "routing: {hedging: " << (k % 8 < 4 ? "true" : "false") << "}\n";
+            std::ofstream(path.substr(0, path.rfind('/') + 1) + settings)
+                << "routing: {hedging: " << (k % 8 < 4 ? "true" : "false") << "}\n";
             change = "{settings: " + settings + '}';
         }
         const std::string plan = r.plan(name, change);
@@ -98,22 +104,37 @@
         astray += mixed.empty() && end.empty() ? 0 : 1;
         done += status == 0 ? 1 : 0;
         reverted += status == 1 ? 1 : 0;
-        say({{"what", name}, {"killed_at_s", std::round(at * 100) / 100}, {"was_running", running}, {"status", status}, {"astray", mixed}, {"at_end", end}});
+        say({{"what", name},
+             {"killed_at_s", std::round(at * 100) / 100},
+             {"was_running", running},
+             {"status", status},
+             {"astray", mixed},
+             {"at_end", end}});
     }
-    say({{"what", "kills"}, {"times", times}, {"killed_while_running", resumed}, {"done", done}, {"reverted", reverted}, {"astray", astray}});
+    say({{"what", "kills"},
+         {"times", times},
+         {"killed_while_running", resumed},
+         {"done", done},
+         {"reverted", reverted},
+         {"astray", astray}});
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
     cxxopts::Options options("roll_rig", "rolls with real processes");
-    options.add_options()("what", "good, settings, tail, errors, crash, refusals, never, noise, cut, kills; several may follow each other",
-                          cxxopts::value<std::vector<std::string>>())("processes", "", cxxopts::value<std::size_t>()->default_value("20"))(
+    options.add_options()("what",
+                          "good, settings, tail, errors, crash, refusals, never, noise, cut, kills; several "
+                          "may follow each other",
+                          cxxopts::value<std::vector<std::string>>())(
+        "processes", "", cxxopts::value<std::size_t>()->default_value("20"))(
         "program", "", cxxopts::value<std::string>()->default_value("build/cressledge"))(
         "faulty", "", cxxopts::value<std::string>()->default_value("build-plain/cressledge_faulty"))(
         "rate", "requests a second", cxxopts::value<double>()->default_value("400"))(
-        "bake", "s", cxxopts::value<double>()->default_value("20"))("times", "kills: how many", cxxopts::value<int>()->default_value("50"))(
-        "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"))("keep", "a folder for files and logs", cxxopts::value<std::string>());
+        "bake", "s", cxxopts::value<double>()->default_value("20"))(
+        "times", "kills: how many", cxxopts::value<int>()->default_value("50"))(
+        "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"))(
+        "keep", "a folder for files and logs", cxxopts::value<std::string>());
     options.parse_positional({"what"});
     try {
         const auto given = options.parse(argc, argv);
@@ -143,15 +164,25 @@
             r.run(3.0);
             std::ofstream(scene.folder + "/good-settings.yaml") << "routing: {policy: probe-pool}\n";
             for (const std::string& what : all) {
-                if (what == "kills") kills(r, given["times"].as<int>(), scene.seed);
-                else if (what == "settings") one(r, what, "{settings: good-settings.yaml}", 600.0);
-                else if (what == "good" || what == "noise" || what == "cut") one(r, what, "{program: " + r.faulty(what == "good" ? "none" : what + "-none") + '}', 600.0);
-                else one(r, what, "{program: " + r.faulty(what) + '}', 600.0);
+                if (what == "kills")
+                    kills(r, given["times"].as<int>(), scene.seed);
+                else if (what == "settings")
+                    one(r, what, "{settings: good-settings.yaml}", 600.0);
+                else if (what == "good" || what == "noise" || what == "cut")
+                    one(r, what, "{program: " + r.faulty(what == "good" ? "none" : what + "-none") + '}',
+                        600.0);
+                else
+                    one(r, what, "{program: " + r.faulty(what) + '}', 600.0);
             }
             const std::string wrong = r.settle(15.0);
-            say({{"what", "all requests"}, {"sent", r.driver().sent()}, {"ended", r.driver().total().all()}, {"record", r.driver().total().json()}, {"wrong", wrong}});
+            say({{"what", "all requests"},
+                 {"sent", r.driver().sent()},
+                 {"ended", r.driver().total().all()},
+                 {"record", r.driver().total().json()},
+                 {"wrong", wrong}});
         }
-        if (!keep) std::filesystem::remove_all(scene.folder);
+        if (!keep)
+            std::filesystem::remove_all(scene.folder);
     } catch (const std::exception& e) {
         std::fprintf(stderr, "roll_rig: %s\n", e.what());
         return 2;
--- a/bench/rollout_sim.cpp
+++ b/bench/rollout_sim.cpp
@@ -27,24 +27,31 @@
 int main(int argc, char** argv) {
     cxxopts::Options options("roll_sim", "emulated rolls");
     options.add_options()("rolls", "of each case", cxxopts::value<std::uint64_t>()->default_value("1000"))(
-        "processes", "", cxxopts::value<std::size_t>()->default_value("300"))("jobs", "at a time", cxxopts::value<unsigned>()->default_value("4"))(
+        "processes", "", cxxopts::value<std::size_t>()->default_value("300"))(
+        "jobs", "at a time", cxxopts::value<unsigned>()->default_value("4"))(
         "bake", "of a stage, s", cxxopts::value<double>()->default_value("60"))(
-        "case", "one, or all", cxxopts::value<std::string>()->default_value("all"))("why", "print why each was stopped");
+        "case", "one, or all", cxxopts::value<std::string>()->default_value("all"))(
+        "why", "print why each was stopped");
     try {
         const auto given = options.parse(argc, argv);
         const auto only = given["case"].as<std::string>();
-        if (only != "all" && versions.count(only) == 0) throw std::invalid_argument(only + ": no such case");
+        if (only != "all" && versions.count(only) == 0)
+            throw std::invalid_argument(only + ": no such case");
         const auto rolls = given["rolls"].as<std::uint64_t>();
-        std::printf("%-10s %7s %7s %9s %14s %12s %10s\n", "case", "rolls", "done", "reverted", "at stage one", "met, mean", "minutes");
+        std::printf("%-10s %7s %7s %9s %14s %12s %10s\n", "case", "rolls", "done", "reverted", "at stage one",
+                    "met, mean", "minutes");
         for (const auto& [name, version] : versions) {
-            if (only != "all" && only != name) continue;
+            if (only != "all" && only != name)
+                continue;
             RollCase c;
             c.processes = given["processes"].as<std::size_t>();
             c.fresh = version;
             c.plan.name = name;
             c.plan.stages = {{0.0, 1}, {0.05, 0}, {0.25, 0}, {0.5, 0}, {1.0, 0}};
-            c.plan.bake_time = cressledge::base::Duration(static_cast<std::int64_t>(given["bake"].as<double>() * 1e6));
-            if (name == "noisy") c.machines = 0.3, c.weather = 0.2, c.cut_off = true;
+            c.plan.bake_time =
+                cressledge::base::Duration(static_cast<std::int64_t>(given["bake"].as<double>() * 1e6));
+            if (name == "noisy")
+                c.machines = 0.3, c.weather = 0.2, c.cut_off = true;
             std::uint64_t done = 0, reverted = 0, first = 0, next = 1;
             double met = 0.0, seconds = 0.0;
             std::vector<std::future<RollOutcome>> under_way;
@@ -61,11 +68,14 @@
                 first += o.reverted && o.stage == 0 ? 1 : 0;
                 met += o.met;
                 seconds += o.seconds;
-                if (given.count("why") != 0 && !o.done) std::printf("  stage %zu: %s\n", o.stage, o.why.c_str());
+                if (given.count("why") != 0 && !o.done)
+                    std::printf("  stage %zu: %s\n", o.stage, o.why.c_str());
             }
-            std::printf("%-10s %7lu %7lu %9lu %14lu %11.3f%% %10.1f\n", name.c_str(), static_cast<unsigned long>(rolls),
-                        static_cast<unsigned long>(done), static_cast<unsigned long>(reverted), static_cast<unsigned long>(first),
-                        100.0 * met / static_cast<double>(rolls), seconds / 60.0 / static_cast<double>(rolls));
+            std::printf("%-10s %7lu %7lu %9lu %14lu %11.3f%% %10.1f\n", name.c_str(),
+                        static_cast<unsigned long>(rolls), static_cast<unsigned long>(done),
+                        static_cast<unsigned long>(reverted), static_cast<unsigned long>(first),
+                        100.0 * met / static_cast<double>(rolls),
+                        seconds / 60.0 / static_cast<double>(rolls));
             std::fflush(stdout);
         }
     } catch (const std::exception& e) {
--- a/bench/save_bench.cpp
+++ b/bench/save_bench.cpp
@@ -8,8 +8,8 @@
 
 #include "learned_state/learned_state.hpp"
 #include "net/loop.hpp"
-#include "store/posix_file_system.hpp"
 #include "store/background_writer.hpp"
+#include "store/posix_file_system.hpp"
 
 namespace {
 
@@ -54,30 +54,35 @@
     const auto save = [&](int n) {
         const auto from = Clock::now();
         k.saved_at = loop.unix_now();
-        for (auto& c : k.controller_state.classes) c.completions += 1.0, c.price_seconds = 0.3 + 0.001 * (n % 50);
+        for (auto& c : k.controller_state.classes)
+            c.completions += 1.0, c.price_seconds = 0.3 + 0.001 * (n % 50);
         for (int i = 0; i < servers; ++i)
-            k.upstreams["tiles-" + std::to_string(i) + ".thies.example.org"] = {0.2 + 0.001 * ((n + i) % 99), 0.01, 1.0 + n, k.saved_at};
+            k.upstreams["tiles-" + std::to_string(i) + ".thies.example.org"] = {0.2 + 0.001 * ((n + i) % 99),
+                                                                                0.01, 1.0 + n, k.saved_at};
         auto after = learned_state::to_entries(k, whose, before);
         writer.commit(learned_state::difference(before, after));
         before = std::move(after);
-        longest_call_us = std::max(longest_call_us, std::chrono::duration<double, std::micro>(Clock::now() - from).count());
+        longest_call_us =
+            std::max(longest_call_us, std::chrono::duration<double, std::micro>(Clock::now() - from).count());
     };
     Seen without, with;
     for (Seen* seen : {&without, &with}) {
         for (int n = 0; n < 10'000; ++n) {
             const auto due = Clock::now() + std::chrono::milliseconds(1);
-            if (seen == &with && n % saves_every_ms == 0) save(n);
+            if (seen == &with && n % saves_every_ms == 0)
+                save(n);
             bool rung = false;
             timers.schedule(loop.unix_now() + base::Duration(1'000), [&] { rung = true; });
-            while (!rung) loop.run_once(true);
+            while (!rung)
+                loop.run_once(true);
             seen->late_us.push_back(std::chrono::duration<double, std::micro>(Clock::now() - due).count());
         }
     }
     writer.flush();
     std::cout << "lateness of the loop, us   p50    p99.9      max\n";
     for (const auto& [name, seen] : {std::pair("without saves", &without), std::pair("with saves   ", &with)})
-        std::cout << name << "         " << static_cast<int>(seen->at(0.5)) << "      " << static_cast<int>(seen->at(0.999))
-                  << "      " << static_cast<int>(seen->at(1.0)) << '\n';
+        std::cout << name << "         " << static_cast<int>(seen->at(0.5)) << "      "
+                  << static_cast<int>(seen->at(0.999)) << "      " << static_cast<int>(seen->at(1.0)) << '\n';
     const double each = static_cast<double>(store.bytes_written()) / static_cast<double>(writer.commits());
     std::cout << "longest part of a save on the loop: " << static_cast<int>(longest_call_us) << " us\n"
               << writer.commits() << " commits, " << failed << " failed, " << static_cast<int>(each)
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -10,12 +10,12 @@
 #include <utility>
 #include <vector>
 
-#include "connection_admission/file_descriptor_budget.hpp"
-#include "base/timer_queue.hpp"
-#include "request/request_manager.hpp"
 #include "base/slot_map.hpp"
+#include "base/timer_queue.hpp"
+#include "connection_admission/file_descriptor_budget.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
+#include "request/request_manager.hpp"
 
 namespace cressledge::admin {
 
@@ -32,28 +32,33 @@
         const char* status;  // "200 OK"
         std::string json;
     };
-    virtual std::optional<Reply> handle_request(const std::string& /*method*/, const std::string& /*path*/, const std::string& /*body*/) {
+    virtual std::optional<Reply> handle_request(const std::string& /*method*/, const std::string& /*path*/,
+                                                const std::string& /*body*/) {
         return std::nullopt;
     }
 };
 
 // The figures of the core: answers and tries of each class, and what is open.
-void collect_class_metrics(const request::RequestManager& server, std::vector<std::pair<std::string, std::uint64_t>>& out);
+void collect_class_metrics(const request::RequestManager& server,
+                           std::vector<std::pair<std::string, std::uint64_t>>& out);
 // And how long the served took: `node.responses.CLASS.late`, and `node.took.CLASS.US` for each bin that has any, US being
 // its upper end in microseconds (request::Times).
-void collect_latency_metrics(const request::RequestManager& server, std::vector<std::pair<std::string, std::uint64_t>>& out);
+void collect_latency_metrics(const request::RequestManager& server,
+                             std::vector<std::pair<std::string, std::uint64_t>>& out);
 
 class AdminServer {
 public:
     static constexpr std::size_t max_connections = 32;  // connections at once; a new one closes the oldest
     static constexpr std::size_t max_head_bytes = 4096;  // bytes of a call; more is 431
     static constexpr std::size_t max_body_bytes = 64U << 10U;  // more is 413
-    static constexpr base::Duration request_timeout{2'000'000};  // from the accept to a whole call, else the connection is closed
+    static constexpr base::Duration request_timeout{
+        2'000'000};  // from the accept to a whole call, else the connection is closed
     static constexpr base::Duration linger_timeout{1'000'000};  // for a caller to read its answer
 
     // Throws std::runtime_error when the address cannot be listened on.
-    AdminServer(net::Loop& loop, base::TimerQueue& timers, connection_admission::FileDescriptorBudget& descriptors,
-            const net::ListenEndpoint& listening, AdminSource& source);
+    AdminServer(net::Loop& loop, base::TimerQueue& timers,
+                connection_admission::FileDescriptorBudget& descriptors, const net::ListenEndpoint& listening,
+                AdminSource& source);
     ~AdminServer();  // where Call is whole
     AdminServer(const AdminServer&) = delete;
     AdminServer& operator=(const AdminServer&) = delete;
--- a/src/base/slot_map.hpp
+++ b/src/base/slot_map.hpp
@@ -30,12 +30,14 @@
     }
     T* find(SlotId id) {
         const auto index = static_cast<std::uint32_t>(id);
-        if (index >= slots_.size()) return nullptr;
+        if (index >= slots_.size())
+            return nullptr;
         Slot& slot = slots_[index];
         return slot.value && make_id(index, slot.version) == id ? slot.value.get() : nullptr;
     }
     void erase(SlotId id) {
-        if (find(id) == nullptr) return;
+        if (find(id) == nullptr)
+            return;
         const auto index = static_cast<std::uint32_t>(id);
         slots_[index].value.reset();
         ++slots_[index].version;
@@ -46,7 +48,8 @@
     std::vector<SlotId> ids() const {
         std::vector<SlotId> all;
         for (std::uint32_t i = 0; i < slots_.size(); ++i)
-            if (slots_[i].value) all.push_back(make_id(i, slots_[i].version));
+            if (slots_[i].value)
+                all.push_back(make_id(i, slots_[i].version));
         return all;
     }
 
--- a/src/base/timer_queue.hpp
+++ b/src/base/timer_queue.hpp
@@ -39,7 +39,8 @@
         handle = 0;
     }
     std::optional<Timestamp> next_due() const {
-        if (callbacks_.empty()) return std::nullopt;
+        if (callbacks_.empty())
+            return std::nullopt;
         return callbacks_.begin()->first.first;
     }
     // Guards against a deadline that sets another one already due: what is set in here waits for the next turn.
--- a/src/command/roll.cpp
+++ b/src/command/roll.cpp
@@ -9,17 +9,21 @@
 
 namespace cressledge::command {
 
-int roll(const std::string& plan_path, const std::string& state_directory, const std::string& report_path, bool rolls_back) {
+int roll(const std::string& plan_path, const std::string& state_directory, const std::string& report_path,
+         bool rolls_back) {
     base::TimerQueue timers;
     net::Loop loop(timers);
     rollout::RolloutController controller(loop, timers, config::load_rollout(plan_path), state_directory);
-    for (const int signal : {SIGTERM, SIGINT}) loop.on_signal(signal, [&] { controller.interrupt(); });
-    if (rolls_back) controller.request_rollback("the operator's word");
+    for (const int signal : {SIGTERM, SIGINT})
+        loop.on_signal(signal, [&] { controller.interrupt(); });
+    if (rolls_back)
+        controller.request_rollback("the operator's word");
     const rollout::RolloutResult end = controller.run();
     if (!report_path.empty()) {
         const std::string temporary_path = report_path + ".new";
         std::ofstream(temporary_path) << controller.report().dump(1) << '\n';
-        if (std::rename(temporary_path.c_str(), report_path.c_str()) != 0) throw config::ConfigError(report_path + ": cannot be written");
+        if (std::rename(temporary_path.c_str(), report_path.c_str()) != 0)
+            throw config::ConfigError(report_path + ": cannot be written");
     }
     return static_cast<int>(end);
 }
--- a/src/command/roll.hpp
+++ b/src/command/roll.hpp
@@ -5,6 +5,7 @@
 
 namespace cressledge::command {
 
-int roll(const std::string& plan_path, const std::string& state_directory, const std::string& report_path, bool rolls_back);
+int roll(const std::string& plan_path, const std::string& state_directory, const std::string& report_path,
+         bool rolls_back);
 
 }  // namespace cressledge::command
--- a/src/command/supervise.cpp
+++ b/src/command/supervise.cpp
@@ -18,7 +18,8 @@
             supervisor.shut_down();
         });
     supervisor.start();
-    while (!stopping || !supervisor.is_finished()) loop.run_once(true);
+    while (!stopping || !supervisor.is_finished())
+        loop.run_once(true);
     return 0;
 }
 
--- a/src/config/admission.hpp
+++ b/src/config/admission.hpp
@@ -6,6 +6,7 @@
 
 namespace cressledge::config {
 
-void read_admission(const YamlReader& reader, const YAML::Node& doc, OperatorConfig& config);  // throws Invalid
+void read_admission(const YamlReader& reader, const YAML::Node& doc,
+                    OperatorConfig& config);  // throws Invalid
 
 }  // namespace cressledge::config
--- a/src/config/fleet.cpp
+++ b/src/config/fleet.cpp
@@ -3,9 +3,11 @@
 namespace cressledge::config {
 namespace {
 
-membership::Endpoint read_endpoint(const YamlReader& r, const YAML::Node& at, const std::string& field, const std::string& text) {
+membership::Endpoint read_endpoint(const YamlReader& r, const YAML::Node& at, const std::string& field,
+                                   const std::string& text) {
     const auto a = net::Address::parse(text);
-    if (!a || a->raw.ss_family != AF_INET) r.fail(at, field, "not an IPv4 address with a port: " + text);
+    if (!a || a->raw.ss_family != AF_INET)
+        r.fail(at, field, "not an IPv4 address with a port: " + text);
     return gossip::to_endpoint(*a);
 }
 
@@ -20,24 +22,33 @@
 
 std::optional<gossip::Settings> read_fleet(const YamlReader& reader, const YAML::Node& doc) {
     const YAML::Node section = doc["fleet"];
-    if (!section) return std::nullopt;
-    reader.require_known_keys(section, "fleet",
-           {"name", "id", "gossip", "advertise", "seeds", "probe_ms", "indirect", "suspicion", "gossip_ms", "fanout",
-            "repeat", "exchange_s", "forget_s", "most_members"});
+    if (!section)
+        return std::nullopt;
+    reader.require_known_keys(
+        section, "fleet",
+        {"name", "id", "gossip", "advertise", "seeds", "probe_ms", "indirect", "suspicion", "gossip_ms",
+         "fanout", "repeat", "exchange_s", "forget_s", "most_members"});
     gossip::Settings settings;
     settings.fleet_name = read_identifier(reader, section, "name");
     settings.member_id = read_identifier(reader, section, "id");
     settings.listen = read_endpoint(reader, section["gossip"], "gossip", reader.text(section, "gossip"));
-    if (section["advertise"]) settings.advertise = read_endpoint(reader, section["advertise"], "advertise", reader.text(section, "advertise"));
+    if (section["advertise"])
+        settings.advertise =
+            read_endpoint(reader, section["advertise"], "advertise", reader.text(section, "advertise"));
     const membership::Endpoint& advertised = section["advertise"] ? settings.advertise : settings.listen;
     if (advertised.ip == 0)
-        reader.fail(section[section["advertise"] ? "advertise" : "gossip"], section["advertise"] ? "advertise" : "gossip",
-               "no address that others can reach: name one in advertise");
+        reader.fail(section[section["advertise"] ? "advertise" : "gossip"],
+                    section["advertise"] ? "advertise" : "gossip",
+                    "no address that others can reach: name one in advertise");
     if (const YAML::Node seeds = section["seeds"]) {
-        if (!seeds.IsSequence()) reader.fail(seeds, "seeds", "no list");
+        if (!seeds.IsSequence())
+            reader.fail(seeds, "seeds", "no list");
         for (const auto& seed : seeds) {
-            const membership::Endpoint p = seed.IsScalar() ? read_endpoint(reader, seed, "seeds", seed.Scalar()) : membership::Endpoint{};
-            if (p.ip == 0 || p.port == 0) reader.fail(seed, "seeds", "not an IPv4 address with a port");
+            const membership::Endpoint p = seed.IsScalar()
+                                               ? read_endpoint(reader, seed, "seeds", seed.Scalar())
+                                               : membership::Endpoint{};
+            if (p.ip == 0 || p.port == 0)
+                reader.fail(seed, "seeds", "not an IPv4 address with a port");
             settings.seeds.push_back(p);
         }
     }
--- a/src/config/inventory.hpp
+++ b/src/config/inventory.hpp
@@ -18,14 +18,16 @@
     std::vector<std::string> tags;
     bool operator==(const Upstream&) const = default;
     bool belongs_to(const std::string& group_name) const {
-        return group_name == group || std::find(parent_groups.begin(), parent_groups.end(), group_name) != parent_groups.end();
+        return group_name == group ||
+               std::find(parent_groups.begin(), parent_groups.end(), group_name) != parent_groups.end();
     }
 };
 
 // A file is taken whole or not at all. Throws Refused, which names file, line and field of each bad row.
 std::vector<Upstream> load_inventory(const std::string& path);
 struct InventoryError final : ConfigError {
-    explicit InventoryError(std::vector<std::string> errors) : ConfigError(errors.front()), row_errors(std::move(errors)) {}
+    explicit InventoryError(std::vector<std::string> errors)
+        : ConfigError(errors.front()), row_errors(std::move(errors)) {}
     std::vector<std::string> row_errors;  // the first is what()
 };
 // What has come, gone and changed, by name; and whether more than a share of the servers has gone.
@@ -35,7 +37,8 @@
     std::string summary(std::size_t max_names) const;  // so many names of each kind
 };
 InventoryDiff diff_inventories(const std::vector<Upstream>& before, const std::vector<Upstream>& after);
-bool exceeds_removal_limit(const InventoryDiff& difference, std::size_t servers_before, double max_removed_fraction);
+bool exceeds_removal_limit(const InventoryDiff& difference, std::size_t servers_before,
+                           double max_removed_fraction);
 bool is_inventory_file(const std::string& path);  // a YAML file with `all` at its root
 
 }  // namespace cressledge::config
--- a/src/config/operator.hpp
+++ b/src/config/operator.hpp
@@ -4,10 +4,10 @@
 #include <cstdint>
 #include <string>
 
-#include "connection_admission/settings.hpp"
 #include "config/fleet.hpp"
 #include "config/routing.hpp"
 #include "config/settings.hpp"
+#include "connection_admission/settings.hpp"
 
 namespace cressledge::config {
 
--- a/src/config/routing.cpp
+++ b/src/config/routing.cpp
@@ -7,13 +7,16 @@
 
 void read_routing(const YamlReader& reader, const YAML::Node& doc, RoutingConfig& config) {
     const YAML::Node section = doc["routing"];
-    if (!section) return;
-    reader.require_known_keys(section, "routing",
-           {"policy", "place", "node", "spill", "most_in_hand", "subset", "retries", "hedging", "affinity", "probes", "probing", "members",
-            "kept", "watch_ms", "most_gone", "slow_start"});
+    if (!section)
+        return;
+    reader.require_known_keys(
+        section, "routing",
+        {"policy", "place", "node", "spill", "most_in_hand", "subset", "retries", "hedging", "affinity",
+         "probes", "probing", "members", "kept", "watch_ms", "most_gone", "slow_start"});
     const auto flag = [&](const YAML::Node& map, const char* name, bool otherwise) {
         bool b = otherwise;
-        if (map[name] && !YAML::convert<bool>::decode(map[name], b)) reader.fail(map[name], name, "neither true nor false");
+        if (map[name] && !YAML::convert<bool>::decode(map[name], b))
+            reader.fail(map[name], name, "neither true nor false");
         return b;
     };
     static const std::map<std::string, load_balancing::BalancingPolicy> policies = {
@@ -23,7 +26,9 @@
         {"probe-pool", load_balancing::BalancingPolicy::probe_pool},
         {"probe-first", load_balancing::BalancingPolicy::probe_first}};
     const auto policy = policies.find(reader.text(section, "policy", "two-choices"));
-    if (policy == policies.end()) reader.fail(section["policy"], "policy", "none of two-choices, round-robin, fewest-in-hand, probe-pool, probe-first");
+    if (policy == policies.end())
+        reader.fail(section["policy"], "policy",
+                    "none of two-choices, round-robin, fewest-in-hand, probe-pool, probe-first");
     config.policy = policy->second;
     config.local_data_centre = reader.text(section, "place", "");
     // A process of a fleet is known by its id there, unless it says otherwise.
@@ -33,14 +38,16 @@
     config.spillover_calls_per_weight = reader.number(section, "spill", 0.01, 1e4, 1.5);
     config.max_calls_in_flight = reader.integer(section, "most_in_hand", 1.0, 1e6, 0.0);
     config.subset_size = reader.integer(section, "subset", 1.0, 1e6, 0.0);
-    if (config.subset_size != 0 && config.node_name.empty()) reader.fail(section["subset"], "subset", "needs a node, by whose name it is chosen");
+    if (config.subset_size != 0 && config.node_name.empty())
+        reader.fail(section["subset"], "subset", "needs a node, by whose name it is chosen");
     config.hedging_enabled = flag(section, "hedging", false);
     config.key_affinity_enabled = flag(section, "affinity", false);
     config.health_checks_enabled = flag(section, "probes", true);
     config.inventory_poll_interval = reader.duration_ms(section, "watch_ms", 0.0, 1000.0);
     config.max_removed_fraction = reader.number(section, "most_gone", 0.0, 1.0, 0.5);
     if (const YAML::Node t = section["retries"]) {
-        reader.require_known_keys(t, "retries", {"share", "most_tries", "back_off_ms", "back_off_most_ms", "try_part"});
+        reader.require_known_keys(t, "retries",
+                                  {"share", "most_tries", "back_off_ms", "back_off_most_ms", "try_part"});
         config.retry_budget_ratio = reader.number(t, "share", 0.0, 1.0, 0.1);
         config.retry_policy.max_attempts = reader.integer(t, "most_tries", 1.0, 10.0, 3.0);
         config.retry_policy.base_backoff = reader.duration_ms(t, "back_off_ms", 0.0, 25.0);
@@ -48,7 +55,8 @@
         config.retry_policy.attempt_time_fraction = reader.number(t, "try_part", 0.05, 1.0, 0.5);
     }
     const bool probes_first = config.policy == load_balancing::BalancingPolicy::probe_first;
-    if (probes_first) config.probing.probes_per_call = 5.0;
+    if (probes_first)
+        config.probing.probes_per_call = 5.0;
     if (const YAML::Node p = section["probing"]) {
         reader.require_known_keys(p, "probing", {"per_call", "pool", "most_age_ms", "hot", "patience_ms"});
         config.probing.probes_per_call = reader.number(p, "per_call", 0.0, 16.0, probes_first ? 5.0 : 3.0);
@@ -59,8 +67,8 @@
     }
     if (const YAML::Node m = section["members"]) {
         reader.require_known_keys(m, "members",
-               {"suspect_after", "eject_after", "failing", "slow", "max_ejected", "panic_below", "eject_ms",
-                "eject_most_ms", "slow_start_ms", "probe_ms"});
+                                  {"suspect_after", "eject_after", "failing", "slow", "max_ejected",
+                                   "panic_below", "eject_ms", "eject_most_ms", "slow_start_ms", "probe_ms"});
         upstream_health::HealthSettings& k = config.upstream_health;
         k.suspect_after_failures = reader.integer(m, "suspect_after", 1.0, 1e6, 2.0);
         k.eject_after_failures = reader.integer(m, "eject_after", 1.0, 1e6, 5.0);
@@ -72,7 +80,8 @@
         k.max_ejection_time = reader.duration_ms(m, "eject_most_ms", 1.0, 60'000.0);
         k.slow_start_time = reader.duration_ms(m, "slow_start_ms", 1.0, 10'000.0);
         k.health_check_interval = reader.duration_ms(m, "probe_ms", 50.0, 2000.0);
-        if (k.max_ejection_time < k.base_ejection_time) reader.fail(m["eject_most_ms"], "eject_most_ms", "below eject_ms");
+        if (k.max_ejection_time < k.base_ejection_time)
+            reader.fail(m["eject_most_ms"], "eject_most_ms", "below eject_ms");
     }
     if (const YAML::Node s = section["slow_start"]) {
         reader.require_known_keys(s, "slow_start", {"calls_per_s", "from", "window_ms", "peers"});
@@ -80,7 +89,8 @@
         config.slow_start.initial_fraction = reader.number(s, "from", 0.0, 1.0, 0.2);
         config.slow_start.window = reader.duration_ms(s, "window_ms", 10.0, 2000.0);
         config.slow_start.assumed_processes = reader.number(s, "peers", 1.0, 1e5, 32.0);
-        if (fleet && config.node_name.empty()) reader.fail(s, "slow_start", "needs a node, by whose name the calls are shared out");
+        if (fleet && config.node_name.empty())
+            reader.fail(s, "slow_start", "needs a node, by whose name the calls are shared out");
     }
     config.slow_start.warm_up_time = config.upstream_health.slow_start_time;
     if (const YAML::Node k = section["kept"]) {
--- a/src/config/supervise.hpp
+++ b/src/config/supervise.hpp
@@ -5,6 +5,7 @@
 
 namespace cressledge::config {
 
-supervisor::SupervisorSettings load_supervisor(const std::string& path);  // throws Invalid with file, line and field
+supervisor::SupervisorSettings load_supervisor(
+    const std::string& path);  // throws Invalid with file, line and field
 
 }  // namespace cressledge::config
--- a/src/connection_admission/connection_limiter.hpp
+++ b/src/connection_admission/connection_limiter.hpp
@@ -32,13 +32,15 @@
     };
     struct ConnectionDecision {
         ConnectionSlotId slot_id = 0;  // 0: close it at once
-        bool rejected = false;  // with a seat: in the lobby, to be read for a request that is refused with advice
+        bool rejected =
+            false;  // with a seat: in the lobby, to be read for a request that is refused with advice
         RejectionReason reason = RejectionReason::source_connections;  // refused: why
         std::optional<ConnectionRef> evicted;  // close this one's connection: its seat is the new one's
         bool should_log = false;  // refused: a line in the log may be written about this source
     };
     // A connection has come. `door` and `tag` are the caller's own, told back when the seat has to go.
-    ConnectionDecision admit_connection(Timestamp now, const IpAddress& address, std::uint32_t listener_index, std::uint64_t connection_id);
+    ConnectionDecision admit_connection(Timestamp now, const IpAddress& address, std::uint32_t listener_index,
+                                        std::uint64_t connection_id);
     // One without a request in hand, to be closed for its descriptor. Its seat is free already.
     std::optional<ConnectionRef> evict_connection(Timestamp now);
     void release_connection(ConnectionSlotId seat);  // its connection is gone; safe to call again
@@ -57,7 +59,8 @@
     // A first byte has come on a resting connection: until it is whole the connection is silent again.
     void on_first_byte(Timestamp now, ConnectionSlotId seat);
 
-    void reconfigure(Timestamp now, Settings settings);  // the open ones are counted anew under the new groups
+    void reconfigure(Timestamp now,
+                     Settings settings);  // the open ones are counted anew under the new groups
 
     IpAddress address_of(ConnectionSlotId slot_id) const;
 
@@ -67,11 +70,14 @@
         std::array<std::uint32_t, rejection_reason_count> rejections{};
         std::uint64_t total_rejections = 0;
     };
-    std::vector<SourceReport> top_rejected_sources(std::size_t max_sources) const;  // those refused most, the worst first
+    std::vector<SourceReport> top_rejected_sources(
+        std::size_t max_sources) const;  // those refused most, the worst first
     struct GroupUsage {
         std::uint32_t open_connections = 0, in_flight_requests = 0;
     };
-    GroupUsage group_usage(GroupIndex group_index) const { return {groups_[group_index].open_connections, groups_[group_index].in_flight_requests}; }
+    GroupUsage group_usage(GroupIndex group_index) const {
+        return {groups_[group_index].open_connections, groups_[group_index].in_flight_requests};
+    }
     const RejectionCounts& rejections() const { return rejections_; }  // all refusals since the start, exact
     RejectionCounts rejections_of_evicted_sources() const;
     std::uint64_t evicted_connections() const { return evicted_connections_; }
@@ -90,7 +96,14 @@
     // Where a seat stands. Those of the first three make room, in an order that pick() tells: silent (no whole request
     // yet, or one that was answered without being in hand), resting between two requests, over (its last answer is on
     // its way, and its request counts as in hand until it is closed).
-    enum class SlotState : std::uint8_t { awaiting_request, idle, closing, request_in_flight, rejected, free };
+    enum class SlotState : std::uint8_t {
+        awaiting_request,
+        idle,
+        closing,
+        request_in_flight,
+        rejected,
+        free
+    };
     static constexpr std::size_t evictable_state_count = 3;
     struct ConnectionSlot {
         IpAddress address;
@@ -114,9 +127,15 @@
     };
 
     const ConnectionSlot* find_slot(ConnectionSlotId slot_id) const;
-    ConnectionSlot* find_slot(ConnectionSlotId slot_id) { return const_cast<ConnectionSlot*>(std::as_const(*this).find_slot(slot_id)); }
-    ConnectionSlotId make_slot_id(SlotIndex i) const { return static_cast<ConnectionSlotId>(slots_[i].generation) << 32U | i; }
-    SourceTable& source_table(std::uint32_t group_index) { return group_index == 0 ? unlisted_sources_ : listed_sources_; }
+    ConnectionSlot* find_slot(ConnectionSlotId slot_id) {
+        return const_cast<ConnectionSlot*>(std::as_const(*this).find_slot(slot_id));
+    }
+    ConnectionSlotId make_slot_id(SlotIndex i) const {
+        return static_cast<ConnectionSlotId>(slots_[i].generation) << 32U | i;
+    }
+    SourceTable& source_table(std::uint32_t group_index) {
+        return group_index == 0 ? unlisted_sources_ : listed_sources_;
+    }
     Source& source_of(const ConnectionSlot& s) { return source_table(s.group_index).at(s.source_index); }
     struct SourceRef {
         std::uint32_t group_index;
@@ -130,12 +149,16 @@
     void uncount_in_flight(ConnectionSlot& s);
     bool is_within_reserve(std::uint32_t group_index) const;
     SlotIndex select_eviction_candidate(Timestamp now, const Source* newcomer);
-    SlotIndex find_slot_of_heaviest_source(SlotState state, Timestamp since_at_most, const Source* newcomer) const;
-    SlotIndex find_own_awaiting_slot(Timestamp now, std::uint32_t group_index, SourceTable::SourceIndex source_index) const;
-    SlotIndex occupy_slot(Timestamp now, const IpAddress& address, std::uint32_t group_index, SourceTable::SourceIndex source_index, std::uint32_t listener_index,
-              std::uint64_t connection_id, SlotState state);
-    ConnectionDecision reject_connection(Timestamp now, RejectionReason reason, const IpAddress& address, std::uint32_t group_index, SourceTable::SourceIndex source_index,
-                 std::uint32_t listener_index, std::uint64_t connection_id);
+    SlotIndex find_slot_of_heaviest_source(SlotState state, Timestamp since_at_most,
+                                           const Source* newcomer) const;
+    SlotIndex find_own_awaiting_slot(Timestamp now, std::uint32_t group_index,
+                                     SourceTable::SourceIndex source_index) const;
+    SlotIndex occupy_slot(Timestamp now, const IpAddress& address, std::uint32_t group_index,
+                          SourceTable::SourceIndex source_index, std::uint32_t listener_index,
+                          std::uint64_t connection_id, SlotState state);
+    ConnectionDecision reject_connection(Timestamp now, RejectionReason reason, const IpAddress& address,
+                                         std::uint32_t group_index, SourceTable::SourceIndex source_index,
+                                         std::uint32_t listener_index, std::uint64_t connection_id);
     bool record_rejection(Timestamp now, RejectionReason reason, Source& source);
     void apply_settings(Settings settings);
     std::size_t max_shared_requests() const;  // requests in hand outside the reserves
@@ -145,7 +168,8 @@
     std::vector<ConnectionSlot> slots_;
     std::vector<SlotIndex> free_slots_, rejection_slots_;
     std::vector<GroupState> groups_;  // 0: not listed
-    std::size_t open_connections_ = 0, shared_in_flight_requests_ = 0, reserved_connections_ = 0, reserved_requests_ = 0;
+    std::size_t open_connections_ = 0, shared_in_flight_requests_ = 0, reserved_connections_ = 0,
+                reserved_requests_ = 0;
     RejectionCounts rejections_{};
     std::uint64_t evicted_connections_ = 0;
     Timestamp next_log_at_{0};
--- a/src/connection_admission/file_descriptor_budget.hpp
+++ b/src/connection_admission/file_descriptor_budget.hpp
@@ -14,7 +14,16 @@
 
 namespace cressledge::connection_admission {
 
-enum class DescriptorPurpose : std::uint8_t { listener, platform_link, records, upstream, file, frontend, admin, gossip };
+enum class DescriptorPurpose : std::uint8_t {
+    listener,
+    platform_link,
+    records,
+    upstream,
+    file,
+    frontend,
+    admin,
+    gossip
+};
 constexpr std::size_t descriptor_purpose_count = 8;
 const char* to_string(DescriptorPurpose purpose);
 
@@ -37,13 +46,15 @@
         }
         ~Lease() { release(); }
         void release() {
-            if (budget_ != nullptr) std::exchange(budget_, nullptr)->release(purpose_);
+            if (budget_ != nullptr)
+                std::exchange(budget_, nullptr)->release(purpose_);
         }
         explicit operator bool() const { return budget_ != nullptr; }
 
     private:
         friend class FileDescriptorBudget;
-        Lease(FileDescriptorBudget& budget, DescriptorPurpose purpose) : budget_(&budget), purpose_(purpose) {}
+        Lease(FileDescriptorBudget& budget, DescriptorPurpose purpose)
+            : budget_(&budget), purpose_(purpose) {}
         FileDescriptorBudget* budget_ = nullptr;
         DescriptorPurpose purpose_ = DescriptorPurpose::file;
     };
@@ -62,8 +73,12 @@
     void reconfigure(const struct DescriptorPlan& plan);  // what is out already stays out
 
     // Closes a connection that has nothing in hand and returns true, or false if there is none.
-    void on_exhausted(std::function<bool()> evict_connection) { evict_connection_ = std::move(evict_connection); }
-    void on_released(std::function<void()> callback) { on_released_ = std::move(callback); }  // after each give-back
+    void on_exhausted(std::function<bool()> evict_connection) {
+        evict_connection_ = std::move(evict_connection);
+    }
+    void on_released(std::function<void()> callback) {
+        on_released_ = std::move(callback);
+    }  // after each give-back
 
     std::size_t used() const { return used_; }
     std::size_t used(DescriptorPurpose p) const { return usage_of(p).used; }
@@ -98,10 +113,11 @@
 
 // What an installation wants at most of each; guarantees are made of it.
 struct DescriptorDemand {
-    std::size_t listeners = 0, platform_links = 0, records = 0, upstream = 0, rejection_slots = 0, reserved_connections = 0,
+    std::size_t listeners = 0, platform_links = 0, records = 0, upstream = 0, rejection_slots = 0,
+                reserved_connections = 0,
                 open_files = 0,  // kept open
-                admin = 0,  // the control address: its listener and connections
-                gossip = 0;  // the fleet's: its sockets and full exchanges
+        admin = 0,  // the control address: its listener and connections
+        gossip = 0;  // the fleet's: its sockets and full exchanges
     std::size_t min_upstream = 4;  // guaranteed of `upstream`
 };
 struct DescriptorPlan {
@@ -111,6 +127,7 @@
 };
 // Shares out `limit` to an installation that wants up to `connections` from callers. Throws std::invalid_argument if
 // not even the guarantees fit, and says how many it takes.
-DescriptorPlan plan_descriptors(std::size_t limit, std::size_t unmanaged, const DescriptorDemand& demand, std::uint32_t max_connections);
+DescriptorPlan plan_descriptors(std::size_t limit, std::size_t unmanaged, const DescriptorDemand& demand,
+                                std::uint32_t max_connections);
 
 }  // namespace cressledge::connection_admission
--- a/src/connection_admission/ip_address.cpp
+++ b/src/connection_admission/ip_address.cpp
@@ -8,7 +8,9 @@
 
 constexpr unsigned v4_mapped_prefix_length = 96;
 
-std::uint64_t prefix_mask(unsigned prefix_length) { return prefix_length == 0 ? 0 : ~std::uint64_t{0} << (64U - prefix_length); }
+std::uint64_t prefix_mask(unsigned prefix_length) {
+    return prefix_length == 0 ? 0 : ~std::uint64_t{0} << (64U - prefix_length);
+}
 
 }  // namespace
 
@@ -22,13 +24,16 @@
 }
 
 IpAddress IpAddress::masked(unsigned prefix_length) const {
-    if (prefix_length >= 128) return *this;
-    if (prefix_length > 64) return {high, low & prefix_mask(prefix_length - 64)};
+    if (prefix_length >= 128)
+        return *this;
+    if (prefix_length > 64)
+        return {high, low & prefix_mask(prefix_length - 64)};
     return {high & prefix_mask(prefix_length), 0};
 }
 
 std::string IpAddress::to_string() const {
-    if (is_v4()) return boost::asio::ip::address_v4(static_cast<std::uint32_t>(low)).to_string();
+    if (is_v4())
+        return boost::asio::ip::address_v4(static_cast<std::uint32_t>(low)).to_string();
     boost::asio::ip::address_v6::bytes_type bytes;
     for (std::size_t i = 0; i < 8; ++i) {
         bytes[i] = static_cast<unsigned char>(high >> (56U - 8U * i));
@@ -38,14 +43,18 @@
 }
 
 bool Network::contains(const Network& other) const {
-    if (prefix_length < v4_mapped_prefix_length && other.prefix_length >= v4_mapped_prefix_length && other.base_address.is_v4()) return false;
+    if (prefix_length < v4_mapped_prefix_length && other.prefix_length >= v4_mapped_prefix_length &&
+        other.base_address.is_v4())
+        return false;
     return prefix_length <= other.prefix_length && other.base_address.masked(prefix_length) == base_address;
 }
 
 std::string Network::to_string() const {
-    if (prefix_length >= 128) return base_address.to_string();
+    if (prefix_length >= 128)
+        return base_address.to_string();
     const bool four = base_address.is_v4() && prefix_length >= v4_mapped_prefix_length;
-    return base_address.to_string() + '/' + std::to_string(four ? prefix_length - v4_mapped_prefix_length : prefix_length);
+    return base_address.to_string() + '/' +
+           std::to_string(four ? prefix_length - v4_mapped_prefix_length : prefix_length);
 }
 
 }  // namespace cressledge::connection_admission
--- a/src/connection_admission/network_group_table.hpp
+++ b/src/connection_admission/network_group_table.hpp
@@ -41,7 +41,8 @@
         Network network;
         GroupIndex group_index = 0;
     };
-    std::vector<PrefixTable> prefix_tables_;  // the longest first: a look-up costs one probe for each length in use
+    std::vector<PrefixTable>
+        prefix_tables_;  // the longest first: a look-up costs one probe for each length in use
     std::vector<NetworkEntry> entries_;
 };
 
--- a/src/connection_admission/source_table.cpp
+++ b/src/connection_admission/source_table.cpp
@@ -11,7 +11,8 @@
 namespace cressledge::connection_admission {
 
 const char* to_string(RejectionReason reason) {
-    static constexpr const char* words[rejection_reason_count] = {"rate", "open", "share", "full", "in_hand", "requests"};
+    static constexpr const char* words[rejection_reason_count] = {"rate", "open",    "share",
+                                                                  "full", "in_hand", "requests"};
     return words[static_cast<std::size_t>(reason)];
 }
 
@@ -19,11 +20,13 @@
     // Guards against a clock that is set back: without this nothing would be refilled until it has caught up.
     const Duration elapsed = std::max(Duration(0), now - last_refill_);
     last_refill_ = now;
-    tokens_ = std::min(limits.connection_burst, tokens_ + static_cast<double>(elapsed.count()) * 1e-6 * limits.connections_per_second);
+    tokens_ = std::min(limits.connection_burst,
+                       tokens_ + static_cast<double>(elapsed.count()) * 1e-6 * limits.connections_per_second);
 }
 
 bool TokenBucket::try_acquire(Timestamp now, const SourceLimits& limits, Duration& wait) {
-    if (limits.connections_per_second <= 0.0) return true;
+    if (limits.connections_per_second <= 0.0)
+        return true;
     refill(now, limits);
     if (tokens_ >= 1.0) {
         tokens_ -= 1.0;
@@ -40,9 +43,11 @@
 SourceTable::SourceTable(std::size_t capacity, std::uint64_t seed)
     : entries_(std::bit_ceil(std::max(capacity, associativity)) + 1), seed_(seed) {}
 
-SourceTable::SourceIndex SourceTable::find_or_insert(Timestamp now, const IpAddress& base_address, unsigned prefix_length, const SourceLimits& limits) {
+SourceTable::SourceIndex SourceTable::find_or_insert(Timestamp now, const IpAddress& base_address,
+                                                     unsigned prefix_length, const SourceLimits& limits) {
     const std::size_t sets = capacity() / associativity;
-    const std::size_t first = (hash_address(base_address, seed_ + prefix_length) & (sets - 1)) * associativity;
+    const std::size_t first =
+        (hash_address(base_address, seed_ + prefix_length) & (sets - 1)) * associativity;
     std::size_t victim = capacity();
     // Whom to forget: who has nothing open and a full bucket, few refusals, and was not seen for longest.
     std::tuple<bool, std::uint64_t, Timestamp> victim_rank;
@@ -52,11 +57,15 @@
             s.last_seen = now;
             return static_cast<SourceIndex>(i);
         }
-        if (victim != capacity() && !entries_[victim].in_use) continue;  // there is a free place
-        if (s.open_connections != 0 || s.rejection_slots != 0) continue;
-        if (s.in_use && limits.connections_per_second > 0.0) s.bucket.refill(now, limits);
+        if (victim != capacity() && !entries_[victim].in_use)
+            continue;  // there is a free place
+        if (s.open_connections != 0 || s.rejection_slots != 0)
+            continue;
+        if (s.in_use && limits.connections_per_second > 0.0)
+            s.bucket.refill(now, limits);
         const std::tuple rank{s.bucket.tokens() < limits.connection_burst, s.total_rejections(), s.last_seen};
-        if (!s.in_use || victim == capacity() || rank < victim_rank) victim = i, victim_rank = rank;
+        if (!s.in_use || victim == capacity() || rank < victim_rank)
+            victim = i, victim_rank = rank;
     }
     Source& s = entries_[victim];
     if (victim == capacity() && s.in_use) {
@@ -67,7 +76,8 @@
     if (s.in_use) {
         // Guards the rate against addresses that rotate: who takes a place over takes its bucket over too.
         tokens = std::min(tokens, s.bucket.tokens());
-        for (std::size_t r = 0; r < rejection_reason_count; ++r) evicted_rejections_[r] += s.rejections[r];
+        for (std::size_t r = 0; r < rejection_reason_count; ++r)
+            evicted_rejections_[r] += s.rejections[r];
     } else {
         ++size_;
     }
--- a/src/connection_admission/source_table.hpp
+++ b/src/connection_admission/source_table.hpp
@@ -12,7 +12,14 @@
 namespace cressledge::connection_admission {
 
 // Why somebody was turned away. The first four meet a new connection, the last two a request.
-enum class RejectionReason : std::uint8_t { connection_rate, source_connections, source_share, total_connections, source_requests, total_requests };
+enum class RejectionReason : std::uint8_t {
+    connection_rate,
+    source_connections,
+    source_share,
+    total_connections,
+    source_requests,
+    total_requests
+};
 constexpr std::size_t rejection_reason_count = 6;
 const char* to_string(RejectionReason reason);
 
@@ -35,7 +42,8 @@
     IpAddress base_address;  // masked to its prefix
     unsigned prefix_length = 128;
     bool in_use = false;
-    std::uint32_t open_connections = 0, in_flight_requests = 0, rejection_slots = 0;  // connections, requests, and refused ones still read
+    std::uint32_t open_connections = 0, in_flight_requests = 0,
+                  rejection_slots = 0;  // connections, requests, and refused ones still read
     TokenBucket bucket;
     Timestamp last_seen{0}, next_log_at{0};
     std::array<std::uint32_t, rejection_reason_count> rejections{};
@@ -51,13 +59,16 @@
 
     // The source's entry; made if it is not known, which may evict one with nothing open. If its whole set has
     // something open, the entry that such sources share.
-    SourceIndex find_or_insert(Timestamp now, const IpAddress& base_address, unsigned prefix_length, const SourceLimits& limits);
+    SourceIndex find_or_insert(Timestamp now, const IpAddress& base_address, unsigned prefix_length,
+                               const SourceLimits& limits);
     Source& at(SourceIndex source_index) { return entries_[source_index]; }
     const Source& at(SourceIndex source_index) const { return entries_[source_index]; }
     std::size_t capacity() const { return entries_.size() - 1; }
     std::size_t size() const { return size_; }
     std::size_t memory_bytes() const { return entries_.size() * sizeof(Source); }
-    const RejectionCounts& evicted_rejections() const { return evicted_rejections_; }  // of sources that are not known any more
+    const RejectionCounts& evicted_rejections() const {
+        return evicted_rejections_;
+    }  // of sources that are not known any more
     const std::vector<Source>& entries() const { return entries_; }
 
 private:
--- a/src/frontend/connection_admitter.hpp
+++ b/src/frontend/connection_admitter.hpp
@@ -4,9 +4,9 @@
 
 #include <vector>
 
-#include "connection_admission/file_descriptor_budget.hpp"
-#include "connection_admission/connection_limiter.hpp"
 #include "base/log_rate_limiter.hpp"
+#include "connection_admission/connection_limiter.hpp"
+#include "connection_admission/file_descriptor_budget.hpp"
 #include "request/request_manager.hpp"
 
 namespace cressledge::frontend {
@@ -15,8 +15,9 @@
 
 class ConnectionAdmitter {
 public:
-    ConnectionAdmitter(base::TimerQueue& timers, request::RequestManager& server, connection_admission::FileDescriptorBudget& descriptors,
-           connection_admission::Settings settings, std::uint64_t seed);
+    ConnectionAdmitter(base::TimerQueue& timers, request::RequestManager& server,
+                       connection_admission::FileDescriptorBudget& descriptors,
+                       connection_admission::Settings settings, std::uint64_t seed);
     ~ConnectionAdmitter();
     ConnectionAdmitter(const ConnectionAdmitter&) = delete;
     ConnectionAdmitter& operator=(const ConnectionAdmitter&) = delete;
@@ -26,12 +27,16 @@
 
     // For one that has come to this door: empty if it has to wait in the backlog.
     connection_admission::FileDescriptorBudget::Lease acquire_descriptor();
-    connection_admission::ConnectionLimiter::ConnectionDecision admit(std::uint32_t listener_index, base::SlotId session_id, const connection_admission::IpAddress& ip);
-    void on_request_rejected(const connection_admission::ConnectionLimiter::RequestDecision& decision, connection_admission::ConnectionSlotId slot);
-    void on_descriptors_exhausted(int accept_error);  // the system had no descriptor for one that came; it waits in the backlog
+    connection_admission::ConnectionLimiter::ConnectionDecision admit(
+        std::uint32_t listener_index, base::SlotId session_id, const connection_admission::IpAddress& ip);
+    void on_request_rejected(const connection_admission::ConnectionLimiter::RequestDecision& decision,
+                             connection_admission::ConnectionSlotId slot);
+    void on_descriptors_exhausted(
+        int accept_error);  // the system had no descriptor for one that came; it waits in the backlog
 
     void reload(connection_admission::Settings settings);
-    void log_report(std::size_t max_sources);  // to the log: the table, the descriptors, and who was refused most
+    void log_report(
+        std::size_t max_sources);  // to the log: the table, the descriptors, and who was refused most
     connection_admission::ConnectionLimiter& limiter() { return limiter_; }
     connection_admission::FileDescriptorBudget& descriptors() { return descriptors_; }
 
@@ -39,7 +44,8 @@
     bool shed_idle_connection();
     void schedule_backlog_retry(base::Timestamp when);  // every front looks at its backlog again then
     void evict(const connection_admission::ConnectionLimiter::ConnectionRef& connection);
-    void log_rejection(connection_admission::RejectionReason reason, const connection_admission::IpAddress& ip);
+    void log_rejection(connection_admission::RejectionReason reason,
+                       const connection_admission::IpAddress& ip);
 
     base::TimerQueue& timers_;
     request::RequestManager& server_;
--- a/src/frontend/connection_lifecycle.hpp
+++ b/src/frontend/connection_lifecycle.hpp
@@ -31,7 +31,8 @@
 
 private:
     bool enter(Phase phase) {
-        if (phase <= phase_) return false;
+        if (phase <= phase_)
+            return false;
         phase_ = phase;
         return true;
     }
--- a/src/frontend/frontend.hpp
+++ b/src/frontend/frontend.hpp
@@ -7,11 +7,11 @@
 #include <string>
 #include <string_view>
 
-#include "request/request_manager.hpp"
-#include "frontend/connection_lifecycle.hpp"
 #include "frontend/connection_admitter.hpp"
+#include "frontend/connection_lifecycle.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
+#include "request/request_manager.hpp"
 
 namespace cressledge::frontend {
 
@@ -30,11 +30,15 @@
     // Takes bytes up to the end of a request; stops after submit(), check() or say(). Says how many it took.
     virtual std::size_t parse(std::string_view bytes) = 0;
     virtual bool has_partial_request() const = 0;  // a request has begun and is not whole
-    virtual bool expects_request() const { return has_partial_request(); }  // what is late at its deadline is told so
+    virtual bool expects_request() const {
+        return has_partial_request();
+    }  // what is late at its deadline is told so
     virtual std::string format_response(const request::Response& answer, bool close) = 0;
     virtual std::string format_health_response(bool is_healthy, bool close) = 0;
     virtual std::string format_timeout_response() = 0;  // the answer to a request that does not get whole
-    virtual std::string format_truncated_response() { return {}; }  // the answer to one that ended unwhole; empty: none
+    virtual std::string format_truncated_response() {
+        return {};
+    }  // the answer to one that ended unwhole; empty: none
     virtual bool keep_alive() const = 0;
 
     void submit(request::IncomingRequest arrival);
@@ -80,11 +84,14 @@
 public:
     using SessionFactory = std::function<std::unique_ptr<Session>(Frontend&)>;
     struct Limits {
-        base::Duration request_timeout{2'500'000};  // from the accept, later ones from their first byte, to a whole request
-        base::Duration idle_timeout{0};  // a connection is let go after as long without a request; 0: the caller does it
+        base::Duration request_timeout{
+            2'500'000};  // from the accept, later ones from their first byte, to a whole request
+        base::Duration idle_timeout{
+            0};  // a connection is let go after as long without a request; 0: the caller does it
     };
-    Frontend(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server, ConnectionAdmitter& admitter,
-          const net::ListenEndpoint& listening, const Limits& limits, SessionFactory make_session);
+    Frontend(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server,
+             ConnectionAdmitter& admitter, const net::ListenEndpoint& listening, const Limits& limits,
+             SessionFactory make_session);
     ~Frontend() override;
 
     void respond(std::uint64_t ticket, const request::Response& answer) override;
@@ -95,10 +102,14 @@
     // next waits in its backlog for the next process; one of our own is kept until leave(), as nobody else has it.
     void start_handover();
     void start_drain();  // take nobody new, end idle connections, and the others with their answer
-    void drain_backlog(bool is_final_attempt);  // after leave(), until it is done; the last time it is done for better or worse
-    void close_incomplete_requests();  // after leave(): the connections that have sent nothing, or half a request only
+    void drain_backlog(
+        bool
+            is_final_attempt);  // after leave(), until it is done; the last time it is done for better or worse
+    void
+    close_incomplete_requests();  // after leave(): the connections that have sent nothing, or half a request only
     bool is_drained() const { return sessions_.size() == 0 && !listening_; }
-    bool has_unfinished_responses();  // some connection has a request in hand, or a last answer that may not have been read yet
+    bool
+    has_unfinished_responses();  // some connection has a request in hand, or a last answer that may not have been read yet
     int port() const { return listener_.port(); }
     request::RequestManager& server() { return server_; }
     const ClosedConnectionCounts& closed_connections() const { return closed_connections_; }
@@ -106,7 +117,8 @@
 private:
     friend class Session;
     void accept_pending();
-    bool accept_connection(connection_admission::FileDescriptorBudget::Lease lease);  // false: nobody is left in the backlog
+    bool accept_connection(
+        connection_admission::FileDescriptorBudget::Lease lease);  // false: nobody is left in the backlog
     void remove_session(base::SlotId session_id);
     void stop_listening();
 
--- a/src/frontend/http/http_session.hpp
+++ b/src/frontend/http/http_session.hpp
@@ -5,8 +5,8 @@
 
 #include <string>
 
-#include "frontend/request_fields.hpp"
 #include "frontend/frontend.hpp"
+#include "frontend/request_fields.hpp"
 
 namespace cressledge::frontend::http {
 
@@ -35,8 +35,8 @@
     FieldDefaults* const defaults_;
     std::size_t head_bytes_ = 0, wire_bytes_ = 0;
     int content_length_count_ = 0, transfer_encoding_count_ = 0;  // fields that say where the body ends
-    bool headers_complete_ = false, ambiguous_framing_ = false, message_started_ = false, in_field_value_ = false, expects_continue_ = false,
-         head_too_large_ = false, body_too_large_ = false;
+    bool headers_complete_ = false, ambiguous_framing_ = false, message_started_ = false,
+         in_field_value_ = false, expects_continue_ = false, head_too_large_ = false, body_too_large_ = false;
     bool message_complete_ = false, keep_alive_ = true;
 };
 
--- a/src/frontend/request_fields.hpp
+++ b/src/frontend/request_fields.hpp
@@ -28,10 +28,24 @@
              std::string_view value);  // lower case, with dashes; others are passed over
     // For a request whose class is known. False: `wrong` names what is malformed or missing. Without a supply nothing may
     // be missing. Which of the keys counts is up to the class's effect in the settings in force.
-    bool apply_to(request::IncomingRequest& arrival, FieldDefaults* defaults, request::RequestManager& server, const char*& invalid_field) const;
+    bool apply_to(request::IncomingRequest& arrival, FieldDefaults* defaults, request::RequestManager& server,
+                  const char*& invalid_field) const;
 
 private:
-    enum Field { trace_id, accepted_at, client_number, expected_duration, reserved_memory, standing, lookup_key, idempotency_key, tenant, max_wait, is_retry, field_count };
+    enum Field {
+        trace_id,
+        accepted_at,
+        client_number,
+        expected_duration,
+        reserved_memory,
+        standing,
+        lookup_key,
+        idempotency_key,
+        tenant,
+        max_wait,
+        is_retry,
+        field_count
+    };
     std::string values_[field_count];
     bool present_[field_count] = {}, has_duplicate_ = false;
 };
--- a/src/frontend/scgi/scgi_session.cpp
+++ b/src/frontend/scgi/scgi_session.cpp
@@ -47,41 +47,55 @@
         std::size_t length = 0, colon = 0;
         for (; colon < buffer_.size() && buffer_[colon] != ':'; ++colon) {
             const char c = buffer_[colon];
-            if (c < '0' || c > '9' || (colon == 0 && c == '0')) return ParseResult::malformed;
+            if (c < '0' || c > '9' || (colon == 0 && c == '0'))
+                return ParseResult::malformed;
             length = length * 10 + static_cast<std::size_t>(c - '0');
-            if (length > max_head_bytes) return ParseResult::malformed;
+            if (length > max_head_bytes)
+                return ParseResult::malformed;
         }
-        if (colon == buffer_.size()) return ParseResult::incomplete;
-        if (colon == 0) return ParseResult::malformed;
+        if (colon == buffer_.size())
+            return ParseResult::incomplete;
+        if (colon == 0)
+            return ParseResult::malformed;
         const std::string_view start = std::string_view(buffer_).substr(colon + 1);
         static constexpr std::string_view required_prefix("CONTENT_LENGTH\0", 15);
         const std::size_t compared = std::min(start.size(), required_prefix.size());
-        if (length < required_prefix.size() || start.substr(0, compared) != required_prefix.substr(0, compared)) return ParseResult::malformed;
-        if (start.size() < length + 1) return ParseResult::incomplete;
-        if (start[length] != ',' || !parse_headers(start.substr(0, length))) return ParseResult::malformed;
+        if (length < required_prefix.size() ||
+            start.substr(0, compared) != required_prefix.substr(0, compared))
+            return ParseResult::malformed;
+        if (start.size() < length + 1)
+            return ParseResult::incomplete;
+        if (start[length] != ',' || !parse_headers(start.substr(0, length)))
+            return ParseResult::malformed;
         body_offset_ = colon + 1 + length + 1;
-        if (body_length_ > max_body_bytes) return ParseResult::body_too_large;
+        if (body_length_ > max_body_bytes)
+            return ParseResult::body_too_large;
     }
     return buffer_.size() < body_offset_ + body_length_ ? ParseResult::incomplete : ParseResult::complete;
 }
 
 bool ScgiSession::parse_headers(std::string_view block) {
-    if (block.empty() || block.back() != '\0') return false;
+    if (block.empty() || block.back() != '\0')
+        return false;
     std::set<std::string_view> seen;
     bool has_scgi_header = false;
     while (!block.empty()) {
         const std::size_t end = block.find('\0');
         const std::size_t stop = end == std::string_view::npos ? end : block.find('\0', end + 1);
-        if (end == 0 || stop == std::string_view::npos) return false;  // no name, or no value
+        if (end == 0 || stop == std::string_view::npos)
+            return false;  // no name, or no value
         const std::string_view name = block.substr(0, end), value = block.substr(end + 1, stop - end - 1);
         block.remove_prefix(stop + 1);
-        if (!seen.insert(name).second) return false;
+        if (!seen.insert(name).second)
+            return false;
         if (name == "CONTENT_LENGTH") {
             const auto [last, error] =
                 std::from_chars(value.data(), value.data() + value.size(), body_length_);
-            if (value.empty() || error != std::errc() || last != value.data() + value.size()) return false;
+            if (value.empty() || error != std::errc() || last != value.data() + value.size())
+                return false;
         } else if (name == "SCGI") {
-            if (value != "1") return false;
+            if (value != "1")
+                return false;
             has_scgi_header = true;
         } else if (name == "REQUEST_METHOD") {
             method_ = value;
@@ -112,14 +126,18 @@
 
 void ScgiSession::dispatch() {
     message_complete_ = true;
-    if (path_ == "/healthz") return check_health(('&' + query_ + '&').find("&probe=1&") != std::string::npos);
+    if (path_ == "/healthz")
+        return check_health(('&' + query_ + '&').find("&probe=1&") != std::string::npos);
     request::IncomingRequest arrival;
     const std::size_t slash = path_.rfind('/');
-    if (slash != std::string::npos) arrival.class_index = frontend_.server().class_index_of(path_.substr(slash + 1));
+    if (slash != std::string::npos)
+        arrival.class_index = frontend_.server().class_index_of(path_.substr(slash + 1));
     if (slash == std::string::npos || arrival.class_index == policy::unknown_index)
         return reject("404 Not Found", "unknown class");
-    const bool is_safe = frontend_.server().settings().classes[arrival.class_index].idempotency == policy::Idempotency::always;
-    if (method_ != "POST" && !(is_safe && method_ == "GET")) return reject("405 Method Not Allowed", "method");
+    const bool is_safe =
+        frontend_.server().settings().classes[arrival.class_index].idempotency == policy::Idempotency::always;
+    if (method_ != "POST" && !(is_safe && method_ == "GET"))
+        return reject("405 Method Not Allowed", "method");
     const char* invalid_field = "";
     if (!fields_.apply_to(arrival, &defaults_, frontend_.server(), invalid_field))
         return reject("400 Bad Request", invalid_field);
@@ -135,10 +153,13 @@
         case request::ResponseStatus::rejected: {
             // Retry-After counts whole seconds; the platform's own fields go with it for clients that know them.
             const auto retry_after_ms = (answer.retry_after.count() + 999) / 1000;
-            std::string extra_headers = "Retry-After: " + std::to_string(std::max<std::int64_t>(1, (retry_after_ms + 999) / 1000));
+            std::string extra_headers =
+                "Retry-After: " + std::to_string(std::max<std::int64_t>(1, (retry_after_ms + 999) / 1000));
             extra_headers += "\r\n";
-            if (retry_after_ms > 0) extra_headers += "Hold-Off-Ms: " + std::to_string(retry_after_ms) + "\r\n";
-            if (answer.do_not_retry) extra_headers += "No-Other-Server: 1\r\n";
+            if (retry_after_ms > 0)
+                extra_headers += "Hold-Off-Ms: " + std::to_string(retry_after_ms) + "\r\n";
+            if (answer.do_not_retry)
+                extra_headers += "No-Other-Server: 1\r\n";
             return format_message("503 Service Unavailable", extra_headers, {});
         }
         case request::ResponseStatus::deadline_exceeded:
@@ -158,7 +179,8 @@
     return format_message("400 Bad Request", {}, {});
 }
 std::string ScgiSession::format_truncated_response() {
-    if (buffer_.empty()) return {};  // a connection that was opened and closed: nobody asked anything
+    if (buffer_.empty())
+        return {};  // a connection that was opened and closed: nobody asked anything
     message_complete_ = true;
     return format_message("400 Bad Request", {}, {});
 }
--- a/src/frontend/scgi/scgi_session.hpp
+++ b/src/frontend/scgi/scgi_session.hpp
@@ -3,8 +3,8 @@
 
 #include <string>
 
-#include "frontend/request_fields.hpp"
 #include "frontend/frontend.hpp"
+#include "frontend/request_fields.hpp"
 
 namespace cressledge::frontend::scgi {
 
@@ -15,7 +15,9 @@
 protected:
     std::size_t parse(std::string_view bytes) override;
     bool has_partial_request() const override { return !message_complete_ && !buffer_.empty(); }
-    bool expects_request() const override { return !message_complete_; }  // who opens such a connection has one request to send
+    bool expects_request() const override {
+        return !message_complete_;
+    }  // who opens such a connection has one request to send
     std::string format_response(const request::Response& answer, bool close) override;
     std::string format_health_response(bool is_healthy, bool close) override;
     std::string format_timeout_response() override;
--- a/src/frontend/shutdown_coordinator.hpp
+++ b/src/frontend/shutdown_coordinator.hpp
@@ -13,12 +13,14 @@
 
 class ShutdownCoordinator {
 public:
-    ShutdownCoordinator(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server, base::Duration stop_delay)
+    ShutdownCoordinator(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server,
+                        base::Duration stop_delay)
         : loop_(loop), timers_(timers), server_(server), stop_delay_(stop_delay) {}
     void add_frontend(std::unique_ptr<Frontend> frontend) { frontends_.push_back(std::move(frontend)); }
     Frontend& last_frontend() { return *frontends_.back(); }
     void set_idle_limit(base::Duration limit) {
-        for (const auto& f : frontends_) f->set_idle_limit(limit);
+        for (const auto& f : frontends_)
+            f->set_idle_limit(limit);
     }
     void start_graceful_shutdown();
     // What ended connections, over all fronts: `node.connections.X`.
--- a/src/gossip/gossip_node.cpp
+++ b/src/gossip/gossip_node.cpp
@@ -15,21 +15,28 @@
 // One exchange, dialled or accepted.
 class GossipNode::ExchangeConnection final : public net::Stream::Owner {
 public:
-    ExchangeConnection(GossipNode& node, bool ours) : node_(node), is_outbound(ours) { ++(is_outbound ? node_.outbound_exchanges_ : node_.inbound_exchanges_); }
+    ExchangeConnection(GossipNode& node, bool ours) : node_(node), is_outbound(ours) {
+        ++(is_outbound ? node_.outbound_exchanges_ : node_.inbound_exchanges_);
+    }
     ~ExchangeConnection() override {
         node_.timers_.cancel(deadline);
         --(is_outbound ? node_.outbound_exchanges_ : node_.inbound_exchanges_);
-        if (stream != nullptr) std::exchange(stream, nullptr)->close();
+        if (stream != nullptr)
+            std::exchange(stream, nullptr)->close();
     }
     void on_open() override { send_frame(membership::MessageType::exchange); }
     void on_bytes(std::string_view bytes) override {
-        if (frame_received_) return;
+        if (frame_received_)
+            return;
         received_.append(bytes);
-        if (received_.size() < frame_header_bytes) return;
+        if (received_.size() < frame_header_bytes)
+            return;
         const std::size_t n = decode_frame_length(received_);
         // Guards the memory: a length that nobody may send, or more than was announced.
-        if (n > membership::max_exchange_bytes || received_.size() > n + frame_header_bytes) return fail(membership::DropReason::oversized);
-        if (received_.size() < n + frame_header_bytes) return;
+        if (n > membership::max_exchange_bytes || received_.size() > n + frame_header_bytes)
+            return fail(membership::DropReason::oversized);
+        if (received_.size() < n + frame_header_bytes)
+            return;
         frame_received_ = true;
         const std::string all = std::move(received_);
         node_.on_exchange_frame(*this, std::string_view(all).substr(frame_header_bytes));  // may end this
@@ -43,7 +50,8 @@
         const std::string frame = node_.make_exchange_frame(kind);
         node_.sent_.add(node_.loop_.unix_now(), frame.size());
         stream->write(frame);
-        if (!is_outbound) stream->shut_down_writes();
+        if (!is_outbound)
+            stream->shut_down_writes();
     }
     void fail(membership::DropReason why) {
         ++node_.dropped_by_reason_[static_cast<std::size_t>(why)];
@@ -60,20 +68,27 @@
     bool frame_received_ = false;
 };
 
-GossipNode::GossipNode(net::Loop& loop, base::TimerQueue& timers, connection_admission::FileDescriptorBudget& descriptors, const Settings& s,
-           std::uint64_t seed)
+GossipNode::GossipNode(net::Loop& loop, base::TimerQueue& timers,
+                       connection_admission::FileDescriptorBudget& descriptors, const Settings& s,
+                       std::uint64_t seed)
     : loop_(loop), timers_(timers), descriptors_(descriptors), fleet_name_(s.fleet_name), random_(seed) {
     const base::Timestamp now = loop.unix_now();
-    for (int i = 0; i < 2; ++i) socket_leases_.push_back(descriptors.try_acquire(now, connection_admission::DescriptorPurpose::gossip));
+    for (int i = 0; i < 2; ++i)
+        socket_leases_.push_back(
+            descriptors.try_acquire(now, connection_admission::DescriptorPurpose::gossip));
     GossipTransport port = open_transport(
-        loop.uv(), s.listen, [this](std::string_view bytes, const net::Address& from) { on_datagram(bytes, from); },
+        loop.uv(), s.listen,
+        [this](std::string_view bytes, const net::Address& from) { on_datagram(bytes, from); },
         [this] { accept_exchanges(); });
     datagrams_ = std::move(port.datagrams);
     listener_ = std::move(port.listener);
     membership::LocalMember self{s.member_id, s.advertise, static_cast<std::uint64_t>(now.count())};
-    if (self.endpoint.ip == 0) self.endpoint = s.listen;
-    if (self.endpoint.port == 0) self.endpoint.port = port.local_endpoint.port;
-    membership_ = std::make_unique<membership::MembershipTable>(member_indices_, false, s.membership, self, s.seeds, seed, now);
+    if (self.endpoint.ip == 0)
+        self.endpoint = s.listen;
+    if (self.endpoint.port == 0)
+        self.endpoint.port = port.local_endpoint.port;
+    membership_ = std::make_unique<membership::MembershipTable>(member_indices_, false, s.membership, self,
+                                                                s.seeds, seed, now);
     arm_timer();
 }
 
@@ -106,10 +121,12 @@
 
 void GossipNode::arm_timer() {
     const base::Timestamp next = membership_->next_deadline();
-    if (membership_timer_ != 0 && next == armed_for_) return;
+    if (membership_timer_ != 0 && next == armed_for_)
+        return;
     timers_.cancel(membership_timer_);
     armed_for_ = next;
-    if (next == base::Timestamp::max()) return;
+    if (next == base::Timestamp::max())
+        return;
     membership_timer_ = timers_.schedule(next, [this] {
         membership_timer_ = 0;
         membership::MembershipTable::Effects out;
@@ -122,27 +139,36 @@
     const base::Timestamp now = loop_.unix_now();
     for (const auto& s : out.messages) {
         const std::string bytes = membership::encode(s.message, fleet_name_);
-        if (!datagrams_->send(to_address(s.destination), bytes)) continue;
+        if (!datagrams_->send(to_address(s.destination), bytes))
+            continue;
         sent_.add(now, bytes.size());
         ++sent_.datagrams;
     }
-    for (const auto& with : out.exchange_peers) start_exchange(with);
-    for (const auto& c : out.changes) log_change(c);
+    for (const auto& with : out.exchange_peers)
+        start_exchange(with);
+    for (const auto& c : out.changes)
+        log_change(c);
     arm_timer();
 }
 
 void GossipNode::log_change(const membership::MembershipTable::MemberChange& c) {
     const std::int64_t second = loop_.unix_now().count() / 1'000'000;
-    if (second != log_second_) log_second_ = second, log_lines_in_second_ = 0;
+    if (second != log_second_)
+        log_second_ = second, log_lines_in_second_ = 0;
     if (++log_lines_in_second_ > max_log_lines_per_second) {
         ++suppressed_log_lines_;
         return;
     }
-    nlohmann::json j = {{"member", c.id}, {"address", membership::to_string(c.endpoint)}, {"to", membership::to_string(c.new_state)},
+    nlohmann::json j = {{"member", c.id},
+                        {"address", membership::to_string(c.endpoint)},
+                        {"to", membership::to_string(c.new_state)},
                         {"incarnation", c.incarnation}};
-    if (c.old_state) j["from"] = membership::to_string(*c.old_state);
-    if (c.displaced) j["displaced"] = true;
-    if (suppressed_log_lines_ > 0) j["passed"] = std::exchange(suppressed_log_lines_, 0);
+    if (c.old_state)
+        j["from"] = membership::to_string(*c.old_state);
+    if (c.displaced)
+        j["displaced"] = true;
+    if (suppressed_log_lines_ > 0)
+        j["passed"] = std::exchange(suppressed_log_lines_, 0);
     if (c.displaced)
         spdlog::error("fleet: {}", j.dump());
     else
@@ -167,7 +193,8 @@
     std::size_t fit = 0;
     for (; fit < m.updates.size(); ++fit) {
         const std::size_t n = membership::max_encoded_size(m.updates[fit]);
-        if (n > room) break;
+        if (n > room)
+            break;
         room -= n;
     }
     m.updates.resize(fit);
@@ -176,8 +203,9 @@
 
 void GossipNode::start_exchange(const membership::Endpoint& with) {
     const base::Timestamp now = loop_.unix_now();
-    auto lease = outbound_exchanges_ < max_exchanges_per_direction ? descriptors_.try_acquire(now, connection_admission::DescriptorPurpose::gossip)
-                                           : connection_admission::FileDescriptorBudget::Lease{};
+    auto lease = outbound_exchanges_ < max_exchanges_per_direction
+                     ? descriptors_.try_acquire(now, connection_admission::DescriptorPurpose::gossip)
+                     : connection_admission::FileDescriptorBudget::Lease{};
     if (!lease) {
         ++failed_exchanges_;
         return;
@@ -211,7 +239,8 @@
         ExchangeConnection* talk = made.get();
         const base::SlotId no = talk->id = exchanges_.add(std::move(made));
         talk->stream = net::Stream::accept(*listener_, *talk, std::move(lease));
-        if (talk->stream == nullptr) return end_exchange(no);
+        if (talk->stream == nullptr)
+            return end_exchange(no);
         talk->deadline = timers_.schedule(now + exchange_timeout, [this, no] { end_exchange(no); });
     }
     listener_->set_paused(true);  // until one has ended
@@ -222,21 +251,27 @@
     received_.add(now, frame.size() + frame_header_bytes);
     const auto what = membership::decode(frame, fleet_name_, membership::max_exchange_bytes);
     const auto* m = std::get_if<membership::Message>(&what);
-    const membership::MessageType due = talk.is_outbound ? membership::MessageType::exchange_reply : membership::MessageType::exchange;
+    const membership::MessageType due =
+        talk.is_outbound ? membership::MessageType::exchange_reply : membership::MessageType::exchange;
     if (m == nullptr || m->type != due)
-        return talk.fail(m == nullptr ? std::get<membership::DropReason>(what) : membership::DropReason::malformed);
+        return talk.fail(m == nullptr ? std::get<membership::DropReason>(what)
+                                      : membership::DropReason::malformed);
     // The reply has what this side knew: the other's own words are no news to it.
-    if (!talk.is_outbound) talk.send_frame(membership::MessageType::exchange_reply);
+    if (!talk.is_outbound)
+        talk.send_frame(membership::MessageType::exchange_reply);
     membership::MembershipTable::Effects out;
     membership_->merge_full_state(now, *m, out);
-    if (talk.is_outbound) end_exchange(talk.id);
+    if (talk.is_outbound)
+        end_exchange(talk.id);
     apply(out);
 }
 
 void GossipNode::end_exchange(base::SlotId no) {
-    if (exchanges_.find(no) == nullptr) return;
+    if (exchanges_.find(no) == nullptr)
+        return;
     exchanges_.erase(no);
-    if (listener_ && inbound_exchanges_ < max_exchanges_per_direction) listener_->set_paused(false);
+    if (listener_ && inbound_exchanges_ < max_exchanges_per_direction)
+        listener_->set_paused(false);
 }
 
 // ---- what operators read ----
@@ -244,9 +279,11 @@
 void GossipNode::TrafficMeter::advance_to(base::Timestamp now) {
     const std::int64_t s = now.count() / 1'000'000;
     const auto n = static_cast<std::int64_t>(bytes_by_second.size());
-    if (s - current_second >= n) bytes_by_second.fill(0);
+    if (s - current_second >= n)
+        bytes_by_second.fill(0);
     else
-        for (std::int64_t k = current_second + 1; k <= s; ++k) bytes_by_second[static_cast<std::size_t>(k % n)] = 0;
+        for (std::int64_t k = current_second + 1; k <= s; ++k)
+            bytes_by_second[static_cast<std::size_t>(k % n)] = 0;
     current_second = std::max(current_second, s);
 }
 void GossipNode::TrafficMeter::add(base::Timestamp now, std::size_t bytes) {
@@ -257,13 +294,17 @@
 std::uint64_t GossipNode::TrafficMeter::bytes_per_second(base::Timestamp now) {
     advance_to(now);
     std::uint64_t sum = 0;
-    for (const std::uint64_t b : bytes_by_second) sum += b;
-    return (sum - bytes_by_second[static_cast<std::size_t>(current_second) % bytes_by_second.size()]) / (bytes_by_second.size() - 1);
+    for (const std::uint64_t b : bytes_by_second)
+        sum += b;
+    return (sum - bytes_by_second[static_cast<std::size_t>(current_second) % bytes_by_second.size()]) /
+           (bytes_by_second.size() - 1);
 }
 
 void GossipNode::append_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) {
     const base::Timestamp now = loop_.unix_now();
-    const auto add = [&out](const char* name, std::uint64_t n) { out.emplace_back(std::string("fleet.") + name, n); };
+    const auto add = [&out](const char* name, std::uint64_t n) {
+        out.emplace_back(std::string("fleet.") + name, n);
+    };
     const membership::MembershipTable::Counters& c = membership_->counters();
     add("alive", membership_->live_count() - membership_->suspect_count() + 1);
     add("suspect", membership_->suspect_count());
@@ -293,7 +334,9 @@
     add("datagrams_received", received_.datagrams);
     add("datagrams_unsent", datagrams_->dropped_datagrams());
     for (std::size_t d = 0; d < membership::drop_reason_count; ++d)
-        out.emplace_back(std::string("fleet.dropped.") + membership::to_string(static_cast<membership::DropReason>(d)), dropped_by_reason_[d]);
+        out.emplace_back(
+            std::string("fleet.dropped.") + membership::to_string(static_cast<membership::DropReason>(d)),
+            dropped_by_reason_[d]);
     add("dropped.full", c.rejected_at_capacity);
     add("dropped.astray", c.misdirected_probes);
 }
@@ -312,7 +355,8 @@
     j["digest"] = fmt::format("{:016x}", membership_->digest());
     j["alive"] = membership_->live_count() - membership_->suspect_count() + 1;
     j["suspect"] = membership_->suspect_count();
-    if (brief) return j.dump() + '\n';
+    if (brief)
+        return j.dump() + '\n';
     auto& members = j["members"] = nlohmann::ordered_json::array();
     for (const auto& m : membership_->members())
         members.push_back({{"id", m.id},
--- a/src/gossip/gossip_node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -11,17 +11,18 @@
 #include <utility>
 #include <vector>
 
-#include "connection_admission/file_descriptor_budget.hpp"
 #include "base/slot_map.hpp"
-#include "membership/membership_table.hpp"
+#include "connection_admission/file_descriptor_budget.hpp"
 #include "gossip/transport.hpp"
+#include "membership/membership_table.hpp"
 #include "net/loop.hpp"
 
 namespace cressledge::gossip {
 
 struct Settings {
     std::string fleet_name, member_id;
-    membership::Endpoint listen, advertise;  // advertise: where others reach it; a port of 0: that of `listen`
+    membership::Endpoint listen,
+        advertise;  // advertise: where others reach it; a port of 0: that of `listen`
     std::vector<membership::Endpoint> seeds;
     membership::MembershipSettings membership;
 };
@@ -30,18 +31,23 @@
 public:
     static constexpr std::size_t max_exchanges_per_direction = 8;  // connections at once, each way
     static constexpr std::size_t descriptors_needed = 2 + 2 * max_exchanges_per_direction;
-    static constexpr std::size_t max_frame_bytes = 200U << 10U;  // bytes; of a larger view a part by chance is sent
+    static constexpr std::size_t max_frame_bytes =
+        200U << 10U;  // bytes; of a larger view a part by chance is sent
     static constexpr base::Duration exchange_timeout{2'000'000};  // for an exchange
     static constexpr unsigned max_log_lines_per_second = 20;  // of changes in the log, a second
 
     // Throws std::runtime_error when the address cannot be taken.
-    GossipNode(net::Loop& loop, base::TimerQueue& timers, connection_admission::FileDescriptorBudget& descriptors, const Settings& settings,
-         std::uint64_t seed);
+    GossipNode(net::Loop& loop, base::TimerQueue& timers,
+               connection_admission::FileDescriptorBudget& descriptors, const Settings& settings,
+               std::uint64_t seed);
     ~GossipNode();
     GossipNode(const GossipNode&) = delete;
     GossipNode& operator=(const GossipNode&) = delete;
 
-    void reconfigure(const membership::MembershipSettings& settings, const std::vector<membership::Endpoint>& seeds) { membership_->reconfigure(settings, seeds); }
+    void reconfigure(const membership::MembershipSettings& settings,
+                     const std::vector<membership::Endpoint>& seeds) {
+        membership_->reconfigure(settings, seeds);
+    }
     void leave();
     const membership::MembershipTable& membership() const { return *membership_; }
     void append_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out);
--- a/src/gossip/transport.cpp
+++ b/src/gossip/transport.cpp
@@ -18,13 +18,15 @@
     return a;
 }
 membership::Endpoint to_endpoint(const net::Address& a) {
-    if (a.raw.ss_family != AF_INET) return {};
+    if (a.raw.ss_family != AF_INET)
+        return {};
     const auto* four = reinterpret_cast<const sockaddr_in*>(&a.raw);
     return {ntohl(four->sin_addr.s_addr), ntohs(four->sin_port)};
 }
 
-GossipTransport open_transport(uv_loop_t* loop, const membership::Endpoint& requested, const net::UdpSocket::ReceiveHandler& on_datagram,
-               const std::function<void()>& on_connection) {
+GossipTransport open_transport(uv_loop_t* loop, const membership::Endpoint& requested,
+                               const net::UdpSocket::ReceiveHandler& on_datagram,
+                               const std::function<void()>& on_connection) {
     for (int n = 1;; ++n) {
         GossipTransport p;
         p.datagrams = std::make_unique<net::UdpSocket>(loop, to_address(requested), on_datagram);
@@ -33,7 +35,8 @@
             p.listener = std::make_unique<net::Listener>(loop, to_address(p.local_endpoint), on_connection);
             return p;
         } catch (const std::runtime_error&) {
-            if (requested.port != 0 || n == max_bind_attempts) throw;
+            if (requested.port != 0 || n == max_bind_attempts)
+                throw;
         }
     }
 }
@@ -46,7 +49,8 @@
 }
 std::size_t decode_frame_length(std::string_view bytes) {
     std::size_t n = 0;
-    for (std::size_t i = 0; i < frame_header_bytes; ++i) n = n << 8U | static_cast<unsigned char>(bytes[i]);
+    for (std::size_t i = 0; i < frame_header_bytes; ++i)
+        n = n << 8U | static_cast<unsigned char>(bytes[i]);
     return n;
 }
 
--- a/src/gossip/transport.hpp
+++ b/src/gossip/transport.hpp
@@ -8,8 +8,8 @@
 #include <string_view>
 
 #include "membership/message.hpp"
-#include "net/udp_socket.hpp"
 #include "net/stream.hpp"
+#include "net/udp_socket.hpp"
 
 namespace cressledge::gossip {
 
@@ -22,8 +22,9 @@
     membership::Endpoint local_endpoint;
 };
 // A port of 0: one of the kernel's choosing that is free for both. Throws std::runtime_error when there is none.
-GossipTransport open_transport(uv_loop_t* loop, const membership::Endpoint& requested, const net::UdpSocket::ReceiveHandler& on_datagram,
-               const std::function<void()>& on_connection);
+GossipTransport open_transport(uv_loop_t* loop, const membership::Endpoint& requested,
+                               const net::UdpSocket::ReceiveHandler& on_datagram,
+                               const std::function<void()>& on_connection);
 
 constexpr std::size_t frame_header_bytes = 4;
 std::string encode_frame(const std::string& body);
--- a/src/learned_state/learned_state.hpp
+++ b/src/learned_state/learned_state.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "policy/admission_controller.hpp"
 #include "base/timer_queue.hpp"
+#include "policy/admission_controller.hpp"
 #include "store/format.hpp"
 
 namespace cressledge::learned_state {
@@ -42,7 +42,8 @@
 };
 
 // A class without a completion keeps the entry it had `before`, with its age.
-store::Entries to_entries(const LearnedState& knowledge, const Identity& identity, const store::Entries& previous_entries);
+store::Entries to_entries(const LearnedState& knowledge, const Identity& identity,
+                          const store::Entries& previous_entries);
 // What to write so that a store with `before` holds `after`.
 store::Changes difference(const store::Entries& before, const store::Entries& after);
 
@@ -61,7 +62,8 @@
     double age_confidence = 0.0;  // of age alone
     int stored_schema_version = schema_version;
 };
-RestoreResult restore(const store::Entries& entries, const Identity& identity, Timestamp now, const ConfidencePolicy& confidence_policy);
+RestoreResult restore(const store::Entries& entries, const Identity& identity, Timestamp now,
+                      const ConfidencePolicy& confidence_policy);
 
 // All that is kept, as JSON text, for an operator to read. Never throws; what cannot be read says so.
 std::string to_json(const store::Entries& entries);
--- a/src/learned_state/learned_state_saver.hpp
+++ b/src/learned_state/learned_state_saver.hpp
@@ -8,11 +8,11 @@
 #include <string>
 
 #include "connection_admission/file_descriptor_budget.hpp"
-#include "request/request_manager.hpp"
 #include "learned_state/learned_state.hpp"
 #include "net/loop.hpp"
-#include "store/posix_file_system.hpp"
+#include "request/request_manager.hpp"
 #include "store/background_writer.hpp"
+#include "store/posix_file_system.hpp"
 
 namespace cressledge::learned_state {
 
@@ -24,8 +24,8 @@
         Duration save_interval{30'000'000};  // between two saves
         ConfidencePolicy confidence_policy;
     };
-    LearnedStateSaver(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server, Settings settings,
-           std::function<UpstreamStatsByName()> collect_upstream_stats);
+    LearnedStateSaver(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server,
+                      Settings settings, std::function<UpstreamStatsByName()> collect_upstream_stats);
     ~LearnedStateSaver();
     LearnedStateSaver(const LearnedStateSaver&) = delete;
     LearnedStateSaver& operator=(const LearnedStateSaver&) = delete;
@@ -52,7 +52,8 @@
     store::Store store_;
     std::unique_ptr<store::BackgroundWriter> writer_;  // null: nothing is kept
     store::Entries last_saved_entries_;  // as it was asked to be kept
-    std::map<std::string, double> restored_completions_;  // completions of earlier lives, by class, at their trust
+    std::map<std::string, double>
+        restored_completions_;  // completions of earlier lives, by class, at their trust
     std::map<std::string, double> completions_at_last_save_;  // by class, at the last save
     std::map<std::string, Timestamp> last_completion_at_;
     base::TimerQueue::Handle next_save_ = 0;
--- a/src/load_balancing/balancer.hpp
+++ b/src/load_balancing/balancer.hpp
@@ -8,18 +8,18 @@
 #include <vector>
 
 #include "load_balancing/load_probes.hpp"
-#include "upstream_health/host_set.hpp"
 #include "load_balancing/maglev.hpp"
 #include "load_balancing/slow_start.hpp"
+#include "upstream_health/host_set.hpp"
 
 namespace cressledge::load_balancing {
 
-using upstream_health::HostSet;
+using base::Duration;
+using base::Timestamp;
 using upstream_health::HostId;
+using upstream_health::HostSet;
 using upstream_health::no_host;
 using upstream_health::Random;
-using base::Duration;
-using base::Timestamp;
 
 enum class BalancingPolicy : std::uint8_t {
     least_in_flight,  // as it was before this module: over all servers, in turn
@@ -32,7 +32,8 @@
 struct BalancerSettings {
     BalancingPolicy policy = BalancingPolicy::power_of_two_choices;
     std::string local_data_centre;  // this process's data centre; empty: there is none
-    double spillover_calls_per_weight = 1.5;  // calls in hand for each unit of weight, over which other places are used as well
+    double spillover_calls_per_weight =
+        1.5;  // calls in hand for each unit of weight, over which other places are used as well
     Duration peak_decay_time{10'000'000};  // of a peak
     std::uint32_t max_calls_in_flight = 0;  // of one server; 0: no such bound
     std::size_t subset_size = 0;  // servers that this process uses; 0: all
@@ -45,17 +46,23 @@
 class Balancer {
 public:
     Balancer(HostSet& hosts, BalancerSettings settings)
-        : hosts_(hosts), settings_(std::move(settings)), probe_pool_(settings_.probing, 0), slow_start_(settings_.slow_start) {}
+        : hosts_(hosts),
+          settings_(std::move(settings)),
+          probe_pool_(settings_.probing, 0),
+          slow_start_(settings_.slow_start) {}
 
     void refresh();  // the inventory or a state has changed
-    void reconfigure(BalancerSettings settings);  // from the next choice on; what was learned of servers stays
+    void reconfigure(
+        BalancerSettings settings);  // from the next choice on; what was learned of servers stays
     // nobody: there is none that may, and has not been `tried`. `key` 0: none.
     HostId pick(Timestamp now, std::uint64_t key, const std::vector<HostId>& tried_hosts, Random& random);
     void on_call_started(Timestamp now, HostId host_id);
-    void on_call_finished(Timestamp now, HostId host_id, upstream_health::CallResult result, Duration latency);
+    void on_call_finished(Timestamp now, HostId host_id, upstream_health::CallResult result,
+                          Duration latency);
     void on_call_cancelled(Timestamp now, HostId host_id, Duration elapsed);
     // What a server's word on its load is worth here: less in its slow start; none: it may not be chosen by it.
-    std::optional<load_balancing::LoadReport> effective_load(Timestamp now, HostId host_id, load_balancing::LoadReport load) const;
+    std::optional<load_balancing::LoadReport> effective_load(Timestamp now, HostId host_id,
+                                                             load_balancing::LoadReport load) const;
     // What a server says of its load, in an answer or to a probe.
     void on_load_report(Timestamp now, HostId host_id, const load_balancing::LoadReport& load);
     // Whom to ask for its load beside one more call, or before it: by chance, by weight. None with other policies.
@@ -64,7 +71,9 @@
     // them evenly. Empty: each process chooses by its own name alone. Told again now and then: it says who lives.
     void update_peers(Timestamp now, std::vector<std::string> names);
     void deprioritize(HostId host_id, Timestamp until);  // others first until then
-    bool is_deprioritized(Timestamp now, HostId host_id) const { return loads_[host_id].deprioritized_until > now; }
+    bool is_deprioritized(Timestamp now, HostId host_id) const {
+        return loads_[host_id].deprioritized_until > now;
+    }
     double cost(Timestamp now, HostId host_id) const;
     const std::vector<HostId>& candidates() const { return usable_hosts_; }
     bool probes_before_call() const { return settings_.policy == BalancingPolicy::probe_first; }
@@ -77,16 +86,25 @@
         Timestamp deprioritized_until{0};
         double round_robin_credit = 0.0;  // weighted round robin's
     };
-    bool is_eligible(Timestamp now, HostId host_id, const std::vector<HostId>& tried_hosts, bool include_deprioritized) const;
+    bool is_eligible(Timestamp now, HostId host_id, const std::vector<HostId>& tried_hosts,
+                     bool include_deprioritized) const;
     void release_call(Timestamp now, HostId host_id, Duration elapsed);
-    HostId choose(Timestamp now, std::uint64_t key, const std::vector<HostId>& tried_hosts, Random& random, bool include_deprioritized);
-    HostId pick_least_in_flight(Timestamp now, const std::vector<HostId>& tried_hosts, bool include_deprioritized);
-    HostId pick_round_robin(Timestamp now, const std::vector<HostId>& tried_hosts, bool include_deprioritized);
-    HostId pick_of_two(Timestamp now, const std::vector<HostId>& candidates, const std::vector<HostId>& tried_hosts, Random& random, bool include_deprioritized) const;
-    HostId pick_by_key(Timestamp now, std::uint64_t key, const std::vector<HostId>& tried_hosts, bool include_deprioritized);
+    HostId choose(Timestamp now, std::uint64_t key, const std::vector<HostId>& tried_hosts, Random& random,
+                  bool include_deprioritized);
+    HostId pick_least_in_flight(Timestamp now, const std::vector<HostId>& tried_hosts,
+                                bool include_deprioritized);
+    HostId pick_round_robin(Timestamp now, const std::vector<HostId>& tried_hosts,
+                            bool include_deprioritized);
+    HostId pick_of_two(Timestamp now, const std::vector<HostId>& candidates,
+                       const std::vector<HostId>& tried_hosts, Random& random,
+                       bool include_deprioritized) const;
+    HostId pick_by_key(Timestamp now, std::uint64_t key, const std::vector<HostId>& tried_hosts,
+                       bool include_deprioritized);
     const std::vector<HostId>& preferred_hosts() const;
     void update_slow_starts(Random& random);  // those that began or ended with the last refresh()
-    bool sends_load_probes() const { return settings_.policy == BalancingPolicy::probe_pool || probes_before_call(); }
+    bool sends_load_probes() const {
+        return settings_.policy == BalancingPolicy::probe_pool || probes_before_call();
+    }
     const std::vector<std::uint32_t>& own_subset(const std::vector<std::string>& names);
 
     HostSet& hosts_;
@@ -102,7 +120,8 @@
     load_balancing::ProbePool probe_pool_;
     load_balancing::WeightedSampler probe_sampler_;  // of all_
     std::vector<std::uint32_t> sampled_;
-    std::vector<std::string> peer_names_, subset_input_;  // parted_: the servers that part_ is of; empty: none
+    std::vector<std::string> peer_names_,
+        subset_input_;  // parted_: the servers that part_ is of; empty: none
     std::vector<std::uint32_t> own_subset_;
     SlowStartLimiter slow_start_;
     bool slow_starts_stale_ = false;
--- a/src/load_balancing/load_probes.cpp
+++ b/src/load_balancing/load_probes.cpp
@@ -17,13 +17,15 @@
     const double n = static_cast<double>(std::max<std::size_t>(host_count_, 1));
     const double m = std::min(static_cast<double>(settings_.pool_size), n);
     const double fresh = (1.0 - m / n) * settings_.probes_per_call - settings_.removals_per_call;
-    if (fresh <= 0.0) return static_cast<double>(settings_.pool_size);
+    if (fresh <= 0.0)
+        return static_cast<double>(settings_.pool_size);
     return std::max(1.0, (1.0 + settings_.min_pool_growth) / fresh);
 }
 
 void ProbePool::add(Timestamp now, HostId host_id, const LoadReport& load) {
     remove(host_id);  // the later word of one server counts
-    if (pool_.size() >= settings_.pool_size) pool_.erase(pool_.begin());
+    if (pool_.size() >= settings_.pool_size)
+        pool_.erase(pool_.begin());
     pool_.push_back({host_id, load, now, 0});
 }
 
@@ -32,40 +34,52 @@
 }
 
 void ProbePool::remove_oldest_or_worst() {
-    if (pool_.empty()) return;
+    if (pool_.empty())
+        return;
     auto gone = pool_.begin();  // the oldest
     if (!std::exchange(remove_oldest_next_, !remove_oldest_next_))
-        gone = std::max_element(pool_.begin(), pool_.end(),
-                                [](const PooledReport& a, const PooledReport& b) { return a.load.utilization() < b.load.utilization(); });
+        gone = std::max_element(pool_.begin(), pool_.end(), [](const PooledReport& a, const PooledReport& b) {
+            return a.load.utilization() < b.load.utilization();
+        });
     pool_.erase(gone);
 }
 
 HostId ProbePool::pick(Timestamp now, const std::function<bool(HostId)>& is_eligible) {
-    std::erase_if(pool_, [&](const PooledReport& a) { return now - a.received_at > settings_.max_age || !is_eligible(a.host_id); });
-    if (pool_.size() < 2) return no_host;
+    std::erase_if(pool_, [&](const PooledReport& a) {
+        return now - a.received_at > settings_.max_age || !is_eligible(a.host_id);
+    });
+    if (pool_.size() < 2)
+        return no_host;
     std::vector<double> shares;
-    for (const PooledReport& a : pool_) shares.push_back(a.load.utilization());
-    const auto at = shares.begin() + static_cast<std::ptrdiff_t>(settings_.hot_quantile * static_cast<double>(shares.size() - 1));
+    for (const PooledReport& a : pool_)
+        shares.push_back(a.load.utilization());
+    const auto at = shares.begin() + static_cast<std::ptrdiff_t>(settings_.hot_quantile *
+                                                                 static_cast<double>(shares.size() - 1));
     std::nth_element(shares.begin(), at, shares.end());
     const double hot = *at;
     // Hot-cold lexicographic: among the cold the quickest, and only where all are hot the least loaded.
     const auto better = [hot](const PooledReport& a, const PooledReport& b) {
         const bool cold_a = a.load.utilization() < hot, cold_b = b.load.utilization() < hot;
-        if (cold_a != cold_b) return cold_a;
-        if (cold_a && a.load.latency_s != b.load.latency_s) return a.load.latency_s < b.load.latency_s;
+        if (cold_a != cold_b)
+            return cold_a;
+        if (cold_a && a.load.latency_s != b.load.latency_s)
+            return a.load.latency_s < b.load.latency_s;
         return a.load.utilization(1.0) < b.load.utilization(1.0);
     };
     const auto chosen = std::min_element(pool_.begin(), pool_.end(), better);
     const HostId host_id = chosen->host_id;
     chosen->load.in_flight += 1.0;  // guards against one server for every call until it is heard again
-    if (++chosen->uses >= max_uses()) pool_.erase(chosen);
+    if (++chosen->uses >= max_uses())
+        pool_.erase(chosen);
     for (removal_credit_ += settings_.removals_per_call; removal_credit_ >= 1.0; removal_credit_ -= 1.0)
-        if (pool_.size() > 2) remove_oldest_or_worst();
+        if (pool_.size() > 2)
+            remove_oldest_or_worst();
     return host_id;
 }
 
 double ExpectedCallEstimator::expected_calls(Timestamp now) {
-    while (!probe_times_.empty() && now - probe_times_.front() > window_) probe_times_.pop_front();
+    while (!probe_times_.empty() && now - probe_times_.front() > window_)
+        probe_times_.pop_front();
     return calls_per_probe_ * static_cast<double>(probe_times_.size());
 }
 
@@ -82,7 +96,8 @@
     acceptance_.assign(n, 1.0);
     alias_.resize(n);
     double sum = 0.0;
-    for (const double c : weights) sum += c;
+    for (const double c : weights)
+        sum += c;
     std::vector<double> scaled(n);
     std::vector<std::uint32_t> small, large;
     for (std::size_t i = 0; i < n; ++i) {
@@ -113,11 +128,13 @@
 void WeightedSampler::sample(Random& random, unsigned count, std::vector<std::uint32_t>& sampled) const {
     sampled.clear();
     const std::size_t most = std::min<std::size_t>(count, acceptance_.size());
-    const bool few = acceptance_.size() <= 64;  // draws meet each other more often, and a bit for each tells at once
+    const bool few =
+        acceptance_.size() <= 64;  // draws meet each other more often, and a bit for each tells at once
     std::uint64_t met = 0;
     for (unsigned tries = 0; sampled.size() < most && tries < 8 * count; ++tries) {
         const std::uint32_t i = sample(random);
-        if (few ? (met >> i & 1U) != 0 : std::find(sampled.begin(), sampled.end(), i) != sampled.end()) continue;
+        if (few ? (met >> i & 1U) != 0 : std::find(sampled.begin(), sampled.end(), i) != sampled.end())
+            continue;
         met |= std::uint64_t{few} << (i & 63U);
         sampled.push_back(i);
     }
--- a/src/load_balancing/load_probes.hpp
+++ b/src/load_balancing/load_probes.hpp
@@ -39,15 +39,20 @@
     double probes_per_call = 3.0;  // probes sent for each call
     double removals_per_call = 1.0;  // answers dropped for each call: the oldest and the worst in turn
     Duration max_age{1'000'000};
-    double hot_quantile = 0.0;  // quantile of the shares above which a server is hot, and only the load counts; 0: all are
-    double min_pool_growth = 1.0;  // delta of the paper's equation 1: the pool grows by so many answers a call at least
+    double hot_quantile =
+        0.0;  // quantile of the shares above which a server is hot, and only the load counts; 0: all are
+    double min_pool_growth =
+        1.0;  // delta of the paper's equation 1: the pool grows by so many answers a call at least
 };
 
 class ProbePool {
 public:
-    explicit ProbePool(const LoadProbeSettings& settings, std::size_t host_count) : settings_(settings), host_count_(host_count) {}
+    explicit ProbePool(const LoadProbeSettings& settings, std::size_t host_count)
+        : settings_(settings), host_count_(host_count) {}
     void set_host_count(std::size_t host_count) { host_count_ = host_count; }  // that may be probed
-    void reconfigure(const LoadProbeSettings& settings) { settings_ = settings; }  // what has been heard stays
+    void reconfigure(const LoadProbeSettings& settings) {
+        settings_ = settings;
+    }  // what has been heard stays
     unsigned take_due_probes();  // probes to be sent for one more call; a fraction is carried over
     void add(Timestamp now, HostId host_id, const LoadReport& load);
     void remove(HostId host_id);  // a probe or call failed: what it said is worth nothing
@@ -77,7 +82,8 @@
 // against a herd: of all who probe within one round trip each would find it idle. Counts 1 / `probes` for each.
 class ExpectedCallEstimator {
 public:
-    ExpectedCallEstimator(Duration window, unsigned probes_per_call) : window_(window), calls_per_probe_(1.0 / std::max(1U, probes_per_call)) {}
+    ExpectedCallEstimator(Duration window, unsigned probes_per_call)
+        : window_(window), calls_per_probe_(1.0 / std::max(1U, probes_per_call)) {}
     double expected_calls(Timestamp now);  // expected now, from the probes before
     void on_probe(Timestamp now) { probe_times_.push_back(now); }
 
--- a/src/load_balancing/maglev.hpp
+++ b/src/load_balancing/maglev.hpp
@@ -26,6 +26,7 @@
 
 // The servers that `node` uses out of `names`, by rendezvous hashing: places in `names`, in order. One that comes or
 // goes changes one place at most.
-std::vector<std::uint32_t> rendezvous_subset(const std::string& node, const std::vector<std::string>& names, std::size_t size);
+std::vector<std::uint32_t> rendezvous_subset(const std::string& node, const std::vector<std::string>& names,
+                                             std::size_t size);
 
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/slow_start.hpp
+++ b/src/load_balancing/slow_start.hpp
@@ -19,7 +19,8 @@
 namespace cressledge::load_balancing {
 
 struct SlowStartSettings {
-    double calls_per_s = 0.0;  // that a warm server of weight 1 is allowed, from all processes together; 0: no bound
+    double calls_per_s =
+        0.0;  // that a warm server of weight 1 is allowed, from all processes together; 0: no bound
     double initial_fraction = 0.2;  // of it, at the announcement
     base::Duration warm_up_time{10'000'000};  // then it is allowed all of it
     base::Duration window{2'000'000};  // over which a server feels the sum
@@ -35,14 +36,18 @@
     // The live processes by name, this one among them as `self`.
     void update_peers(base::Timestamp now, const std::vector<std::string>& names, const std::string& self);
     // A server's ramp begins, or has begun before this process knew of it.
-    void begin(upstream_health::HostId host_id, const upstream_health::HostSpec& spec, base::Timestamp announced_at, upstream_health::Random& random);
+    void begin(upstream_health::HostId host_id, const upstream_health::HostSpec& spec,
+               base::Timestamp announced_at, upstream_health::Random& random);
     void finish(upstream_health::HostId host_id);
     bool is_running(upstream_health::HostId host_id, base::Timestamp announced_at) const;
     bool allows(base::Timestamp now, upstream_health::HostId host_id) const;  // a call more
     void on_call_started(base::Timestamp now, upstream_health::HostId host_id);
     // By all processes, to a server of weight 1: N.
     double allowed_calls(base::Timestamp announced_at, base::Timestamp from, base::Timestamp to) const;
-    double process_count() const { return knows_peers() ? static_cast<double>(peer_last_seen_.size()) : std::max(settings_.assumed_processes, 1.0); }
+    double process_count() const {
+        return knows_peers() ? static_cast<double>(peer_last_seen_.size())
+                             : std::max(settings_.assumed_processes, 1.0);
+    }
 
 private:
     struct HostRamp {
--- a/src/load_balancing/subset.hpp
+++ b/src/load_balancing/subset.hpp
@@ -16,6 +16,7 @@
 // all of them where there are fewer. Every server is in floor or ceil of processes * size / servers rows, or one more
 // where the last places left are of servers that a process has already. O(processes * servers) time.
 std::vector<std::vector<std::uint32_t>> assign_subsets(const std::vector<std::string>& processes,
-                                                const std::vector<std::string>& servers, std::size_t size);
+                                                       const std::vector<std::string>& servers,
+                                                       std::size_t size);
 
 }  // namespace cressledge::load_balancing
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -63,18 +63,20 @@
 
 // Says what each file is and what is in force with it; the first bad one ends it.
 int check(const std::vector<std::string>& files) {
-    if (files.empty()) throw config::ConfigError("check: no file named");
+    if (files.empty())
+        throw config::ConfigError("check: no file named");
     for (const std::string& path : files) {
         const std::string ending = path.substr(std::min(path.rfind('.'), path.size()));
         if (ending == ".json") {
             const config::NodeConfig n = config::load_node_config(path);
-            std::cout << path << ": configuration of node " << n.name << ", " << n.policy_settings.classes.size()
-                      << " classes\n";
+            std::cout << path << ": configuration of node " << n.name << ", "
+                      << n.policy_settings.classes.size() << " classes\n";
         } else if (ending == ".csv" || config::is_inventory_file(path)) {
             const std::size_t servers = config::load_inventory(path).size();
             std::cout << path << ": inventory of " << servers << " servers\n";
         } else {
-            const std::size_t servers = cressledge::upstream::load_servers(config::load_operator_config(path)).size();
+            const std::size_t servers =
+                cressledge::upstream::load_servers(config::load_operator_config(path)).size();
             std::cout << path << ": operator's file, " << servers << " servers in force\n";
         }
     }
@@ -91,7 +93,9 @@
     store::PosixFileSystem files(words[1]);
     store::Store kept(files);
     const auto must = [&](int bad) {
-        if (bad != 0) throw config::ConfigError(words[1] + ": " + (bad == EWOULDBLOCK ? "in use by a process" : std::strerror(bad)));
+        if (bad != 0)
+            throw config::ConfigError(words[1] + ": " +
+                                      (bad == EWOULDBLOCK ? "in use by a process" : std::strerror(bad)));
     };
     must(kept.open_read_only());
     const auto& entries = kept.entries();
@@ -107,13 +111,16 @@
                             {"log_records", kept.replayed_records()},
                             {"entries", entries.size()},
                             {"refused", kept.skipped_files()}};
-        if (verb == "show") j["state"] = nlohmann::json::parse(cressledge::learned_state::to_json(entries));
+        if (verb == "show")
+            j["state"] = nlohmann::json::parse(cressledge::learned_state::to_json(entries));
         std::cout << j.dump(2) << '\n';
     } else {
         std::cout << words[1] << ": generation " << kept.generation() << ", " << kept.replayed_records()
                   << " records of its log, " << entries.size() << " entries\n";
-        for (const std::string& why : kept.skipped_files()) std::cout << "refused: " << why << '\n';
-        if (verb == "show") std::cout << cressledge::learned_state::to_json(entries) << '\n';
+        for (const std::string& why : kept.skipped_files())
+            std::cout << "refused: " << why << '\n';
+        if (verb == "show")
+            std::cout << cressledge::learned_state::to_json(entries) << '\n';
     }
     return verb == "check" && !kept.skipped_files().empty() ? 1 : 0;
 }
@@ -128,7 +135,11 @@
         if (two) {
             const auto d = config::diff_inventories(first, config::load_inventory(words[2]));
             if (as_json)
-                std::cout << nlohmann::json{{"added", d.added}, {"removed", d.removed}, {"changed", d.changed}}.dump(2);
+                std::cout << nlohmann::json{
+                    {"added", d.added},
+                    {"removed", d.removed},
+                    {"changed",
+                     d.changed}}.dump(2);
             else
                 std::cout << d.summary(1'000);
             std::cout << '\n';
@@ -141,17 +152,26 @@
         nlohmann::json all = nlohmann::json::array();
         for (const auto& u : first) {
             if (!as_json)
-                std::cout << u.name << ' ' << u.address << ' ' << u.protocol << ' ' << u.group << " data centre "
-                          << (u.data_centre.empty() ? "-" : u.data_centre) << " model " << (u.machine_model.empty() ? "-" : u.machine_model) << " weight "
-                          << u.weight << (u.is_drained ? " drained" : "") << '\n';
-            all.push_back({{"name", u.name}, {"address", u.address}, {"protocol", u.protocol}, {"group", u.group},
-                           {"data_centre", u.data_centre}, {"model", u.machine_model}, {"weight", u.weight}, {"drained", u.is_drained},
+                std::cout << u.name << ' ' << u.address << ' ' << u.protocol << ' ' << u.group
+                          << " data centre " << (u.data_centre.empty() ? "-" : u.data_centre) << " model "
+                          << (u.machine_model.empty() ? "-" : u.machine_model) << " weight " << u.weight
+                          << (u.is_drained ? " drained" : "") << '\n';
+            all.push_back({{"name", u.name},
+                           {"address", u.address},
+                           {"protocol", u.protocol},
+                           {"group", u.group},
+                           {"data_centre", u.data_centre},
+                           {"model", u.machine_model},
+                           {"weight", u.weight},
+                           {"drained", u.is_drained},
                            {"tags", u.tags}});
         }
-        if (as_json) std::cout << all.dump(2) << '\n';
+        if (as_json)
+            std::cout << all.dump(2) << '\n';
         return 0;
     } catch (const config::InventoryError& e) {
-        for (const std::string& row : e.row_errors) std::cerr << "cressledge: " << row << '\n';
+        for (const std::string& row : e.row_errors)
+            std::cerr << "cressledge: " << row << '\n';
         return 2;
     }
 }
@@ -164,16 +184,19 @@
     try {
         cxxopts::Options options("cressledge", "Map server of Sentiers du Sahel Cartographie");
         options.positional_help("[serve|check|inventory|state|supervise|roll|version] [FILE...]");
-        options.add_options()("command",
-                              "serve: the default; check: read files and say what is wrong; "
-                              "inventory check|show FILE, diff FILE FILE; "
-                              "state show|check|export|reset FOLDER: what was learned; "
-                              "supervise FILE: keep processes up; roll PLAN: change a fleet in stages; version",
-                              cxxopts::value<std::string>()->default_value("serve"))(
+        options.add_options()(
+            "command",
+            "serve: the default; check: read files and say what is wrong; "
+            "inventory check|show FILE, diff FILE FILE; "
+            "state show|check|export|reset FOLDER: what was learned; "
+            "supervise FILE: keep processes up; roll PLAN: change a fleet in stages; version",
+            cxxopts::value<std::string>()->default_value("serve"))(
             "files", "the files to check", cxxopts::value<std::vector<std::string>>()->default_value(""))(
-            "json", "state, inventory: print JSON")("state", "roll: the folder of its state", cxxopts::value<std::string>())(
+            "json", "state, inventory: print JSON")("state", "roll: the folder of its state",
+                                                    cxxopts::value<std::string>())(
             "report", "roll: where its report goes", cxxopts::value<std::string>()->default_value(""))(
-            "take-back", "roll: take the change back")("c,config", "serve: the node's configuration instead of $NODE_CONFIG",
+            "take-back", "roll: take the change back")(
+            "c,config", "serve: the node's configuration instead of $NODE_CONFIG",
             cxxopts::value<std::string>())("o,operator",
                                            "serve: an operator's file, for SCGI and an inventory",
                                            cxxopts::value<std::string>())("h,help", "print this");
@@ -196,19 +219,26 @@
                                                        : std::vector<std::string>(),
                              given.count("json") != 0);
         if (command == "supervise" || command == "roll") {
-            const auto files = given.count("files") != 0 ? given["files"].as<std::vector<std::string>>() : std::vector<std::string>();
-            if (files.size() != 1) throw config::ConfigError(command + ": needs one file");
-            if (command == "supervise") return cressledge::command::supervise(files[0]);
-            if (given.count("state") == 0) throw config::ConfigError("roll: --state names no folder");
-            return cressledge::command::roll(files[0], given["state"].as<std::string>(), given["report"].as<std::string>(),
+            const auto files = given.count("files") != 0 ? given["files"].as<std::vector<std::string>>()
+                                                         : std::vector<std::string>();
+            if (files.size() != 1)
+                throw config::ConfigError(command + ": needs one file");
+            if (command == "supervise")
+                return cressledge::command::supervise(files[0]);
+            if (given.count("state") == 0)
+                throw config::ConfigError("roll: --state names no folder");
+            return cressledge::command::roll(files[0], given["state"].as<std::string>(),
+                                             given["report"].as<std::string>(),
                                              given.count("take-back") != 0);
         }
-        if (given.count("files") != 0) throw config::ConfigError(command + ": takes no files");
+        if (given.count("files") != 0)
+            throw config::ConfigError(command + ": takes no files");
         if (command == "version") {
             std::cout << "cressledge " << version << '\n';
             return 0;
         }
-        if (command != "serve") throw config::ConfigError("no such command: " + command);
+        if (command != "serve")
+            throw config::ConfigError("no such command: " + command);
         if (given.count("operator") != 0) {
             if (given.count("config") != 0)
                 throw config::ConfigError("serve: --config and --operator exclude each other");
--- a/src/membership/member_index_table.hpp
+++ b/src/membership/member_index_table.hpp
@@ -20,7 +20,8 @@
         return it == index_by_id_.end() ? no_member : it->second;
     }
     MemberIndex add(std::string_view id) {
-        if (const MemberIndex known = find(id); known != no_member) return known;
+        if (const MemberIndex known = find(id); known != no_member)
+            return known;
         MemberIndex no = static_cast<MemberIndex>(ids_.size());
         if (free_indices_.empty()) {
             ids_.emplace_back(id);
--- a/src/membership/membership_table.hpp
+++ b/src/membership/membership_table.hpp
@@ -17,16 +17,15 @@
 #include <cstdint>
 #include <map>
 #include <optional>
+#include <pcg_random.hpp>
 #include <set>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
-#include <pcg_random.hpp>
-
 #include "base/timer_queue.hpp"
-#include "membership/message.hpp"
 #include "membership/member_index_table.hpp"
+#include "membership/message.hpp"
 
 namespace cressledge::membership {
 
@@ -35,13 +34,17 @@
 
 struct MembershipSettings {
     Duration probe_interval{500'000};  // one member each, and the bound of a probe
-    unsigned indirect_probe_count = 3;  // members asked to probe one that does not answer, and confirmations that count
-    double suspicion_multiplier = 3.0;  // times log10 of the fleet's size times probe_every: the shortest suspicion
+    unsigned indirect_probe_count =
+        3;  // members asked to probe one that does not answer, and confirmations that count
+    double suspicion_multiplier =
+        3.0;  // times log10 of the fleet's size times probe_every: the shortest suspicion
     double max_suspicion_multiplier = 2.0;  // times the shortest: a suspicion that nobody confirms
     Duration gossip_interval{100'000};  // while there is news
     unsigned gossip_fanout = 3;  // members told in one round
-    unsigned retransmit_multiplier = 6;  // times log10 of the fleet's size, rounded up: how often one process tells one piece of news
-    Duration exchange_interval{10'000'000};  // between two full exchanges, in a fleet of up to 32; longer in larger ones
+    unsigned retransmit_multiplier =
+        6;  // times log10 of the fleet's size, rounded up: how often one process tells one piece of news
+    Duration exchange_interval{
+        10'000'000};  // between two full exchanges, in a fleet of up to 32; longer in larger ones
     Duration departed_retention{600'000'000};  // members dead or gone
     std::size_t max_members = 20'000;
 };
@@ -94,17 +97,21 @@
     };
 
     // `names` outlives the view; `shared`: others use it too, and nothing in it is dropped.
-    MembershipTable(MemberIndexTable& member_indices, bool shares_member_indices, const MembershipSettings& settings, const LocalMember& local_member, std::vector<Endpoint> seeds,
-         std::uint64_t random_seed, Timestamp now);
+    MembershipTable(MemberIndexTable& member_indices, bool shares_member_indices,
+                    const MembershipSettings& settings, const LocalMember& local_member,
+                    std::vector<Endpoint> seeds, std::uint64_t random_seed, Timestamp now);
 
     Timestamp next_deadline() const;  // when tick() is due; it may be called sooner
     void tick(Timestamp now, Effects& out);
     void on_message(Timestamp now, const Message& message, const Endpoint& from, Effects& out);
-    Message full_state(MessageType type) const;  // the whole view, for an exchange; `kind`: exchange or exchange_reply
+    Message full_state(
+        MessageType type) const;  // the whole view, for an exchange; `kind`: exchange or exchange_reply
     // What the other side's `state` says.
     void merge_full_state(Timestamp now, const Message& message, Effects& out);
     void leave(Timestamp now);  // tells the others, over the next rounds
-    bool departure_announced() const { return leaving_ && pending_broadcasts_.count(local_index_) == 0; }  // told as often as it takes
+    bool departure_announced() const {
+        return leaving_ && pending_broadcasts_.count(local_index_) == 0;
+    }  // told as often as it takes
     // For a view that starts in full knowledge: no news is owed, and no exchange soon.
     void assume_converged();
     void reconfigure(const MembershipSettings& settings, std::vector<Endpoint> seeds);
@@ -119,7 +126,8 @@
     std::optional<MemberState> state_of(std::string_view id) const;
     // Of the live members' ids, places and states, this process with them: equal where two views agree.
     std::uint64_t digest() const;
-    static std::uint64_t member_digest(const std::string& id, const Endpoint& place);  // of a live member: the digest is their sum
+    static std::uint64_t member_digest(const std::string& id,
+                                       const Endpoint& place);  // of a live member: the digest is their sum
     const Counters& counters() const { return counters_; }
 
 private:
@@ -132,7 +140,8 @@
         bool is_known = false, in_probe_order = false;  // ringed: stands in ring_
     };
     struct Suspicion {
-        Timestamp started_at{0}, expires_at{0}, recheck_at{0};  // check: ask it once more, before it is too late
+        Timestamp started_at{0}, expires_at{0},
+            recheck_at{0};  // check: ask it once more, before it is too late
         unsigned confirmations = 0;
         bool raised_locally = false, rechecked = false;
         std::vector<MemberIndex> accusers;
@@ -157,9 +166,15 @@
     enum class UpdateSource : std::uint8_t { gossip, exchange };
 
     static constexpr Timestamp never = Timestamp::max();
-    static bool departure_announced(MemberState s) { return s == MemberState::dead || s == MemberState::left; }
-    MemberRecord* find_record(MemberIndex no) { return no < records_.size() && records_[no].is_known ? &records_[no] : nullptr; }
-    const MemberRecord* find_record(MemberIndex no) const { return no < records_.size() && records_[no].is_known ? &records_[no] : nullptr; }
+    static bool departure_announced(MemberState s) {
+        return s == MemberState::dead || s == MemberState::left;
+    }
+    MemberRecord* find_record(MemberIndex no) {
+        return no < records_.size() && records_[no].is_known ? &records_[no] : nullptr;
+    }
+    const MemberRecord* find_record(MemberIndex no) const {
+        return no < records_.size() && records_[no].is_known ? &records_[no] : nullptr;
+    }
     MemberUpdate update_of(MemberIndex no) const;
     MemberUpdate local_update() const;
     double log_size_factor() const;
@@ -179,7 +194,8 @@
     void unqueue(MemberIndex no);
     void piggyback_updates(Message& m, MemberIndex to, std::uint64_t heard_birth);
     // `heard_birth`: what the other side said of itself; where a later one holds its id, it is told.
-    void send(const Endpoint& to, Message m, MemberIndex whom, Effects& out, std::uint64_t heard_birth = max_start_time_us);
+    void send(const Endpoint& to, Message m, MemberIndex whom, Effects& out,
+              std::uint64_t heard_birth = max_start_time_us);
     Message make_message(MessageType kind, std::uint32_t sequence) const;
     void ping(MemberIndex no, std::uint32_t sequence, Effects& out);
 
@@ -208,9 +224,11 @@
     std::vector<MemberIndex> departed_;  // dead, not forgotten
     std::vector<MemberIndex> pending_rechecks_;  // dead here and alive elsewhere: asked soon
     std::unordered_map<MemberIndex, Suspicion> suspicions_;
-    std::set<std::pair<Timestamp, MemberIndex>> suspicion_timers_;  // of the suspicions: their next check or end
+    std::set<std::pair<Timestamp, MemberIndex>>
+        suspicion_timers_;  // of the suspicions: their next check or end
     std::unordered_map<MemberIndex, PendingBroadcast> pending_broadcasts_;
-    std::set<std::pair<std::pair<unsigned, std::uint64_t>, MemberIndex>> broadcast_queue_;  // least told first, of those the newest
+    std::set<std::pair<std::pair<unsigned, std::uint64_t>, MemberIndex>>
+        broadcast_queue_;  // least told first, of those the newest
     std::uint64_t last_broadcast_order_ = 0;
     std::optional<Probe> probe_;
     std::map<std::uint32_t, Relay> relays_;
@@ -218,7 +236,8 @@
     unsigned local_health_score_ = 0;  // local health, 0 the best
     unsigned remaining_early_exchanges_ = 3;  // a newcomer's, a second apart
     bool leaving_ = false, displaced_ = false;
-    Timestamp now_, next_probe_at_, next_gossip_at_, next_exchange_at_, next_departed_ping_at_, next_forget_at_;
+    Timestamp now_, next_probe_at_, next_gossip_at_, next_exchange_at_, next_departed_ping_at_,
+        next_forget_at_;
     Counters counters_;
 };
 
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -53,7 +53,8 @@
     MessageType type = MessageType::gossip;
     std::uint32_t sequence = 0;
     MemberUpdate sender;  // alive, or left when it goes
-    std::string target_id;  // ping, ping_request: whom it is for; another process at that address keeps silent
+    std::string
+        target_id;  // ping, ping_request: whom it is for; another process at that address keeps silent
     Endpoint target_endpoint;  // ping_request: the target's address
     std::vector<MemberUpdate> updates;
     bool operator==(const Message&) const = default;
@@ -63,7 +64,9 @@
 
 // Bytes that an update takes in a message, at most.
 std::size_t max_encoded_size(const MemberUpdate& update);
-std::size_t max_encoded_size(const Message& message, std::size_t fleet_name_length);  // without its updates, at most; a fleet's name of so many characters
+std::size_t max_encoded_size(
+    const Message& message,
+    std::size_t fleet_name_length);  // without its updates, at most; a fleet's name of so many characters
 
 // Updates that would take a datagram beyond its bound are left out, the last first.
 std::string encode(const Message& message, std::string_view fleet_name);
@@ -72,6 +75,7 @@
 constexpr std::size_t drop_reason_count = 4;
 const char* to_string(DropReason drop);
 
-std::variant<Message, DropReason> decode(std::string_view bytes, std::string_view fleet_name, std::size_t max_bytes);
+std::variant<Message, DropReason> decode(std::string_view bytes, std::string_view fleet_name,
+                                         std::size_t max_bytes);
 
 }  // namespace cressledge::membership
--- a/src/net/file_watcher.hpp
+++ b/src/net/file_watcher.hpp
@@ -18,7 +18,8 @@
         uv_fs_poll_start(
             poll_,
             [](uv_fs_poll_t* p, int, const uv_stat_t*, const uv_stat_t*) {
-                if (p->data != nullptr) static_cast<FileWatcher*>(p->data)->on_change_();
+                if (p->data != nullptr)
+                    static_cast<FileWatcher*>(p->data)->on_change_();
             },
             path.c_str(), every_ms);
     }
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -15,7 +15,8 @@
         http_parser_settings_init(&parser_settings_);
         parser_settings_.on_body = [](http_parser* p, const char* at, std::size_t n) {
             auto& me = *static_cast<PendingRequest*>(p->data);
-            if (me.response_.body.size() + n > max_response_bytes) return 1;
+            if (me.response_.body.size() + n > max_response_bytes)
+                return 1;
             me.response_.body.append(at, n);
             return 0;
         };
@@ -27,16 +28,19 @@
     }
     ~PendingRequest() override {
         client_.timers_.cancel(deadline_timer);
-        if (stream != nullptr) std::exchange(stream, nullptr)->close();
+        if (stream != nullptr)
+            std::exchange(stream, nullptr)->close();
     }
     void on_open() override { stream->write(request_text_); }
     void on_bytes(std::string_view bytes) override {
         http_parser_execute(&parser_, &parser_settings_, bytes.data(), bytes.size());
-        if (response_.status != 0 || HTTP_PARSER_ERRNO(&parser_) != HPE_OK) finish();
+        if (response_.status != 0 || HTTP_PARSER_ERRNO(&parser_) != HPE_OK)
+            finish();
     }
     void on_end(bool) override {
         stream = nullptr;
-        http_parser_execute(&parser_, &parser_settings_, nullptr, 0);  // an answer may end with its connection
+        http_parser_execute(&parser_, &parser_settings_, nullptr,
+                            0);  // an answer may end with its connection
         finish();
     }
     void finish() {
@@ -62,21 +66,26 @@
 HttpClient::HttpClient(Loop& loop, base::TimerQueue& timers) : loop_(loop), timers_(timers) {}
 
 HttpClient::~HttpClient() {
-    for (const base::SlotId no : pending_requests_.ids()) pending_requests_.erase(no);
+    for (const base::SlotId no : pending_requests_.ids())
+        pending_requests_.erase(no);
 }
 
-void HttpClient::request(const Address& address, const std::string& method, const std::string& path, const std::string& body,
-               base::Timestamp deadline, std::function<void(const Response&)> on_response) {
+void HttpClient::request(const Address& address, const std::string& method, const std::string& path,
+                         const std::string& body, base::Timestamp deadline,
+                         std::function<void(const Response&)> on_response) {
     std::string text = method + ' ' + path + " HTTP/1.1\r\nHost: control\r\nConnection: close\r\n";
-    if (method != "GET") text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
+    if (method != "GET")
+        text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     auto made = std::make_unique<PendingRequest>(*this, text + "\r\n" + body, std::move(on_response));
     PendingRequest* c = made.get();
     c->id = pending_requests_.add(std::move(made));
     c->deadline_timer = timers_.schedule(deadline, [this, mine = c->id] {
-        if (PendingRequest* late = pending_requests_.find(mine); late != nullptr) late->finish();
+        if (PendingRequest* late = pending_requests_.find(mine); late != nullptr)
+            late->finish();
     });
     c->stream = Stream::connect(loop_.uv(), address, *c);
-    if (c->stream == nullptr) c->finish();
+    if (c->stream == nullptr)
+        c->finish();
 }
 
 }  // namespace cressledge::net
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -4,8 +4,8 @@
 #include <functional>
 #include <string>
 
-#include "base/timer_queue.hpp"
 #include "base/slot_map.hpp"
+#include "base/timer_queue.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
 
@@ -24,9 +24,11 @@
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
     // `told` hears once, on a later turn of the loop or before this returns; never after this object is gone.
-    void request(const Address& address, const std::string& method, const std::string& path, const std::string& body,
-             base::Timestamp deadline, std::function<void(const Response&)> on_response);
-    void get(const Address& address, const std::string& path, base::Timestamp deadline, std::function<void(const Response&)> on_response) {
+    void request(const Address& address, const std::string& method, const std::string& path,
+                 const std::string& body, base::Timestamp deadline,
+                 std::function<void(const Response&)> on_response);
+    void get(const Address& address, const std::string& path, base::Timestamp deadline,
+             std::function<void(const Response&)> on_response) {
         request(address, "GET", path, "", deadline, std::move(on_response));
     }
     std::size_t requests_in_flight() const { return pending_requests_.size(); }
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -9,7 +9,8 @@
 Loop::Loop(base::TimerQueue& timers) : timers_(timers) {
     // Guards against death by a write to a connection that the other side has closed.
     std::signal(SIGPIPE, SIG_IGN);
-    if (uv_loop_init(&loop_) != 0) throw std::runtime_error("no event loop");
+    if (uv_loop_init(&loop_) != 0)
+        throw std::runtime_error("no event loop");
     loop_.data = this;
     uv_timer_init(&loop_, &timer_);
     uv_prepare_init(&loop_, &prepare_);
@@ -20,11 +21,13 @@
     uv_walk(
         &loop_,
         [](uv_handle_t* h, void*) {
-            if (uv_is_closing(h) == 0) uv_close(h, nullptr);
+            if (uv_is_closing(h) == 0)
+                uv_close(h, nullptr);
         },
         nullptr);
     // Again where stop() was called meanwhile: it ends a run before the handles have been let go.
-    while (uv_loop_close(&loop_) == UV_EBUSY) uv_run(&loop_, UV_RUN_DEFAULT);
+    while (uv_loop_close(&loop_) == UV_EBUSY)
+        uv_run(&loop_, UV_RUN_DEFAULT);
 }
 
 base::Timestamp Loop::unix_now() {
@@ -54,10 +57,18 @@
         &timer_, [](uv_timer_t* t) { static_cast<Loop*>(t->loop->data)->run_due_deadlines(); }, ms, 0);
 }
 
-void Loop::run_due_deadlines() { timers_.run_due(unix_now()); }
+void Loop::run_due_deadlines() {
+    timers_.run_due(unix_now());
+}
 
-void Loop::run() { uv_run(&loop_, UV_RUN_DEFAULT); }
-void Loop::stop() { uv_stop(&loop_); }
-void Loop::run_once(bool wait) { uv_run(&loop_, wait ? UV_RUN_ONCE : UV_RUN_NOWAIT); }
+void Loop::run() {
+    uv_run(&loop_, UV_RUN_DEFAULT);
+}
+void Loop::stop() {
+    uv_stop(&loop_);
+}
+void Loop::run_once(bool wait) {
+    uv_run(&loop_, wait ? UV_RUN_ONCE : UV_RUN_NOWAIT);
+}
 
 }  // namespace cressledge::net
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -40,16 +40,19 @@
     // Both hold the lease until the connection is closed. Null: nothing came of it, and `bad` is libuv's reason
     // (UV_EMFILE and UV_ENFILE: no descriptor).
     static Stream* connect(uv_loop_t* loop, const Address& address, Owner& owner,
-                        connection_admission::FileDescriptorBudget::Lease lease = {}, int* bad = nullptr);
-    static Stream* accept(Listener& listener, Owner& owner, connection_admission::FileDescriptorBudget::Lease lease = {},
-                          int* bad = nullptr);
+                           connection_admission::FileDescriptorBudget::Lease lease = {}, int* bad = nullptr);
+    static Stream* accept(Listener& listener, Owner& owner,
+                          connection_admission::FileDescriptorBudget::Lease lease = {}, int* bad = nullptr);
     void set_owner(Owner& owner) { owner_ = &owner; }  // what comes from here on is told to another
     Address peer_address() const;  // the other side's; all zero if it has gone
 
     // False when the other side has let too much pile up, or the stream is closing: close it.
     bool write(std::string_view bytes);
-    void shut_down_writes();  // write what is left, then tell the other side that no more comes; reading goes on
-    bool has_unwritten_bytes() const { return unwritten_bytes_ > 0; }  // bytes that the system has not taken yet
+    void
+    shut_down_writes();  // write what is left, then tell the other side that no more comes; reading goes on
+    bool has_unwritten_bytes() const {
+        return unwritten_bytes_ > 0;
+    }  // bytes that the system has not taken yet
     // What has come and not been read is told now, not on the loop's next turn. Before a connection is ended: bytes
     // that are already here have not crossed the ending. The owner may close the stream meanwhile.
     void read_pending();
@@ -57,7 +60,8 @@
     void set_reading_paused(bool on);  // stop reading, and take it up again
 
 private:
-    Stream(Owner& owner, connection_admission::FileDescriptorBudget::Lease lease) : owner_(&owner), lease_(std::move(lease)) {}
+    Stream(Owner& owner, connection_admission::FileDescriptorBudget::Lease lease)
+        : owner_(&owner), lease_(std::move(lease)) {}
     void start_reading();
     void close_and_notify(bool refused);
     void send_shutdown();
@@ -70,7 +74,8 @@
     uv_connect_t connect_{};
     uv_shutdown_t shutdown_{};
     std::size_t unwritten_bytes_ = 0;
-    bool connected_ = false, closing_ = false, shutdown_requested_ = false, shutdown_sent_ = false, reading_paused_ = false;
+    bool connected_ = false, closing_ = false, shutdown_requested_ = false, shutdown_sent_ = false,
+         reading_paused_ = false;
 };
 
 // A listening socket of our own making. libuv's takes everything out of the backlog and closes it, requests included,
--- a/src/net/udp_socket.cpp
+++ b/src/net/udp_socket.cpp
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-UdpSocket::UdpSocket(uv_loop_t* loop, const Address& address, ReceiveHandler told) : handle_(new uv_udp_t), on_receive_(std::move(told)) {
+UdpSocket::UdpSocket(uv_loop_t* loop, const Address& address, ReceiveHandler told)
+    : handle_(new uv_udp_t), on_receive_(std::move(told)) {
     int bad = uv_udp_init(loop, handle_);
     if (bad != 0) {
         delete handle_;
@@ -27,25 +28,31 @@
                 *b = uv_buf_init(receive_buffer.data(), static_cast<unsigned>(receive_buffer.size()));
             },
             [](uv_udp_t* u, ssize_t n, const uv_buf_t* b, const sockaddr* from, unsigned) {
-                if (n < 0 || from == nullptr || u->data == nullptr) return;  // nothing more, or an error of the peer's
+                if (n < 0 || from == nullptr || u->data == nullptr)
+                    return;  // nothing more, or an error of the peer's
                 Address a;
-                std::memcpy(&a.raw, from, from->sa_family == AF_INET6 ? sizeof(sockaddr_in6) : sizeof(sockaddr_in));
+                std::memcpy(&a.raw, from,
+                            from->sa_family == AF_INET6 ? sizeof(sockaddr_in6) : sizeof(sockaddr_in));
                 static_cast<UdpSocket*>(u->data)->on_receive_({b->base, static_cast<std::size_t>(n)}, a);
             });
-    if (bad == 0) return;
-    uv_close(reinterpret_cast<uv_handle_t*>(handle_), [](uv_handle_t* h) { delete reinterpret_cast<uv_udp_t*>(h); });
+    if (bad == 0)
+        return;
+    uv_close(reinterpret_cast<uv_handle_t*>(handle_),
+             [](uv_handle_t* h) { delete reinterpret_cast<uv_udp_t*>(h); });
     throw std::runtime_error(std::string("cannot take datagrams: ") + uv_strerror(bad));
 }
 
 UdpSocket::~UdpSocket() {
     handle_->data = nullptr;
-    uv_close(reinterpret_cast<uv_handle_t*>(handle_), [](uv_handle_t* h) { delete reinterpret_cast<uv_udp_t*>(h); });
+    uv_close(reinterpret_cast<uv_handle_t*>(handle_),
+             [](uv_handle_t* h) { delete reinterpret_cast<uv_udp_t*>(h); });
 }
 
 int UdpSocket::port() const {
     sockaddr_storage name{};
     int length = sizeof name;
-    if (uv_udp_getsockname(handle_, reinterpret_cast<sockaddr*>(&name), &length) != 0) return 0;
+    if (uv_udp_getsockname(handle_, reinterpret_cast<sockaddr*>(&name), &length) != 0)
+        return 0;
     return ntohs(name.ss_family == AF_INET6 ? reinterpret_cast<sockaddr_in6*>(&name)->sin6_port
                                             : reinterpret_cast<sockaddr_in*>(&name)->sin_port);
 }
--- a/src/platform/directory_reporter.cpp
+++ b/src/platform/directory_reporter.cpp
@@ -11,9 +11,12 @@
 }  // namespace
 
 DirectoryReporter::DirectoryReporter(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
-                     connection_admission::FileDescriptorBudget& descriptors, std::string name)
+                                     connection_admission::FileDescriptorBudget& descriptors,
+                                     std::string name)
     : ReconnectingLink(loop, timers, address, descriptors), node_name_(std::move(name)) {}
-DirectoryReporter::~DirectoryReporter() { timers_.cancel(report_timer_); }
+DirectoryReporter::~DirectoryReporter() {
+    timers_.cancel(report_timer_);
+}
 
 void DirectoryReporter::report(bool open) {
     reported_open_ = open;
@@ -25,7 +28,8 @@
 }
 
 void DirectoryReporter::set_address(const net::Address& address) {
-    if (address == address_) return;
+    if (address == address_)
+        return;
     address_ = address;
     disconnect();
     connected_ = awaiting_response_ = false;
@@ -70,7 +74,8 @@
 }
 
 void DirectoryReporter::on_bytes(std::string_view bytes) {
-    if (!awaiting_response_) return;
+    if (!awaiting_response_)
+        return;
     static const http_parser_settings hooks = [] {
         http_parser_settings s;
         http_parser_settings_init(&s);
@@ -82,23 +87,27 @@
     }();
     http_parser_execute(&parser_, &hooks, bytes.data(), bytes.size());
     const bool broken = HTTP_PARSER_ERRNO(&parser_) != HPE_OK;
-    if (!response_complete_ && !broken) return;
+    if (!response_complete_ && !broken)
+        return;
     const bool good = response_complete_ && parser_.status_code == 204;
-    if (good != last_report_accepted_) spdlog::warn("directory: report {}", good ? "taken again" : "not taken");
+    if (good != last_report_accepted_)
+        spdlog::warn("directory: report {}", good ? "taken again" : "not taken");
     last_report_accepted_ = good;
     awaiting_response_ = false;
     if (broken || http_should_keep_alive(&parser_) == 0) {
         disconnect();
         connected_ = false;
     }
-    if (report_outdated_ && connected_) return send_report();
+    if (report_outdated_ && connected_)
+        return send_report();
     schedule_report(loop_.unix_now() + (good && !report_outdated_ ? report_interval : retry_delay));
 }
 
 void DirectoryReporter::on_end(bool) {
     stream_ = nullptr;
     if (awaiting_response_ || !connected_) {
-        if (last_report_accepted_) spdlog::warn("directory: out of reach");
+        if (last_report_accepted_)
+            spdlog::warn("directory: out of reach");
         last_report_accepted_ = false;
         schedule_report(loop_.unix_now() + retry_delay);
     }
--- a/src/platform/directory_reporter.hpp
+++ b/src/platform/directory_reporter.hpp
@@ -12,7 +12,7 @@
 class DirectoryReporter final : public ReconnectingLink {
 public:
     DirectoryReporter(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
-              connection_admission::FileDescriptorBudget& descriptors, std::string name);
+                      connection_admission::FileDescriptorBudget& descriptors, std::string name);
     ~DirectoryReporter() override;
     void report(bool open);  // now, and from then on
     void set_address(const net::Address& address);
@@ -28,7 +28,8 @@
     const std::string node_name_;
     std::string authority_;
     http_parser parser_{};
-    bool reported_open_ = true, connected_ = false, awaiting_response_ = false, response_complete_ = false, last_report_accepted_ = true, report_outdated_ = false;
+    bool reported_open_ = true, connected_ = false, awaiting_response_ = false, response_complete_ = false,
+         last_report_accepted_ = true, report_outdated_ = false;
     base::TimerQueue::Handle report_timer_ = 0;
 };
 
--- a/src/platform/engine_client.hpp
+++ b/src/platform/engine_client.hpp
@@ -7,18 +7,20 @@
 #include <vector>
 
 #include "base/log_rate_limiter.hpp"
-#include "request/request_manager.hpp"
 #include "platform/reconnecting_link.hpp"
+#include "request/request_manager.hpp"
 
 namespace cressledge::platform {
 
 class EngineClient final : public ReconnectingLink, public request::Executor {
 public:
-    EngineClient(net::Loop& loop, base::TimerQueue& timers, const net::Address& address, request::RequestManager& server,
-           connection_admission::FileDescriptorBudget& descriptors, std::vector<std::string> gauges);
+    EngineClient(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
+                 request::RequestManager& server, connection_admission::FileDescriptorBudget& descriptors,
+                 std::vector<std::string> gauges);
     void connect() {
         try_connect();
-        if (stream_ == nullptr) schedule_reconnect();
+        if (stream_ == nullptr)
+            schedule_reconnect();
     }
 
     // The link goes there at once, and takes up after the last notice read: nothing is lost or told twice.
--- a/src/platform/platform_node.hpp
+++ b/src/platform/platform_node.hpp
@@ -3,14 +3,14 @@
 
 #include <optional>
 
-#include "config/node.hpp"
-#include "request/request_manager.hpp"
 #include "admin/admin_server.hpp"
-#include "frontend/shutdown_coordinator.hpp"
+#include "config/node.hpp"
 #include "frontend/connection_admitter.hpp"
+#include "frontend/shutdown_coordinator.hpp"
 #include "platform/directory_reporter.hpp"
 #include "platform/engine_client.hpp"
 #include "platform/records_client.hpp"
+#include "request/request_manager.hpp"
 
 namespace cressledge::platform {
 
@@ -40,7 +40,8 @@
     RecordsClient records_client_;
     DirectoryReporter directory_reporter_;
     std::optional<admin::AdminServer> admin_server_;
-    std::uint64_t configurations_applied_ = 0, configurations_rejected_ = 0;  // files taken and turned down at SIGHUP
+    std::uint64_t configurations_applied_ = 0,
+                  configurations_rejected_ = 0;  // files taken and turned down at SIGHUP
 };
 
 }  // namespace cressledge::platform
--- a/src/platform/records_client.cpp
+++ b/src/platform/records_client.cpp
@@ -18,10 +18,14 @@
 constexpr base::Duration max_idle_time{100'000};
 
 Outcome outcome_of(std::string_view word) {
-    if (word == "DONE") return Outcome::ok;
-    if (word == "WAIT" || word == "EMPTY") return Outcome::rejected;  // either way the call never ran
-    if (word == "PAST") return Outcome::timeout;
-    if (word == "ERROR") return Outcome::error;
+    if (word == "DONE")
+        return Outcome::ok;
+    if (word == "WAIT" || word == "EMPTY")
+        return Outcome::rejected;  // either way the call never ran
+    if (word == "PAST")
+        return Outcome::timeout;
+    if (word == "ERROR")
+        return Outcome::error;
     return Outcome::not_started;  // no reply at all
 }
 
@@ -32,7 +36,8 @@
     explicit Connection(RecordsClient& of) : client(of), line_reader(max_reply_bytes) {}
     ~Connection() override {
         client.timers_.cancel(idle_timer);
-        if (stream != nullptr) stream->close();
+        if (stream != nullptr)
+            stream->close();
     }
     void on_open() override {
         connected = true;
@@ -49,7 +54,8 @@
         const auto counted = [](const auto& w) { return w.size() == 3 && w[1] == "DONE"; };
         while (stream != nullptr) {
             const LineReader::Status got = line_reader.read_line(words, body, counted);
-            if (got == LineReader::Status::incomplete) return;
+            if (got == LineReader::Status::incomplete)
+                return;
             const Outcome outcome = words.size() < 2 ? Outcome::not_started : outcome_of(words[1]);
             if (got == LineReader::Status::malformed || outcome == Outcome::not_started ||
                 words.size() != (outcome == Outcome::ok ? 3U : 2U))
@@ -57,7 +63,8 @@
             const auto it = client.pending_calls_.find(request_id);
             if (request_id == 0 || it == client.pending_calls_.end() || it->second.name != words[0]) {
                 received_surplus_reply = true;  // a second copy, or a reply for nobody: passed over
-                if (request_id == 0) return client.close_connection(*this);
+                if (request_id == 0)
+                    return client.close_connection(*this);
                 continue;
             }
             client.finish_call(*this, outcome, std::string(body));
@@ -85,13 +92,18 @@
 RecordsClient::RecordsClient(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
                              std::size_t connections, request::RequestManager& server,
                              connection_admission::FileDescriptorBudget& descriptors)
-    : loop_(loop), timers_(timers), address_(address), max_connections_(connections), request_manager_(server),
+    : loop_(loop),
+      timers_(timers),
+      address_(address),
+      max_connections_(connections),
+      request_manager_(server),
       descriptors_(descriptors) {}
 RecordsClient::~RecordsClient() = default;
 
 void RecordsClient::call(request::RequestId no, std::string_view name, std::string_view body,
                          base::Timestamp deadline) {
-    PendingCall& op = pending_calls_[no] = {std::string(name), std::string(body), deadline, ++last_sequence_, 0, false, false};
+    PendingCall& op = pending_calls_[no] = {
+        std::string(name), std::string(body), deadline, ++last_sequence_, 0, false, false};
     assign_connection(no, op);
 }
 
@@ -100,13 +112,15 @@
     // still bring a second copy of that reply, which would pass for the reply to this call.
     for (std::size_t i = idle_connections_.size(); i > 0; --i) {
         Connection& wire = *connections_.find(idle_connections_[i - 1]);
-        if (std::find(wire.served_names.begin(), wire.served_names.end(), op.name) != wire.served_names.end()) continue;
+        if (std::find(wire.served_names.begin(), wire.served_names.end(), op.name) != wire.served_names.end())
+            continue;
         idle_connections_.erase(idle_connections_.begin() + static_cast<std::ptrdiff_t>(i - 1));
         timers_.cancel(wire.idle_timer);
         bind_call(wire, no, op);
         return send_call(wire);
     }
-    if (connections_.size() < max_connections_) return open_connection(no, op);
+    if (connections_.size() < max_connections_)
+        return open_connection(no, op);
     if (!idle_connections_.empty()) {
         close_connection(*connections_.find(idle_connections_.front()));
         return open_connection(no, op);
@@ -128,31 +142,37 @@
     int bad = 0;
     if (auto lease = descriptors_.try_acquire(now, connection_admission::DescriptorPurpose::records))
         wire.stream = net::Stream::connect(loop_.uv(), address_, wire, std::move(lease), &bad);
-    if (bad == UV_EMFILE || bad == UV_ENFILE) descriptors_.on_system_exhausted(now);
-    if (wire.stream == nullptr) on_connection_lost(wire, true);  // no descriptor: nothing was sent
+    if (bad == UV_EMFILE || bad == UV_ENFILE)
+        descriptors_.on_system_exhausted(now);
+    if (wire.stream == nullptr)
+        on_connection_lost(wire, true);  // no descriptor: nothing was sent
 }
 
 void RecordsClient::send_call(Connection& wire) {
     const auto it = pending_calls_.find(wire.request_id);
-    if (it == pending_calls_.end()) return close_connection(wire);
+    if (it == pending_calls_.end())
+        return close_connection(wire);
     PendingCall& op = it->second;
     const auto left = (op.deadline - loop_.unix_now()).count();
     const std::string ms = std::to_string(std::max<std::int64_t>(1, (left + 999) / 1000));
     std::string line = "OP " + op.name + ' ' + ms + ' ' + std::to_string(op.body.size()) + "\r\n";
     op.sent = true;
     wire.served_names.push_back(op.name);
-    if (!wire.stream->write(line.append(op.body).append("\r\n"))) on_connection_lost(wire, false);
+    if (!wire.stream->write(line.append(op.body).append("\r\n")))
+        on_connection_lost(wire, false);
 }
 
 void RecordsClient::finish_call(Connection& wire, Outcome outcome, std::string_view reply) {
     const request::RequestId no = std::exchange(wire.request_id, 0);
     pending_calls_.erase(no);
-    if (wire.outdated || wire.received_surplus_reply || wire.served_names.size() >= max_calls_per_connection) {
+    if (wire.outdated || wire.received_surplus_reply ||
+        wire.served_names.size() >= max_calls_per_connection) {
         close_connection(wire);
     } else {
         idle_connections_.push_back(wire.id);
         wire.idle_timer = timers_.schedule(loop_.unix_now() + max_idle_time, [this, w = wire.id] {
-            if (Connection* idle = connections_.find(w); idle != nullptr) idle->idle_timer = 0, close_connection(*idle);
+            if (Connection* idle = connections_.find(w); idle != nullptr)
+                idle->idle_timer = 0, close_connection(*idle);
         });
     }
     request_manager_.dependency_call_finished(no, outcome, reply);
@@ -164,7 +184,8 @@
     const request::RequestId no = std::exchange(wire.request_id, 0);
     close_connection(wire);
     const auto it = pending_calls_.find(no);
-    if (it == pending_calls_.end()) return;
+    if (it == pending_calls_.end())
+        return;
     std::uint64_t passed = 0;
     if (log_limiter_.try_acquire(loop_.unix_now(), passed))
         spdlog::warn("records: {} under a call; {} more like it", refused ? "refused" : "broken", passed);
@@ -178,7 +199,8 @@
     op.failure_pending = true;
     timers_.schedule(base::Timestamp(0), [this, no, outcome, serial = op.sequence] {
         const auto it = pending_calls_.find(no);
-        if (it == pending_calls_.end() || it->second.sequence != serial) return;  // given up meanwhile
+        if (it == pending_calls_.end() || it->second.sequence != serial)
+            return;  // given up meanwhile
         pending_calls_.erase(it);
         request_manager_.dependency_call_finished(no, outcome, {});
     });
@@ -187,33 +209,44 @@
 // Closing the connection gives the call up, and nothing that still comes for it can be taken for another's.
 void RecordsClient::abandon(request::RequestId no) {
     const auto it = pending_calls_.find(no);
-    if (it == pending_calls_.end()) return;
+    if (it == pending_calls_.end())
+        return;
     Connection* wire = connections_.find(it->second.connection_id);
     pending_calls_.erase(it);
-    if (wire == nullptr) return;
+    if (wire == nullptr)
+        return;
     wire->request_id = 0;
     close_connection(*wire);
 }
 
 void RecordsClient::set_address(const net::Address& address) {
-    if (address == address_) return;
+    if (address == address_)
+        return;
     address_ = address;
-    while (!idle_connections_.empty()) close_connection(*connections_.find(idle_connections_.back()));
+    while (!idle_connections_.empty())
+        close_connection(*connections_.find(idle_connections_.back()));
     for (const base::SlotId w : connections_.ids()) {
         Connection& wire = *connections_.find(w);
         wire.outdated = true;
-        if (wire.connected || wire.closed) continue;
-        const request::RequestId no = std::exchange(wire.request_id, 0);  // its dial is open: nothing has been sent
+        if (wire.connected || wire.closed)
+            continue;
+        const request::RequestId no =
+            std::exchange(wire.request_id, 0);  // its dial is open: nothing has been sent
         close_connection(wire);
-        if (const auto it = pending_calls_.find(no); it != pending_calls_.end()) open_connection(no, it->second);
+        if (const auto it = pending_calls_.find(no); it != pending_calls_.end())
+            open_connection(no, it->second);
     }
 }
 
 void RecordsClient::close_connection(Connection& wire) {
     timers_.cancel(wire.idle_timer);
-    if (const auto at = std::find(idle_connections_.begin(), idle_connections_.end(), wire.id); at != idle_connections_.end()) idle_connections_.erase(at);
-    if (wire.stream != nullptr) std::exchange(wire.stream, nullptr)->close();
-    if (std::exchange(wire.closed, true)) return;
+    if (const auto at = std::find(idle_connections_.begin(), idle_connections_.end(), wire.id);
+        at != idle_connections_.end())
+        idle_connections_.erase(at);
+    if (wire.stream != nullptr)
+        std::exchange(wire.stream, nullptr)->close();
+    if (std::exchange(wire.closed, true))
+        return;
     // Its own code may still be on the stack: the slot is freed on the next turn.
     timers_.schedule(base::Timestamp(0), [this, no = wire.id] {
         connections_.erase(no);
@@ -222,10 +255,12 @@
 }
 
 void RecordsClient::assign_waiting_calls() {
-    while (!waiting_requests_.empty() && (!idle_connections_.empty() || connections_.size() < max_connections_)) {
+    while (!waiting_requests_.empty() &&
+           (!idle_connections_.empty() || connections_.size() < max_connections_)) {
         const request::RequestId no = waiting_requests_.front();
         waiting_requests_.pop_front();
-        if (const auto it = pending_calls_.find(no); it != pending_calls_.end() && it->second.connection_id == 0 && !it->second.failure_pending)
+        if (const auto it = pending_calls_.find(no);
+            it != pending_calls_.end() && it->second.connection_id == 0 && !it->second.failure_pending)
             assign_connection(no, it->second);
     }
 }
--- a/src/platform/records_client.hpp
+++ b/src/platform/records_client.hpp
@@ -8,24 +8,26 @@
 #include <unordered_map>
 #include <vector>
 
-#include "connection_admission/file_descriptor_budget.hpp"
 #include "base/log_rate_limiter.hpp"
-#include "request/request_manager.hpp"
 #include "base/slot_map.hpp"
+#include "connection_admission/file_descriptor_budget.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
+#include "request/request_manager.hpp"
 
 namespace cressledge::platform {
 
 class RecordsClient final : public request::DependencyClient {
 public:
     RecordsClient(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
-                  std::size_t connections, request::RequestManager& server, connection_admission::FileDescriptorBudget& descriptors);
+                  std::size_t connections, request::RequestManager& server,
+                  connection_admission::FileDescriptorBudget& descriptors);
     ~RecordsClient() override;
     RecordsClient(const RecordsClient&) = delete;
     RecordsClient& operator=(const RecordsClient&) = delete;
 
-    void call(request::RequestId no, std::string_view name, std::string_view body, base::Timestamp deadline) override;
+    void call(request::RequestId no, std::string_view name, std::string_view body,
+              base::Timestamp deadline) override;
     void abandon(request::RequestId no) override;
     // New calls go there from now on; what is on its way ends where it is, while that connection stands.
     void set_address(const net::Address& address);
