--- a/src/request/request_manager.hpp
+++ b/src/request/request_manager.hpp
@@ -13,10 +13,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/timer_queue.hpp"
+#include "base/latency_histogram.hpp"
 #include "base/log_rate_limiter.hpp"
 #include "base/slot_map.hpp"
-#include "base/latency_histogram.hpp"
+#include "base/timer_queue.hpp"
 
 namespace cressledge::request {
 
@@ -36,7 +36,8 @@
     std::size_t class_index = 0;
     std::size_t tenant_index = policy::unknown_index;
     std::uint64_t caller_id = 0;
-    std::string idempotency_key;  // what a read is about, or the idempotency key where the class is keyed; empty: none
+    std::string
+        idempotency_key;  // what a read is about, or the idempotency key where the class is keyed; empty: none
     bool is_retry = false;  // marked as a further try
     std::optional<Duration> max_wait;  // how long its caller waits from then on; none: the class says
     double expected_work_seconds = 0.0;  // seconds of work; 0: none
@@ -83,7 +84,8 @@
 class DependencyClient {  // calls below; reports to Server::called
 public:
     virtual ~DependencyClient() = default;
-    virtual void call(RequestId request_id, std::string_view external_id, std::string_view body, Timestamp deadline) = 0;
+    virtual void call(RequestId request_id, std::string_view external_id, std::string_view body,
+                      Timestamp deadline) = 0;
     virtual void abandon(RequestId request_id) = 0;
 };
 
@@ -97,9 +99,10 @@
 
 class RequestManager {
 public:
-    RequestManager(policy::Settings settings, std::unique_ptr<policy::AdmissionController> controller, Clock& clock,
-           TimerQueue& timers);
-    void attach(Executor& executor, DependencyClient& dependency_client, ConnectionSettingsSink& connection_settings);
+    RequestManager(policy::Settings settings, std::unique_ptr<policy::AdmissionController> controller,
+                   Clock& clock, TimerQueue& timers);
+    void attach(Executor& executor, DependencyClient& dependency_client,
+                ConnectionSettingsSink& connection_settings);
     void start(Timestamp executor_started_at);  // the executor is up; its start may lie back a little
     bool started() const { return started_; }
 
@@ -109,13 +112,16 @@
     // New settings, with a Controller made for them: it is given what the newest has learned, and takes every new
     // request. Each open request stays with the Controller and class that it came in with.
     void reconfigure(policy::Settings settings, std::unique_ptr<policy::AdmissionController> controller);
-    std::size_t generation_count() const { return generations_.size(); }  // of settings with requests open, and the newest
+    std::size_t generation_count() const {
+        return generations_.size();
+    }  // of settings with requests open, and the newest
 
     // The answer may come before this returns. 0: the table is full, and the request has been refused.
     RequestId submit(IncomingRequest request, Responder& responder, std::uint64_t ticket);
     // Refuses a whole request that the Controller does not see: a bound of the program itself stands against it.
     // `kind`: its class, or policy::unknown.
-    void reject_before_admission(Responder& responder, std::uint64_t ticket, Duration retry_after, std::size_t class_index);
+    void reject_before_admission(Responder& responder, std::uint64_t ticket, Duration retry_after,
+                                 std::size_t class_index);
     void cancel(RequestId request_id);  // the caller no longer waits
     void drain(Timestamp deadline);
     void check_health(bool deep, std::function<void(bool)> on_result);
@@ -132,11 +138,15 @@
 
     Timestamp now();  // never runs backwards
     policy::Estimates learned() const { return generations_.back().controller->estimates(); }
-    void restore(const policy::Estimates& learned_state) { generations_.back().controller->restore(learned_state); }  // before start()
+    void restore(const policy::Estimates& learned_state) {
+        generations_.back().controller->restore(learned_state);
+    }  // before start()
 
     struct Counts {
-        std::uint64_t received = 0, served = 0, rejected = 0, failed = 0, cancelled = 0, runs_started = 0, runs_finished = 0;
-        std::uint64_t rejected_before_admission = 0;  // of the refused: those that the Controller has not seen
+        std::uint64_t received = 0, served = 0, rejected = 0, failed = 0, cancelled = 0, runs_started = 0,
+                      runs_finished = 0;
+        std::uint64_t rejected_before_admission =
+            0;  // of the refused: those that the Controller has not seen
     };
     const Counts& counts() const { return counts_; }
     // Of each class by its name, from 0 at the start: served, refused, failed, and runs handed to the executor.
@@ -148,7 +158,15 @@
     const std::map<std::string, ClassCounts>& counts_by_class() const { return counts_by_class_; }
 
 private:
-    enum class RequestState { queued, running, suspended, awaiting_call_decision, awaiting_call_reply, awaiting_shared_result, finished };
+    enum class RequestState {
+        queued,
+        running,
+        suspended,
+        awaiting_call_decision,
+        awaiting_call_reply,
+        awaiting_shared_result,
+        finished
+    };
     struct OpenRequest {
         IncomingRequest incoming;
         Responder* responder = nullptr;
@@ -157,7 +175,8 @@
         bool answered = false;  // or nobody waits
         bool has_run = false;  // from then on it must not be refused, and what is unsafe must not run again
         bool has_failed = false;  // its own run or call failed
-        bool call_may_have_effect = false;  // what lies below may have seen its call: unsafe ones make no other
+        bool call_may_have_effect =
+            false;  // what lies below may have seen its call: unsafe ones make no other
         bool suspend_requested = false;
         RequestId repeated_id = 0;
         Timestamp deadline{0}, called_at{0};
@@ -188,21 +207,28 @@
     };
 
     SettingsGeneration* find_generation(std::uint64_t serial);  // null: dropped
-    const policy::Settings& settings_of(const OpenRequest& request) { return find_generation(request.generation)->settings; }
-    void post_event(policy::Event event, RequestId released_id = 0);  // to the generation of `over`, else the newest
+    const policy::Settings& settings_of(const OpenRequest& request) {
+        return find_generation(request.generation)->settings;
+    }
+    void post_event(policy::Event event,
+                    RequestId released_id = 0);  // to the generation of `over`, else the newest
     void post_event_to(std::uint64_t generation, policy::Event event, RequestId released_id);
-    std::uint64_t newest_generation() const { return oldest_generation_ + generations_.size() - 1; }  // the serial of the last
+    std::uint64_t newest_generation() const {
+        return oldest_generation_ + generations_.size() - 1;
+    }  // the serial of the last
     void drop_unused_generations();  // the older generations that have nothing open
     void respond(OpenRequest& request, const Response& response);
     void release(RequestId request_id);
     void request_timer_gauges(std::uint64_t generation, std::uint32_t token);
     void deliver_timer(std::uint64_t query_id, const policy::Gauges& gauges);
-    static std::string record_key(const policy::Settings& settings_of_request, const IncomingRequest& request);
+    static std::string record_key(const policy::Settings& settings_of_request,
+                                  const IncomingRequest& request);
     std::string record_key(const OpenRequest& request);
     static PayloadDigest digest_payload(const IncomingRequest& request);
     const IdempotencyRecord* find_retained(const IncomingRequest& request) const;
     RequestId repeated_request_id(const IdempotencyRecord& record, const policy::RequestClass& request_class);
-    void finish_record(const OpenRequest& request, RequestId request_id, bool succeeded, std::string_view result);
+    void finish_record(const OpenRequest& request, RequestId request_id, bool succeeded,
+                       std::string_view result);
     void share_result(RequestId request_id, const IdempotencyRecord& record);
     void drop_record(const std::string& key);
 
--- a/src/retry/retry_policy.hpp
+++ b/src/retry/retry_policy.hpp
@@ -12,9 +12,9 @@
 
 namespace cressledge::retry {
 
-using upstream_health::Random;
 using base::Duration;
 using base::Timestamp;
+using upstream_health::Random;
 
 class RetryBudget {
 public:
@@ -22,7 +22,8 @@
         : ratio_(ratio), max_tokens_(max_tokens), tokens_(initial_tokens) {}
     void on_first_attempt() { tokens_ = tokens_ + ratio_ < max_tokens_ ? tokens_ + ratio_ : max_tokens_; }
     bool try_acquire() {
-        if (tokens_ < 1.0) return false;
+        if (tokens_ < 1.0)
+            return false;
         tokens_ -= 1.0;
         ++extra_attempts_;
         return true;
@@ -40,20 +41,24 @@
 struct RetrySettings {
     std::uint32_t max_attempts = 3;  // of one request, the first counted
     Duration base_backoff{25'000}, max_backoff{1'000'000};
-    double attempt_time_fraction = 0.5;  // of what is left of the request's time, for a try that another may follow
+    double attempt_time_fraction =
+        0.5;  // of what is left of the request's time, for a try that another may follow
     double hedge_quantile = 0.95;  // quantile of good calls after which a second one goes out
     Duration min_hedge_delay{20'000};
 };
 
 // Full jitter: anywhere from now to the back-off of this try, doubled each time; Retry-After if that is longer.
-Timestamp next_retry_time(Timestamp now, std::uint32_t attempts, Duration retry_after, const RetrySettings& settings, Random& random);
+Timestamp next_retry_time(Timestamp now, std::uint32_t attempts, Duration retry_after,
+                          const RetrySettings& settings, Random& random);
 // By when this try has to be through; the last one gets all that is left.
-Timestamp attempt_deadline(Timestamp now, Timestamp request_deadline, std::uint32_t attempts, const RetrySettings& settings);
+Timestamp attempt_deadline(Timestamp now, Timestamp request_deadline, std::uint32_t attempts,
+                           const RetrySettings& settings);
 
 class HedgePolicy {  // for one safe class: how long a call is out before another one is worth its cost
 public:
     explicit HedgePolicy(const RetrySettings& settings)
-        : settings_(settings), quantile_(boost::accumulators::quantile_probability = settings.hedge_quantile) {}
+        : settings_(settings),
+          quantile_(boost::accumulators::quantile_probability = settings.hedge_quantile) {}
     void record(Duration latency) { quantile_(static_cast<double>(latency.count())), ++sample_count_; }
     Duration delay() const;  // Duration::max() until enough has been seen
 
--- a/src/rollout/canary_analysis.hpp
+++ b/src/rollout/canary_analysis.hpp
@@ -28,7 +28,8 @@
     double slower_probability = 0.56;  // chance of being slower
     double tail_rate = 0.015;  // share above the unchanged ones' 99th percentile, beyond what theirs is
     double significance_level = 0.01;  // of a good change being stopped anywhere in a roll
-    double max_worse_p_value = 0.0001, max_suspect_p_value = 0.1;  // chance, beyond what makes processes differ
+    double max_worse_p_value = 0.0001,
+           max_suspect_p_value = 0.1;  // chance, beyond what makes processes differ
     double planned_comparisons = 100.0;  // of a whole roll, among which alpha is shared out
     double min_requests = 150.0;  // requests of the changed processes in the window, for a verdict
     std::size_t min_baseline_processes = 3;  // unchanged, to compare with
@@ -55,6 +56,7 @@
     MetricsByClass window;  // in the window that is judged
     MetricsByClass prior;  // its change, or before that window for one that is unchanged; empty: not known
 };
-CanaryAnalysis analyze_canary(const std::vector<ProcessMetrics>& canary, const std::vector<ProcessMetrics>& baseline, const Tolerances& margins);
+CanaryAnalysis analyze_canary(const std::vector<ProcessMetrics>& canary,
+                              const std::vector<ProcessMetrics>& baseline, const Tolerances& margins);
 
 }  // namespace cressledge::rollout
--- a/src/rollout/rollout_controller.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -8,9 +8,9 @@
 #include <set>
 #include <string>
 
-#include "rollout/rollout_settings.hpp"
 #include "net/http_client.hpp"
 #include "net/loop.hpp"
+#include "rollout/rollout_settings.hpp"
 #include "store/posix_file_system.hpp"
 #include "store/store.hpp"
 
@@ -22,7 +22,8 @@
 public:
     static constexpr base::Duration request_timeout{1'500'000};
     // Throws std::runtime_error where the folder cannot be used, is another roll's, or another process works in it.
-    RolloutController(net::Loop& loop, base::TimerQueue& timers, config::RolloutSettings plan, const std::string& folder);
+    RolloutController(net::Loop& loop, base::TimerQueue& timers, config::RolloutSettings plan,
+                      const std::string& folder);
 
     // Until the roll is over, or interrupt(). A roll that the folder has begun goes on where it was.
     RolloutResult run();
@@ -53,7 +54,8 @@
     std::optional<rollout::RolloutStateMachine> state_machine_;
     rollout::Observations observations_;
     std::map<std::string, ProcessLocation> process_locations_;
-    nlohmann::ordered_json earlier_reports_ = nlohmann::ordered_json::array();  // of stages that earlier runs ended
+    nlohmann::ordered_json earlier_reports_ =
+        nlohmann::ordered_json::array();  // of stages that earlier runs ended
     std::vector<bool> has_lease_;  // by supervisor: it has said so
     std::string lease_conflict_;
     bool is_interrupted_ = false;
--- a/src/rollout/rollout_state_machine.hpp
+++ b/src/rollout/rollout_state_machine.hpp
@@ -38,7 +38,8 @@
     ProcessSpec target_spec;  // an empty program or overlay: as it was
     std::vector<RolloutStage> stages;
     Duration bake_time{30'000'000};  // of each stage
-    Duration max_inconclusive_time{120'000'000};  // beyond the bake, for a stage that cannot be judged; then it is stopped
+    Duration max_inconclusive_time{
+        120'000'000};  // beyond the bake, for a stage that cannot be judged; then it is stopped
     Duration update_timeout{60'000'000};  // for a stage to have the change
     std::size_t max_concurrent_updates = 8;  // processes that change at one time
     std::uint64_t order_seed = 1;  // of the order
@@ -103,8 +104,10 @@
 class RolloutStateMachine {
 public:
     // A new one, of processes with the specs they have now; or one that goes on from its state.
-    RolloutStateMachine(const RolloutPlan& plan, const std::vector<std::pair<std::string, ProcessSpec>>& fleet);
-    RolloutStateMachine(const RolloutPlan& plan, RolloutState state);  // throws std::runtime_error where the state is of another plan
+    RolloutStateMachine(const RolloutPlan& plan,
+                        const std::vector<std::pair<std::string, ProcessSpec>>& fleet);
+    RolloutStateMachine(const RolloutPlan& plan,
+                        RolloutState state);  // throws std::runtime_error where the state is of another plan
 
     RolloutActions step(Timestamp now, const Observations& observations);
     // The operator's word: the change is taken back.
@@ -131,11 +134,16 @@
     void enter_phase(Timestamp now, Phase phase, RolloutActions& actions);
     void start_rollback(Timestamp now, const std::string& reason, RolloutActions& actions);
     void record_observations(Timestamp now, const Observations& observations);
-    bool has_excess_crashes(Timestamp now, std::string& wait_reason);  // true: what is changed crashes more than what is not
+    bool has_excess_crashes(Timestamp now,
+                            std::string& wait_reason);  // true: what is changed crashes more than what is not
     // For how long what is only suspect is watched: then more processes have to tell.
-    bool suspect_wait_expired(Timestamp now) const { return now - phase_started_at_ > plan_.bake_time + plan_.max_inconclusive_time * 3 / 4; }
-    std::string visibility_problem(Timestamp now, const Observations& observations) const;  // why nothing can be judged now; empty: it can
-    void request_update(Timestamp now, const RolloutTarget& m, const ProcessSpec& spec, const Observations& observations, std::size_t& room, RolloutActions& actions);
+    bool suspect_wait_expired(Timestamp now) const {
+        return now - phase_started_at_ > plan_.bake_time + plan_.max_inconclusive_time * 3 / 4;
+    }
+    std::string visibility_problem(Timestamp now, const Observations& observations)
+        const;  // why nothing can be judged now; empty: it can
+    void request_update(Timestamp now, const RolloutTarget& m, const ProcessSpec& spec,
+                        const Observations& observations, std::size_t& room, RolloutActions& actions);
     StageReport& current_report() { return reports_.back(); }
     void log_event(RolloutActions& actions, const char* what, nlohmann::ordered_json more) const;
 
@@ -150,8 +158,10 @@
     // are hardly ever seen at one moment.
     std::set<std::string> confirmed_targets_;
     std::map<std::string, MetricsAccumulator> accumulators_;
-    std::map<std::string, MetricsByClass> prior_metrics_;  // what each did until its change, or until this bake
-    double baseline_exposure_seconds_ = 0.0, baseline_crashes_ = 0.0;  // seconds and crashes of unchanged processes, over the whole roll
+    std::map<std::string, MetricsByClass>
+        prior_metrics_;  // what each did until its change, or until this bake
+    double baseline_exposure_seconds_ = 0.0,
+           baseline_crashes_ = 0.0;  // seconds and crashes of unchanged processes, over the whole roll
     std::map<std::string, std::uint64_t> crash_counts_;
     Timestamp last_observed_at_{0};
     std::vector<StageReport> reports_;
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -19,7 +19,8 @@
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
 const Value* find_field(const Value& object, const char* name) {
-    if (!object.IsObject()) return nullptr;
+    if (!object.IsObject())
+        return nullptr;
     const auto it = object.FindMember(name);
     return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
@@ -29,7 +30,8 @@
 }
 double required_number(const Value& object, const char* name) {
     const Value* value = find_field(object, name);
-    if (value == nullptr || !value->IsNumber()) throw MalformedBatch(std::string("missing number: ") + name);
+    if (value == nullptr || !value->IsNumber())
+        throw MalformedBatch(std::string("missing number: ") + name);
     return value->GetDouble();
 }
 bool flag_or(const Value& object, const char* name, bool fallback = false) {
@@ -38,36 +40,42 @@
 }
 std::string string_or_empty(const Value& object, const char* name) {
     const Value* value = find_field(object, name);
-    return value != nullptr && value->IsString() ? std::string(value->GetString(), value->GetStringLength()) : std::string();
+    return value != nullptr && value->IsString() ? std::string(value->GetString(), value->GetStringLength())
+                                                 : std::string();
 }
 RequestId required_id(const Value& object, const char* name) {
     const Value* value = find_field(object, name);
-    if (value == nullptr || !value->IsUint64()) throw MalformedBatch(std::string("missing id: ") + name);
+    if (value == nullptr || !value->IsUint64())
+        throw MalformedBatch(std::string("missing id: ") + name);
     return value->GetUint64();
 }
-Timestamp from_milliseconds(double milliseconds) { return Timestamp(std::llround(milliseconds * 1000.0)); }
+Timestamp from_milliseconds(double milliseconds) {
+    return Timestamp(std::llround(milliseconds * 1000.0));
+}
 Duration duration_or(const Value& object, const char* name, Duration fallback) {
     const Value* value = find_field(object, name);
     return value != nullptr && value->IsNumber() ? from_milliseconds(value->GetDouble()) : fallback;
 }
 
 template <class T>
-T parse_choice(const std::string& text, std::initializer_list<std::pair<const char*, T>> choices, T fallback) {
+T parse_choice(const std::string& text, std::initializer_list<std::pair<const char*, T>> choices,
+               T fallback) {
     for (const auto& [name, value] : choices)
-        if (text == name) return value;
+        if (text == name)
+            return value;
     return fallback;
 }
 
 Outcome parse_outcome(const std::string& code) {
     return parse_choice<Outcome>(code,
-                           {{"delivered", Outcome::ok},
-                            {"shed", Outcome::rejected},
-                            {"expired", Outcome::timeout},
-                            {"dial_failed", Outcome::connect_failed},
-                            {"dropped", Outcome::reset},
-                            {"revoked", Outcome::cancelled},
-                            {"unused", Outcome::not_started}},
-                           Outcome::error);
+                                 {{"delivered", Outcome::ok},
+                                  {"shed", Outcome::rejected},
+                                  {"expired", Outcome::timeout},
+                                  {"dial_failed", Outcome::connect_failed},
+                                  {"dropped", Outcome::reset},
+                                  {"revoked", Outcome::cancelled},
+                                  {"unused", Outcome::not_started}},
+                                 Outcome::error);
 }
 
 // The mapping is the real server's: both decide by the same settings.
@@ -77,7 +85,9 @@
     info.Accept(writer);
     try {
         return cressledge::config::settings_from_json({json.GetString(), json.GetSize()});
-    } catch (const cressledge::config::ConfigError& e) { throw MalformedBatch(e.what()); }
+    } catch (const cressledge::config::ConfigError& e) {
+        throw MalformedBatch(e.what());
+    }
 }
 
 std::uint32_t parse_timer_token(const std::string& label) {
@@ -121,8 +131,12 @@
     void operator()(const SkipDependencyCall& action) const { write_request_action("fall-back", action.id); }
     void operator()(const ReleaseKey& action) const { write_request_action("unpin", action.id); }
     void operator()(const ReplayResult& action) const { write_request_action("replay", action.id); }
-    void operator()(const CallDependency& action) const { write_timed_action("invoke", action.id, "patience", action.timeout); }
-    void operator()(const RetainKey& action) const { write_timed_action("store-key", action.id, "span", action.duration); }
+    void operator()(const CallDependency& action) const {
+        write_timed_action("invoke", action.id, "patience", action.timeout);
+    }
+    void operator()(const RetainKey& action) const {
+        write_timed_action("store-key", action.id, "span", action.duration);
+    }
     void operator()(const Reject& action) const {
         open_action("turn-away");
         writer.Key("txn");
@@ -173,15 +187,18 @@
 }  // namespace
 
 void SimulatorAdapter::warn_once(const std::string& message) {
-    if (warnings_.size() < 100 && warnings_.insert(message).second) std::cerr << "curlewreel: " << message << '\n';
+    if (warnings_.size() < 100 && warnings_.insert(message).second)
+        std::cerr << "curlewreel: " << message << '\n';
 }
 
 std::string SimulatorAdapter::handle_batch(const std::string& batch) {
     rapidjson::Document document;
     document.Parse(batch.data(), batch.size());
-    if (document.HasParseError() || !document.IsObject()) throw MalformedBatch("a line that is not a batch");
+    if (document.HasParseError() || !document.IsObject())
+        throw MalformedBatch("a line that is not a batch");
     const Value* messages = find_field(document, "msgs");
-    if (messages == nullptr || !messages->IsArray()) throw MalformedBatch("a batch without msgs");
+    if (messages == nullptr || !messages->IsArray())
+        throw MalformedBatch("a batch without msgs");
     const Timestamp now = from_milliseconds(required_number(document, "time"));
     rapidjson::StringBuffer buffer;
     Writer writer(buffer);
@@ -195,18 +212,22 @@
         const std::string name = message.MemberBegin()->name.GetString();
         const Value& body = message.MemberBegin()->value;
         const std::string instance_name = string_or_empty(body, "who");
-        if (instance_name.empty()) throw MalformedBatch("a message without who: " + name);
+        if (instance_name.empty())
+            throw MalformedBatch("a message without who: " + name);
         actions.clear();
         if (name == "born") {
             const Value* info = find_field(body, "info");
-            if (info == nullptr) throw MalformedBatch("born without info");
+            if (info == nullptr)
+                throw MalformedBatch("born without info");
             const Settings settings = parse_settings(*info);
             Instance new_instance;
-            for (std::size_t i = 0; i < settings.classes.size(); ++i) new_instance.class_indexes[settings.classes[i].name] = i;
-            for (std::size_t i = 0; i < settings.tenants.size(); ++i) new_instance.tenant_indexes[settings.tenants[i].name] = i;
+            for (std::size_t i = 0; i < settings.classes.size(); ++i)
+                new_instance.class_indexes[settings.classes[i].name] = i;
+            for (std::size_t i = 0; i < settings.tenants.size(); ++i)
+                new_instance.tenant_indexes[settings.tenants[i].name] = i;
             const Value* seed = find_field(body, "salt");
-            new_instance.controller =
-                make_admission_controller(settings, seed != nullptr && seed->IsUint64() ? seed->GetUint64() : 0);
+            new_instance.controller = make_admission_controller(
+                settings, seed != nullptr && seed->IsUint64() ? seed->GetUint64() : 0);
             instances_[instance_name] = std::move(new_instance);
         } else if (name == "detach") {
             instances_.erase(instance_name);
@@ -230,7 +251,8 @@
             };
             request.class_index = lookup(instance.class_indexes, string_or_empty(body, "type"));
             request.tenant_index = lookup(instance.tenant_indexes, string_or_empty(body, "account"));
-            if (request.class_index == unknown_index) warn_once("a request of an unknown class");
+            if (request.class_index == unknown_index)
+                warn_once("a request of an unknown class");
             request.caller_id = static_cast<std::uint64_t>(number_or(body, "by", 0.0));
             request.repeated_id = static_cast<RequestId>(number_or(body, "repeats", 0.0));
             request.has_key = find_field(body, "resource") != nullptr;
@@ -241,14 +263,17 @@
             request.reserved_kb = number_or(body, "held-kb", 0.0);
             request.age = duration_or(body, "lay", Duration(0));
             const double deadline_ms = number_or(body, "client-deadline", 0.0);
-            if (deadline_ms > 0.0) request.caller_deadline = from_milliseconds(deadline_ms);
+            if (deadline_ms > 0.0)
+                request.caller_deadline = from_milliseconds(deadline_ms);
             deliver(request);
         } else if (name == "finished") {
             deliver(RunFinished{required_id(body, "txn"), parse_outcome(string_or_empty(body, "code"))});
         } else if (name == "needs-dep") {
             deliver(DependencyCallRequested{required_id(body, "txn")});
         } else if (name == "downstream") {
-            deliver(DependencyCallFinished{required_id(body, "txn"), parse_outcome(string_or_empty(body, "code")), duration_or(body, "wait-time", Duration(0))});
+            deliver(DependencyCallFinished{required_id(body, "txn"),
+                                           parse_outcome(string_or_empty(body, "code")),
+                                           duration_or(body, "wait-time", Duration(0))});
         } else if (name == "expired") {
             deliver(Cancelled{required_id(body, "txn")});
         } else if (name == "terminate-soon") {
@@ -270,7 +295,8 @@
         } else {
             warn_once("an unknown kind of event: " + name);
         }
-        for (const Action& action : actions) std::visit(ActionWriter{writer, instance_name}, action);
+        for (const Action& action : actions)
+            std::visit(ActionWriter{writer, instance_name}, action);
     }
     writer.EndArray();
     writer.EndObject();
--- a/src/store/background_writer.cpp
+++ b/src/store/background_writer.cpp
@@ -10,7 +10,9 @@
 }
 
 // Guards the thread that is still at work against a store that is no more.
-BackgroundWriter::~BackgroundWriter() { flush(); }
+BackgroundWriter::~BackgroundWriter() {
+    flush();
+}
 
 void BackgroundWriter::commit(Changes changes) {
     changes.merge(pending_);  // keeps what is newer
@@ -19,7 +21,8 @@
 }
 
 void BackgroundWriter::start_next_commit() {
-    if (is_busy_ || pending_.empty()) return;
+    if (is_busy_ || pending_.empty())
+        return;
     in_progress_ = std::exchange(pending_, {});
     is_busy_ = true;
     const int bad = uv_queue_work(
@@ -29,7 +32,8 @@
             self->commit_error_ = self->store_.commit(self->in_progress_);
         },
         [](uv_work_t* w, int) { static_cast<BackgroundWriter*>(w->data)->on_commit_finished(); });
-    if (bad != 0) is_busy_ = false;
+    if (bad != 0)
+        is_busy_ = false;
 }
 
 void BackgroundWriter::on_commit_finished() {
@@ -41,7 +45,8 @@
 }
 
 void BackgroundWriter::flush() {
-    while (is_busy_) uv_run(loop_, UV_RUN_ONCE);
+    while (is_busy_)
+        uv_run(loop_, UV_RUN_ONCE);
 }
 
 }  // namespace cressledge::store
--- a/src/store/background_writer.hpp
+++ b/src/store/background_writer.hpp
@@ -20,7 +20,8 @@
     BackgroundWriter& operator=(const BackgroundWriter&) = delete;
 
     void commit(Changes changes);
-    void flush();  // blocks until all that was asked for is durable or has failed; for the end, once the loop stands
+    void
+    flush();  // blocks until all that was asked for is durable or has failed; for the end, once the loop stands
     bool is_busy() const { return is_busy_; }
     std::uint64_t commits() const { return commits_; }
     std::uint64_t failures() const { return failures_; }
--- a/src/store/format.cpp
+++ b/src/store/format.cpp
@@ -62,7 +62,8 @@
 
 // Guards memory against a few bytes that unpack to gigabytes: no more is ever taken than `size`, which is checked.
 bool decompress(std::string_view packed, std::size_t size, std::string& to) {
-    if (size > max_uncompressed_bytes) return false;
+    if (size > max_uncompressed_bytes)
+        return false;
     to.assign(size, '\0');
     const std::size_t n = ZSTD_decompress(to.data(), to.size(), packed.data(), packed.size());
     return ZSTD_isError(n) == 0 && n == size;
@@ -73,15 +74,18 @@
 std::string encode_snapshot(Snapshot& snapshot) {
     std::string uncompressed;
     for (const auto& [key, value] : snapshot.entries) {
-        if (key.size() > max_key_bytes || uncompressed.size() + value.size() > max_uncompressed_bytes) return {};
+        if (key.size() > max_key_bytes || uncompressed.size() + value.size() > max_uncompressed_bytes)
+            return {};
         append_integer(uncompressed, static_cast<std::uint32_t>(key.size()));
         append_integer(uncompressed, static_cast<std::uint32_t>(value.size()));
         append_integer(uncompressed, compute_checksum(value, compute_checksum(key)));
         uncompressed.append(key).append(value);
     }
-    if (uncompressed.size() > max_uncompressed_bytes) return {};
+    if (uncompressed.size() > max_uncompressed_bytes)
+        return {};
     const std::string compressed = compress(uncompressed);
-    if (compressed.empty()) return {};
+    if (compressed.empty())
+        return {};
     std::string to(snapshot_magic);
     append_integer(to, format_version);
     append_integer(to, std::uint32_t{0});
@@ -100,36 +104,49 @@
         return false;
     };
     ByteReader head(bytes);
-    if (head.read_bytes(snapshot_magic.size()) != snapshot_magic) return reject("no snapshot");
+    if (head.read_bytes(snapshot_magic.size()) != snapshot_magic)
+        return reject("no snapshot");
     const auto version = head.read_integer<std::uint32_t>();
     const auto zero = head.read_integer<std::uint32_t>();
     snapshot.generation = head.read_integer<std::uint64_t>();
-    const auto uncompressed_size = head.read_integer<std::uint64_t>(), compressed_size = head.read_integer<std::uint64_t>();
+    const auto uncompressed_size = head.read_integer<std::uint64_t>(),
+               compressed_size = head.read_integer<std::uint64_t>();
     const auto compressed_checksum = head.read_integer<std::uint64_t>();
     snapshot.checksum = head.read_integer<std::uint64_t>();
-    if (!head.is_valid()) return reject("cut short");
-    if (snapshot.checksum != compute_checksum(bytes.substr(0, snapshot_header_bytes - 8))) return reject("its head is spoilt");
+    if (!head.is_valid())
+        return reject("cut short");
+    if (snapshot.checksum != compute_checksum(bytes.substr(0, snapshot_header_bytes - 8)))
+        return reject("its head is spoilt");
     // After the sum: only a head that is whole can tell of another version.
-    if (version != format_version || zero != 0) return reject("another format version");
-    if (uncompressed_size > max_uncompressed_bytes) return reject("too large");
-    if (head.remaining().size() != compressed_size) return reject("cut short or too long");
-    if (compute_checksum(head.remaining()) != compressed_checksum) return reject("spoilt");
+    if (version != format_version || zero != 0)
+        return reject("another format version");
+    if (uncompressed_size > max_uncompressed_bytes)
+        return reject("too large");
+    if (head.remaining().size() != compressed_size)
+        return reject("cut short or too long");
+    if (compute_checksum(head.remaining()) != compressed_checksum)
+        return reject("spoilt");
     std::string uncompressed;
-    if (!decompress(head.remaining(), uncompressed_size, uncompressed)) return reject("cannot be unpacked");
+    if (!decompress(head.remaining(), uncompressed_size, uncompressed))
+        return reject("cannot be unpacked");
     snapshot.entries.clear();
     ByteReader body(uncompressed);
     while (body.is_valid() && !body.remaining().empty()) {
-        const auto key_size = body.read_integer<std::uint32_t>(), value_size = body.read_integer<std::uint32_t>();
+        const auto key_size = body.read_integer<std::uint32_t>(),
+                   value_size = body.read_integer<std::uint32_t>();
         const auto sum = body.read_integer<std::uint64_t>();
         const std::string_view key = body.read_bytes(key_size), value = body.read_bytes(value_size);
-        if (!body.is_valid() || key_size > max_key_bytes || sum != compute_checksum(value, compute_checksum(key)))
+        if (!body.is_valid() || key_size > max_key_bytes ||
+            sum != compute_checksum(value, compute_checksum(key)))
             return reject("an entry is spoilt");
-        if (!snapshot.entries.emplace(key, value).second) return reject("an entry comes twice");
+        if (!snapshot.entries.emplace(key, value).second)
+            return reject("an entry comes twice");
     }
     return body.is_valid() || reject("an entry is spoilt");
 }
 
-std::string encode_log_header(std::uint64_t generation, std::uint64_t snapshot_checksum, LogPosition& position) {
+std::string encode_log_header(std::uint64_t generation, std::uint64_t snapshot_checksum,
+                              LogPosition& position) {
     std::string to(log_magic);
     append_integer(to, format_version);
     append_integer(to, std::uint32_t{0});
@@ -144,16 +161,20 @@
     std::string uncompressed;
     for (const auto& [key, value] : changes) {
         const std::size_t size = value ? value->size() : 0;
-        if (key.size() > max_key_bytes || uncompressed.size() + size > max_uncompressed_bytes) return {};
+        if (key.size() > max_key_bytes || uncompressed.size() + size > max_uncompressed_bytes)
+            return {};
         append_integer(uncompressed, static_cast<std::uint8_t>(value ? 1 : 0));
         append_integer(uncompressed, static_cast<std::uint32_t>(key.size()));
         append_integer(uncompressed, static_cast<std::uint32_t>(size));
         uncompressed.append(key);
-        if (value) uncompressed.append(*value);
+        if (value)
+            uncompressed.append(*value);
     }
-    if (uncompressed.size() > max_uncompressed_bytes) return {};
+    if (uncompressed.size() > max_uncompressed_bytes)
+        return {};
     const std::string compressed = compress(uncompressed);
-    if (compressed.empty()) return {};
+    if (compressed.empty())
+        return {};
     const std::uint64_t number = position.record_number + 1;
     std::string to;
     append_integer(to, static_cast<std::uint32_t>(compressed.size()));
@@ -179,30 +200,40 @@
     in.read_integer<std::uint32_t>();
     const auto generation = in.read_integer<std::uint64_t>(), of = in.read_integer<std::uint64_t>();
     LogPosition position{0, in.read_integer<std::uint64_t>()};
-    if (!in.is_valid() || magic != log_magic || position.checksum != compute_checksum(bytes.substr(0, log_header_bytes - 8)))
+    if (!in.is_valid() || magic != log_magic ||
+        position.checksum != compute_checksum(bytes.substr(0, log_header_bytes - 8)))
         return stop("its head is spoilt");
-    if (version != format_version) return stop("another format version");
-    if (generation != snapshot.generation || of != snapshot.checksum) return stop("the log of another snapshot");
+    if (version != format_version)
+        return stop("another format version");
+    if (generation != snapshot.generation || of != snapshot.checksum)
+        return stop("the log of another snapshot");
     while (!in.remaining().empty()) {
         const std::string_view sizes = in.remaining().substr(0, record_header_bytes - 8);
-        const auto packed_size = in.read_integer<std::uint32_t>(), raw_size = in.read_integer<std::uint32_t>();
+        const auto packed_size = in.read_integer<std::uint32_t>(),
+                   raw_size = in.read_integer<std::uint32_t>();
         const auto number = in.read_integer<std::uint64_t>(), sum = in.read_integer<std::uint64_t>();
         const std::string_view packed = in.read_bytes(packed_size);
-        if (!in.is_valid()) return stop("a record is cut short");
-        if (number != position.record_number + 1 || sum != compute_checksum(packed, compute_checksum(sizes, position.checksum)))
+        if (!in.is_valid())
+            return stop("a record is cut short");
+        if (number != position.record_number + 1 ||
+            sum != compute_checksum(packed, compute_checksum(sizes, position.checksum)))
             return stop("a record is spoilt");
         std::string raw;
-        if (!decompress(packed, raw_size, raw)) return stop("a record cannot be unpacked");
+        if (!decompress(packed, raw_size, raw))
+            return stop("a record cannot be unpacked");
         Changes changes;
         ByteReader body(raw);
         while (body.is_valid() && !body.remaining().empty()) {
             const bool has = body.read_integer<std::uint8_t>() == 1;
-            const auto key_size = body.read_integer<std::uint32_t>(), value_size = body.read_integer<std::uint32_t>();
+            const auto key_size = body.read_integer<std::uint32_t>(),
+                       value_size = body.read_integer<std::uint32_t>();
             const std::string_view key = body.read_bytes(key_size), value = body.read_bytes(value_size);
-            if (!body.is_valid() || key_size > max_key_bytes) return stop("a record is spoilt");
+            if (!body.is_valid() || key_size > max_key_bytes)
+                return stop("a record is spoilt");
             changes[std::string(key)] = has ? std::optional<std::string>(value) : std::nullopt;
         }
-        if (!body.is_valid()) return stop("a record is spoilt");
+        if (!body.is_valid())
+            return stop("a record is spoilt");
         for (auto& [key, value] : changes) {  // the whole record, or nothing of it
             if (value)
                 snapshot.entries[key] = std::move(*value);
--- a/src/store/format.hpp
+++ b/src/store/format.hpp
@@ -15,7 +15,8 @@
 using Changes = std::map<std::string, std::optional<std::string>>;  // no value: erased
 
 constexpr std::uint32_t format_version = 1;
-constexpr std::size_t max_uncompressed_bytes = 4U << 20U;  // bytes of all entries, and of one record's changes
+constexpr std::size_t max_uncompressed_bytes = 4U
+                                               << 20U;  // bytes of all entries, and of one record's changes
 constexpr std::size_t max_key_bytes = 4096;
 
 struct Snapshot {
@@ -30,8 +31,10 @@
 struct LogPosition {  // where the next record goes
     std::uint64_t record_number = 0, checksum = 0;
 };
-std::string encode_log_header(std::uint64_t generation, std::uint64_t snapshot_checksum, LogPosition& position);
-std::string encode_log_record(const Changes& changes, LogPosition& position);  // empty: too large, and `end` is as it was
+std::string encode_log_header(std::uint64_t generation, std::uint64_t snapshot_checksum,
+                              LogPosition& position);
+std::string encode_log_record(const Changes& changes,
+                              LogPosition& position);  // empty: too large, and `end` is as it was
 
 struct LogReplay {
     std::size_t replayed_records = 0;  // whole ones, applied
--- a/src/supervisor/process_lifecycle.hpp
+++ b/src/supervisor/process_lifecycle.hpp
@@ -54,22 +54,27 @@
 
 class ProcessLifecycle {
 public:
-    ProcessLifecycle(ProcessSpec spec, const SupervisionPolicy& rules) : policy_(rules), active_spec_(spec), requested_spec_(std::move(spec)) {}
+    ProcessLifecycle(ProcessSpec spec, const SupervisionPolicy& rules)
+        : policy_(rules), active_spec_(spec), requested_spec_(std::move(spec)) {}
 
     void start_current(Timestamp now, std::vector<LifecycleAction>& out);
     // Another spec. While a change is under way the later one waits for its end.
     void request_spec(Timestamp now, const ProcessSpec& spec, std::vector<LifecycleAction>& out);
     void on_ready(Timestamp now, Generation generation, std::vector<LifecycleAction>& out);
     void on_exited(Timestamp now, Generation generation, std::vector<LifecycleAction>& out);
-    void on_settings_applied(Timestamp now, bool accepted, const std::string& error, std::vector<LifecycleAction>& out);
+    void on_settings_applied(Timestamp now, bool accepted, const std::string& error,
+                             std::vector<LifecycleAction>& out);
     void on_timer(Timestamp now, std::vector<LifecycleAction>& out);  // at next() or later
     Timestamp next_deadline() const;  // Timestamp::max(): nothing is due
     void shut_down(Timestamp now, std::vector<LifecycleAction>& out);  // all of it; nothing is started again
 
-    const ProcessSpec& active_spec() const { return active_spec_; }  // of what serves, or is to serve again after a crash
+    const ProcessSpec& active_spec() const {
+        return active_spec_;
+    }  // of what serves, or is to serve again after a crash
     const ProcessSpec& requested_spec() const { return requested_spec_; }
     void clear_change_status() {  // how the last change ended; one that is under way goes on
-        if (change_status_ == ChangeStatus::in_progress) return;
+        if (change_status_ == ChangeStatus::in_progress)
+            return;
         change_status_ = ChangeStatus::none;
         change_error_.clear();
     }
@@ -78,12 +83,16 @@
     Generation serving_generation() const { return is_current_ready_ ? current_generation_ : 0; }
     Generation current_generation() const { return current_generation_; }  // serving or to serve
     Generation successor_generation() const { return successor_generation_; }
-    bool is_finished() const { return is_shutting_down_ && current_generation_ == 0 && successor_generation_ == 0 && draining_.empty(); }
+    bool is_finished() const {
+        return is_shutting_down_ && current_generation_ == 0 && successor_generation_ == 0 &&
+               draining_.empty();
+    }
     std::uint64_t start_count() const { return start_count_; }
     std::uint64_t crash_count() const { return crash_count_; }  // of processes that were serving
 
 private:
-    void launch(Timestamp now, Generation& generation, const ProcessSpec& spec, std::vector<LifecycleAction>& out);
+    void launch(Timestamp now, Generation& generation, const ProcessSpec& spec,
+                std::vector<LifecycleAction>& out);
     void begin_next_change(Timestamp now, std::vector<LifecycleAction>& out);
     void finish_change(ChangeStatus status, const std::string& error);
     void fail_change(const std::string& error, std::vector<LifecycleAction>& out);
@@ -94,7 +103,8 @@
     std::string change_error_;
     Generation current_generation_ = 0, successor_generation_ = 0, last_generation_ = 0;
     bool is_current_ready_ = false, is_reloading_ = false, is_shutting_down_ = false;
-    Timestamp current_started_at_{0}, step_deadline_{Timestamp::max()}, restart_at_{Timestamp::max()};  // limit_: of what is under way; again_: of a restart
+    Timestamp current_started_at_{0}, step_deadline_{Timestamp::max()},
+        restart_at_{Timestamp::max()};  // limit_: of what is under way; again_: of a restart
     std::uint32_t consecutive_crashes_ = 0;
     struct DrainingProcess {
         Generation generation = 0;
--- a/src/supervisor/supervisor.hpp
+++ b/src/supervisor/supervisor.hpp
@@ -14,8 +14,8 @@
 #include <string>
 #include <vector>
 
-#include "connection_admission/file_descriptor_budget.hpp"
 #include "admin/admin_server.hpp"
+#include "connection_admission/file_descriptor_budget.hpp"
 #include "net/http_client.hpp"
 #include "net/loop.hpp"
 #include "supervisor/process_lifecycle.hpp"
@@ -23,7 +23,8 @@
 namespace cressledge::supervisor {
 
 struct ProcessSettings {
-    std::string id, settings_file;  // the operator's file; what is in force is written beside it, as FILE.live
+    std::string id,
+        settings_file;  // the operator's file; what is in force is written beside it, as FILE.live
     std::string program;
 };
 struct SupervisorSettings {
@@ -49,7 +50,8 @@
 
     bool is_ready() override;
     void collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) override;
-    std::optional<Reply> handle_request(const std::string& method, const std::string& path, const std::string& body) override;
+    std::optional<Reply> handle_request(const std::string& method, const std::string& path,
+                                        const std::string& body) override;
 
 private:
     struct ChildProcess;
@@ -57,7 +59,8 @@
     void execute(SupervisedProcess& process, const std::vector<LifecycleAction>& actions);
     void spawn(SupervisedProcess& process, Generation generation, const ProcessSpec& spec);
     void on_exited(SupervisedProcess& process, Generation generation, std::int64_t status, int signal);
-    void poll(SupervisedProcess& process);  // at what has been started and is not ready, and at settings that were told
+    void poll(SupervisedProcess&
+                  process);  // at what has been started and is not ready, and at settings that were told
     void schedule_lifecycle_timer(SupervisedProcess& process);
     bool write_live_settings(SupervisedProcess& process, const ProcessSpec& spec, std::string& error);
     SupervisedProcess* find_process(const std::string& id);
--- a/src/upstream/executor.hpp
+++ b/src/upstream/executor.hpp
@@ -8,18 +8,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "connection_admission/file_descriptor_budget.hpp"
+#include "base/log_rate_limiter.hpp"
 #include "config/inventory.hpp"
 #include "config/routing.hpp"
-#include "base/log_rate_limiter.hpp"
-#include "request/request_manager.hpp"
+#include "connection_admission/file_descriptor_budget.hpp"
 #include "learned_state/learned_state.hpp"
-#include "upstream_health/host_set.hpp"
+#include "load_balancing/balancer.hpp"
+#include "load_balancing/load_reports.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
-#include "load_balancing/load_reports.hpp"
+#include "request/request_manager.hpp"
 #include "retry/retry_policy.hpp"
-#include "load_balancing/balancer.hpp"
+#include "upstream_health/host_set.hpp"
 
 namespace cressledge::upstream {
 
@@ -27,7 +27,8 @@
     int status = 0;
     std::string body;
     base::Duration retry_after{0};  // the server's wish not to be called until then
-    std::optional<load_balancing::LoadReport> load;  // its word on itself; none: it said none that can be read
+    std::optional<load_balancing::LoadReport>
+        load;  // its word on itself; none: it said none that can be read
     bool has_load_report = false;
 };
 
@@ -37,7 +38,9 @@
     virtual ~ResponseDecoder() = default;
     virtual Status decode(std::string_view bytes) = 0;
     virtual Status finish() = 0;  // the server has sent its last byte
-    virtual bool can_reuse_connection() const { return false; }  // whole: the connection may carry another call
+    virtual bool can_reuse_connection() const {
+        return false;
+    }  // whole: the connection may carry another call
     Response response;
 };
 std::unique_ptr<ResponseDecoder> make_http_decoder();
@@ -47,18 +50,23 @@
 
 class UpstreamExecutor final : public request::Executor {
 public:
-    UpstreamExecutor(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server, base::Clock& clock,
-             connection_admission::FileDescriptorBudget& descriptors, const config::RoutingConfig& routing, std::uint64_t seed);
+    UpstreamExecutor(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server,
+                     base::Clock& clock, connection_admission::FileDescriptorBudget& descriptors,
+                     const config::RoutingConfig& routing, std::uint64_t seed);
     ~UpstreamExecutor() override;
-    void set_servers(const std::vector<config::Upstream>& servers);  // from the next call on; what is in hand ends where it is
+    void set_servers(const std::vector<config::Upstream>&
+                         servers);  // from the next call on; what is in hand ends where it is
     // Other rules, from the next choice on; calls and kept connections stay, beyond new bounds until they end.
     void reconfigure(const config::RoutingConfig& routing);
     void start();  // probes and judgements from now on
 
     learned_state::UpstreamStatsByName learned() const;  // by name, of the servers in force
     // The live processes of the fleet, by id, this one with them.
-    void set_peers(std::vector<std::string> names) { balancer_.update_peers(clock_.unix_now(), std::move(names)); }
-    void restore(const learned_state::UpstreamStatsByName& servers);  // those that mostly failed are tried last for a second
+    void set_peers(std::vector<std::string> names) {
+        balancer_.update_peers(clock_.unix_now(), std::move(names));
+    }
+    void restore(const learned_state::UpstreamStatsByName&
+                     servers);  // those that mostly failed are tried last for a second
 
     void run(const request::Work& work) override;
     void suspend(request::RequestId no) override;
@@ -71,11 +79,14 @@
 
     void log_report(std::size_t most) const;  // to the log: the fleet, the budget, and the servers in trouble
     struct Counters {
-        std::uint64_t requests = 0, attempts = 0, retries = 0, hedges = 0, reused_connections = 0, retry_budget_exhausted = 0, stale_connections = 0;
+        std::uint64_t requests = 0, attempts = 0, retries = 0, hedges = 0, reused_connections = 0,
+                      retry_budget_exhausted = 0, stale_connections = 0;
         std::uint64_t load_probes = 0, load_reports = 0, malformed_load_reports = 0;
     };
     const Counters& counters() const { return counters_; }
-    std::size_t candidate_count() const { return balancer_.candidates().size(); }  // that this process uses now
+    std::size_t candidate_count() const {
+        return balancer_.candidates().size();
+    }  // that this process uses now
     const upstream_health::HostSet& hosts() const { return hosts_; }
 
 private:
@@ -86,7 +97,8 @@
     void start_attempt(ActiveRequest& job);
     void start_attempt_on(ActiveRequest& job, upstream_health::HostId no);
     bool probe_before_dispatch(ActiveRequest& job);  // false: there is nobody to ask
-    void on_load_probe_result(request::RequestId no, upstream_health::HostId server, const Response* reply);  // null: a probe that came to nothing
+    void on_load_probe_result(request::RequestId no, upstream_health::HostId server,
+                              const Response* reply);  // null: a probe that came to nothing
     void dispatch_to_best_probed(ActiveRequest& job);
     bool connect(Attempt& a);
     void finish_attempt(Attempt& a, upstream_health::CallResult result, bool nothing_ran);
@@ -100,7 +112,8 @@
     // `before`: the request that goes by what it says; 0: none.
     bool start_probe(upstream_health::HostId no, bool for_load = false, request::RequestId before = 0);
     void keep_idle_connection(upstream_health::HostId no, net::Stream* stream, base::Timestamp born);
-    net::Stream* take_idle_connection(upstream_health::HostId no, net::Stream::Owner& owner, base::Timestamp& born);
+    net::Stream* take_idle_connection(upstream_health::HostId no, net::Stream::Owner& owner,
+                                      base::Timestamp& born);
     void close_idle_connection(IdleConnection& spare);
     bool close_any_idle_connection();  // a kept connection, for its descriptor
     learned_state::UpstreamStats& learned_of(upstream_health::HostId no);
@@ -118,11 +131,13 @@
     retry::CircuitBreaker circuit_breaker_;
     std::vector<retry::HedgePolicy> hedge_policies_;  // by class
     std::unordered_map<request::RequestId, std::unique_ptr<ActiveRequest>> active_requests_;
-    std::vector<std::vector<std::unique_ptr<IdleConnection>>> idle_connections_;  // by server; used last comes last
+    std::vector<std::vector<std::unique_ptr<IdleConnection>>>
+        idle_connections_;  // by server; used last comes last
     std::size_t idle_connection_count_ = 0;
     std::vector<std::unique_ptr<Probe>> probes_;
     std::vector<learned_state::UpstreamStats> learned_servers_;  // by server
-    std::deque<request::RequestId> requests_awaiting_descriptor_;  // calls that found no descriptor: nothing of them has been sent
+    std::deque<request::RequestId>
+        requests_awaiting_descriptor_;  // calls that found no descriptor: nothing of them has been sent
     base::TimerQueue::Handle descriptor_retry_timer_ = 0, periodic_timer_ = 0;
     Counters counters_;
     base::LogRateLimiter failure_log_limiter_, change_log_limiter_;
--- a/src/upstream/gateway.hpp
+++ b/src/upstream/gateway.hpp
@@ -1,15 +1,15 @@
 // The operator's set-up: SCGI (and HTTP) fronts before the core, servers of the inventory behind it.
 #pragma once
 
-#include "config/operator.hpp"
-#include "request/request_manager.hpp"
 #include "admin/admin_server.hpp"
-#include "frontend/shutdown_coordinator.hpp"
-#include "frontend/request_fields.hpp"
+#include "config/operator.hpp"
 #include "frontend/connection_admitter.hpp"
+#include "frontend/request_fields.hpp"
+#include "frontend/shutdown_coordinator.hpp"
 #include "gossip/gossip_node.hpp"
 #include "learned_state/learned_state_saver.hpp"
 #include "net/file_watcher.hpp"
+#include "request/request_manager.hpp"
 #include "upstream/executor.hpp"
 
 namespace cressledge::upstream {
@@ -23,10 +23,12 @@
 class UpstreamGateway final : public request::ConnectionSettingsSink, public admin::AdminSource {
 public:
     // Puts something between the core and the calls: for programs that rehearse faults.
-    using ExecutorDecorator = std::function<std::unique_ptr<request::Executor>(request::RequestManager& server, request::Executor& inner)>;
+    using ExecutorDecorator = std::function<std::unique_ptr<request::Executor>(
+        request::RequestManager& server, request::Executor& inner)>;
     // The core goes by `clock`; the loop is one, and tests bring their own.
-    UpstreamGateway(net::Loop& loop, base::TimerQueue& timers, base::Clock& clock, const config::OperatorConfig& config,
-            std::uint64_t seed, const ExecutorDecorator& wrap = {});
+    UpstreamGateway(net::Loop& loop, base::TimerQueue& timers, base::Clock& clock,
+                    const config::OperatorConfig& config, std::uint64_t seed,
+                    const ExecutorDecorator& wrap = {});
     ~UpstreamGateway() override {
         timers_.cancel(inventory_recheck_timer_);
         timers_.cancel(peer_refresh_timer_);
@@ -40,7 +42,8 @@
     const UpstreamExecutor& executor() const { return executor_; }
     void log_report();
     void save_learned_state() {  // after the loop: what was learned is kept
-        if (learned_state_saver_) learned_state_saver_->flush();
+        if (learned_state_saver_)
+            learned_state_saver_->flush();
     }
     learned_state::LearnedStateSaver* learned_state_saver() { return learned_state_saver_.get(); }
     void set_idle_timeout(base::Duration limit) override { shutdown_coordinator_.set_idle_limit(limit); }
--- a/src/upstream_health/host_set.hpp
+++ b/src/upstream_health/host_set.hpp
@@ -14,11 +14,10 @@
 #pragma once
 
 #include <cstdint>
+#include <pcg_random.hpp>
 #include <string>
 #include <vector>
 
-#include <pcg_random.hpp>
-
 #include "base/timer_queue.hpp"
 
 namespace cressledge::upstream_health {
@@ -76,13 +75,17 @@
 public:
     explicit HostSet(HealthSettings settings = {}) : settings_(settings) {}
 
-    void reconfigure(const HealthSettings& settings) { settings_ = settings; }  // from the next call or look on
+    void reconfigure(const HealthSettings& settings) {
+        settings_ = settings;
+    }  // from the next call or look on
     // The inventory as it is now. Known names keep their numbers, unless their address changed: then the old one
     // drains and a new one joins. At the very first all are ready, as nobody else is there to carry the load.
     std::vector<HostStateChange> update(Timestamp now, const std::vector<HostSpec>& specs, Random& random);
     void on_call_started(HostId host_id) { ++hosts_[host_id].calls_in_flight; }
-    std::vector<HostStateChange> on_call_finished(Timestamp now, HostId host_id, CallResult result, Duration latency);
-    std::vector<HostStateChange> on_call_cancelled(Timestamp now, HostId host_id);  // a call that nobody waits for any more: it tells nothing
+    std::vector<HostStateChange> on_call_finished(Timestamp now, HostId host_id, CallResult result,
+                                                  Duration latency);
+    std::vector<HostStateChange> on_call_cancelled(
+        Timestamp now, HostId host_id);  // a call that nobody waits for any more: it tells nothing
     std::vector<HostStateChange> on_health_check(Timestamp now, HostId host_id, CallResult result);
     std::vector<HostStateChange> tick(Timestamp now);  // once a second or so
     std::vector<HostId> take_due_health_checks(Timestamp now, Random& random);  // to be probed now
@@ -99,7 +102,8 @@
     double typical_latency_s() const { return typical_latency_s_ > 0.0 ? typical_latency_s_ : 0.1; }
 
 private:
-    void transition(Timestamp now, HostId host_id, HostState new_state, const char* reason, std::vector<HostStateChange>& changes);
+    void transition(Timestamp now, HostId host_id, HostState new_state, const char* reason,
+                    std::vector<HostStateChange>& changes);
     void evaluate(Timestamp now, HostId host_id, std::vector<HostStateChange>& changes);
     void eject(Timestamp now, HostId host_id, const char* reason, std::vector<HostStateChange>& changes);
     void update_panic_mode();
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,6 +1,6 @@
 // The installed library in ten lines: create a controller, feed it a request, read its actions.
-#include <policy/admission_controller.hpp>
 #include <iostream>
+#include <policy/admission_controller.hpp>
 
 int main() {
     cressledge::policy::Settings settings;
--- a/tests/cressledge/admin_server_test.cpp
+++ b/tests/cressledge/admin_server_test.cpp
@@ -1,6 +1,7 @@
 // Stories of the control address: readiness and figures, for one call a connection, whatever other callers do.
-#include "connection_admission/file_descriptor_budget.hpp"
 #include "admin/admin_server.hpp"
+
+#include "connection_admission/file_descriptor_budget.hpp"
 #include "frontend_fixture.hpp"
 
 namespace {
@@ -29,7 +30,8 @@
     connection_admission::FileDescriptorBudget descriptors;
     admin::AdminServer control;
     explicit Desk(std::size_t budget = admin::AdminServer::max_connections + 1)
-        : descriptors(plan_of(budget)), control(w.loop, w.timers, descriptors, net::ListenEndpoint{loopback_address(0)}, told) {}
+        : descriptors(plan_of(budget)),
+          control(w.loop, w.timers, descriptors, net::ListenEndpoint{loopback_address(0)}, told) {}
     // The whole answer, once the control address has closed the connection.
     std::string ask(const std::string& call) {
         auto p = connect_peer(w, control.port());
@@ -39,7 +41,9 @@
     }
 };
 
-std::string get(const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: node\r\n\r\n"; }
+std::string get(const std::string& path) {
+    return "GET " + path + " HTTP/1.1\r\nHost: node\r\n\r\n";
+}
 
 }  // namespace
 
@@ -61,7 +65,8 @@
     CHECK(d.ask(get("/v1/nothing")).rfind("HTTP/1.1 404 ", 0) == 0);
     CHECK(d.ask("POST /v1/readyz HTTP/1.1\r\nContent-Length: 0\r\n\r\n").rfind("HTTP/1.1 405 ", 0) == 0);
     CHECK(d.ask("GARBLE\x01\x02 \r\n\r\n").rfind("HTTP/1.1 400 ", 0) == 0);
-    CHECK(d.ask("GET /v1/readyz HTTP/1.1\r\nX: " + std::string(5000, 'a') + "\r\n\r\n").rfind("HTTP/1.1 431 ", 0) == 0);
+    CHECK(d.ask("GET /v1/readyz HTTP/1.1\r\nX: " + std::string(5000, 'a') + "\r\n\r\n")
+              .rfind("HTTP/1.1 431 ", 0) == 0);
     {  // cut short: the caller sends half a call and its last byte
         auto p = connect_peer(d.w, d.control.port());
         p->send("GET /v1/rea");
@@ -94,13 +99,17 @@
     CHECK(d.control.evicted_count() >= admin::AdminServer::max_connections);
 }
 
-TEST_CASE("a call that lies unread when its connection makes room, or its time is over, is answered before the close") {
+TEST_CASE(
+    "a call that lies unread when its connection makes room, or its time is over, is answered before the "
+    "close") {
     Desk d;
     d.told.ready_to_serve = true;
     {  // makes room
         std::vector<std::unique_ptr<RawClient>> silent;
-        for (std::size_t n = 0; n < admin::AdminServer::max_connections; ++n) silent.push_back(std::make_unique<RawClient>(d.control.port()));
-        for (int i = 0; i < 20; ++i) d.w.loop.run_once(false);
+        for (std::size_t n = 0; n < admin::AdminServer::max_connections; ++n)
+            silent.push_back(std::make_unique<RawClient>(d.control.port()));
+        for (int i = 0; i < 20; ++i)
+            d.w.loop.run_once(false);
         RawClient newcomer(d.control.port());  // the listening socket is ready first, then the oldest's call
         silent.front()->send(get("/v1/readyz"));
         d.w.run_until([&] { return silent.front()->is_over(); });
@@ -113,7 +122,8 @@
     {  // its time is over: the loop has not read the call's second half
         RawClient late(d.control.port()), silent(d.control.port());
         late.send(get("/v1/readyz").substr(0, 9));
-        for (int i = 0; i < 20; ++i) d.w.loop.run_once(false);
+        for (int i = 0; i < 20; ++i)
+            d.w.loop.run_once(false);
         late.send(get("/v1/readyz").substr(9));
         d.w.timers.run_due(wall_clock_now() + Duration(5'000'000));
         d.w.run_until([&] { return late.is_over() && silent.is_over(); });
--- a/tests/cressledge/config_test.cpp
+++ b/tests/cressledge/config_test.cpp
@@ -43,7 +43,8 @@
     CHECK(of("b,127.0.0.1:2\n") == "i.csv:3: row: 2 fields, not 4");
     CHECK(config_error_of([&] { config::load_inventory(f.write_file("i.csv", "name,address\n")); }) ==
           "i.csv:1: protocol: no such column in the header row");
-    CHECK(config_error_of([&] { config::load_inventory(f.write_file("i.csv", "")); }) == "i.csv:1: row: no header row");
+    CHECK(config_error_of([&] { config::load_inventory(f.write_file("i.csv", "")); }) ==
+          "i.csv:1: row: no header row");
 }
 
 TEST_CASE("a YAML inventory: groups hand their vars down") {
@@ -120,7 +121,8 @@
 classes: [{name: map-order, effect: unsafe, target_ms: 3500, deadline_ms: 12000}]
 )";
     const auto bare = config::load_operator_config(f.write_file("o.yaml", head)).admission;
-    CHECK((bare.max_connections == 100 && bare.unlisted_source_limits.max_connections == 0 && bare.free_connection_share == 0.0 && bare.rejection_slots == 6));
+    CHECK((bare.max_connections == 100 && bare.unlisted_source_limits.max_connections == 0 &&
+           bare.free_connection_share == 0.0 && bare.rejection_slots == 6));
     const std::string good = head + R"(admission:
   open: 8
   rate: {per_second: 20}
@@ -129,16 +131,20 @@
     - {name: b, networks: [10.1.0.0/16], reserve: {connections: 20, requests: 5}}
 )";
     const auto s = config::load_operator_config(f.write_file("o.yaml", good)).admission;
-    CHECK((s.unlisted_source_limits.max_connections == 8 && s.unlisted_source_limits.connections_per_second == 20.0 && s.unlisted_source_limits.connection_burst == 20.0 && s.free_connection_share == 1.0));
+    CHECK((s.unlisted_source_limits.max_connections == 8 &&
+           s.unlisted_source_limits.connections_per_second == 20.0 &&
+           s.unlisted_source_limits.connection_burst == 20.0 && s.free_connection_share == 1.0));
     REQUIRE(s.groups.size() == 2);
-    CHECK((s.groups[0].source_limits.max_connections == 9 && s.groups[0].reserved_requests == 40 && s.groups[1].reserved_requests == 5));
+    CHECK((s.groups[0].source_limits.max_connections == 9 && s.groups[0].reserved_requests == 40 &&
+           s.groups[1].reserved_requests == 5));
     CHECK(s.networks.size() == 3);
     const auto of = [&](const std::string& more) {
         return config_error_of([&] { config::load_operator_config(f.write_file("o.yaml", good + more)); });
     };
     CHECK(of("    - {name: c, networks: [10.2.0.1/16]}\n") ==
           "o.yaml:12: networks: bits set beyond its prefix: 10.2.0.1/16");
-    CHECK(of("    - {name: c, networks: [10.1.0.0/16]}\n") == "o.yaml:12: networks: a duplicate: 10.1.0.0/16");
+    CHECK(of("    - {name: c, networks: [10.1.0.0/16]}\n") ==
+          "o.yaml:12: networks: a duplicate: 10.1.0.0/16");
     CHECK(of("    - name: c\n      networks:\n        - 10.3.0.0/16\n        - 10.3.3.0/24\n") ==
           "o.yaml:15: networks: overlaps one of its group: 10.3.3.0/24 and 10.3.0.0/16");
     CHECK(of("    - {name: c, networks: []}\n") == "o.yaml:12: networks: no list");
@@ -150,44 +156,55 @@
     CHECK(of("  descriptors: 2\n") == "o.yaml:12: descriptors: not a number from 16 to 1000000");
 }
 
-TEST_CASE("the sections on learning and routing, the inventory's further fields, and what is wrong with them") {
+TEST_CASE(
+    "the sections on learning and routing, the inventory's further fields, and what is wrong with them") {
     TemporaryDirectory f;
     const std::string head = R"(listen: {scgi: "127.0.0.1:4000"}
 inventory: i.csv
 cores: 6
 classes: [{name: map-order, effect: unsafe, target_ms: 3500, deadline_ms: 12000}]
 )";
-    const auto o = config::load_operator_config(f.write_file(
-        "o.yaml", head + "learning: {folder: kept, node: n1, half_life_h: 2}\nrouting: {place: thies, retries: {share: 0.2}, "
-                         "members: {eject_ms: 100}, kept: {of_one: 0}}\n"));
+    const auto o = config::load_operator_config(
+        f.write_file("o.yaml", head + "learning: {folder: kept, node: n1, half_life_h: 2}\nrouting: {place: "
+                                      "thies, retries: {share: 0.2}, "
+                                      "members: {eject_ms: 100}, kept: {of_one: 0}}\n"));
     CHECK(o.learned_state.directory == f.path + "/kept");
     CHECK(o.learned_state.half_life == Duration(7'200'000'000));
-    CHECK((o.routing.local_data_centre == "thies" && o.routing.retry_budget_ratio == 0.2 && o.routing.max_idle_connections_per_server == 0));
+    CHECK((o.routing.local_data_centre == "thies" && o.routing.retry_budget_ratio == 0.2 &&
+           o.routing.max_idle_connections_per_server == 0));
     CHECK(o.routing.upstream_health.base_ejection_time == Duration(100'000));
     const auto of = [&](const std::string& more) {
         return config_error_of([&] { config::load_operator_config(f.write_file("o.yaml", head + more)); });
     };
     CHECK(of("learning: {folder: x}\n") == "o.yaml:5: node: missing");
     CHECK(of("learning: {folder: x, node: n, max_age_h: 1}\n") == "o.yaml:5: max_age_h: below half_life_h");
-    CHECK(of("routing:\n  policy: best\n") == "o.yaml:6: policy: none of two-choices, round-robin, fewest-in-hand, probe-pool, probe-first");
+    CHECK(of("routing:\n  policy: best\n") ==
+          "o.yaml:6: policy: none of two-choices, round-robin, fewest-in-hand, probe-pool, probe-first");
     CHECK(of("routing:\n  subset: 4\n") == "o.yaml:6: subset: needs a node, by whose name it is chosen");
     CHECK(of("routing:\n  hedging: perhaps\n") == "o.yaml:6: hedging: neither true nor false");
-    CHECK(of("routing:\n  members:\n    eject_ms: 90000\n    eject_most_ms: 1000\n") == "o.yaml:8: eject_most_ms: below eject_ms");
+    CHECK(of("routing:\n  members:\n    eject_ms: 90000\n    eject_most_ms: 1000\n") ==
+          "o.yaml:8: eject_most_ms: below eject_ms");
     const auto all = config::load_inventory(
-        f.write_file("i.csv", "name,address,protocol,group,data_centre,model,weight,state,tags,rack\n"
-                         "tiles-07.thies.example.org,127.0.0.1:1,http,maps,thies,fast-box,1.5,drained,a;b,r1\n"
-                         "tiles-08.thies.example.org,127.0.0.1:2,scgi,maps,thies,,,,,\n"));
+        f.write_file("i.csv",
+                     "name,address,protocol,group,data_centre,model,weight,state,tags,rack\n"
+                     "tiles-07.thies.example.org,127.0.0.1:1,http,maps,thies,fast-box,1.5,drained,a;b,r1\n"
+                     "tiles-08.thies.example.org,127.0.0.1:2,scgi,maps,thies,,,,,\n"));
     REQUIRE(all.size() == 2);
-    CHECK((all[0].data_centre == "thies" && all[0].machine_model == "fast-box" && all[0].weight == 1.5 && all[0].is_drained));
+    CHECK((all[0].data_centre == "thies" && all[0].machine_model == "fast-box" && all[0].weight == 1.5 &&
+           all[0].is_drained));
     CHECK((all[0].tags == std::vector<std::string>{"a", "b"} && all[1].weight == 1.0 && !all[1].is_drained));
     try {
-        config::load_inventory(f.write_file("i.csv", "name,address,protocol,group,weight,state\na,127.0.0.1:1,http,g,0,\n"
-                                                "b,127.0.0.1:2,http,g,1,\nc,127.0.0.1:3,http,g,1,asleep\n"));
+        config::load_inventory(
+            f.write_file("i.csv",
+                         "name,address,protocol,group,weight,state\na,127.0.0.1:1,http,g,0,\n"
+                         "b,127.0.0.1:2,http,g,1,\nc,127.0.0.1:3,http,g,1,asleep\n"));
         FAIL("accepted");
     } catch (const config::InventoryError& e) {
         REQUIRE(e.row_errors.size() == 2);
-        CHECK(e.row_errors[0].find("i.csv:2: weight: not a number from 0.01 to 1000: 0") != std::string::npos);
-        CHECK(e.row_errors[1].find("i.csv:4: state: neither in-service nor drained: asleep") != std::string::npos);
+        CHECK(e.row_errors[0].find("i.csv:2: weight: not a number from 0.01 to 1000: 0") !=
+              std::string::npos);
+        CHECK(e.row_errors[1].find("i.csv:4: state: neither in-service nor drained: asleep") !=
+              std::string::npos);
     }
     const auto d = config::diff_inventories({all[0]}, all);
     CHECK(d.summary(3) == "+1 (tiles-08.thies.example.org)");
@@ -218,11 +235,13 @@
     CHECK(o.gossip->membership.probe_interval == cressledge::policy::Duration(250'000));
     CHECK(o.gossip->membership.suspicion_multiplier == 4.0);
     const auto of = [&](const std::string& fleet) {
-        return config_error_of([&] { config::load_operator_config(f.write_file("o.yaml", head + "fleet:\n" + fleet)); });
+        return config_error_of(
+            [&] { config::load_operator_config(f.write_file("o.yaml", head + "fleet:\n" + fleet)); });
     };
     const std::string good = "  name: maps\n  id: n1\n  gossip: 127.0.0.1:7946\n";
     CHECK(of(good + "  probes: 3\n") == "o.yaml:9: probes: no such field");
-    CHECK(of(good + "  seeds: [localhost:1]\n") == "o.yaml:9: seeds: not an IPv4 address with a port: localhost:1");
+    CHECK(of(good + "  seeds: [localhost:1]\n") ==
+          "o.yaml:9: seeds: not an IPv4 address with a port: localhost:1");
     CHECK(of(good + "  seeds: ['[::1]:1']\n") == "o.yaml:9: seeds: not an IPv4 address with a port: [::1]:1");
     CHECK(of(good + "  probe_ms: 5\n") == "o.yaml:9: probe_ms: not a number from 20 to 3600000");
     CHECK(of("  name: ma ps\n  id: n1\n  gossip: 127.0.0.1:1\n") ==
@@ -258,7 +277,8 @@
     CHECK(with("\"deadline\":900", "\"deadline\":null") == deadline);
     CHECK(with(",\"deadline\":900", "") == deadline);
     CHECK(with("\"name\":\"a\",", "") == "settings: a class without a name");
-    CHECK(with("[{\"name\":\"a\",\"effect\":\"single_shot\",\"deadline\":900}]", "[]") == "settings: no classes");
+    CHECK(with("[{\"name\":\"a\",\"effect\":\"single_shot\",\"deadline\":900}]", "[]") ==
+          "settings: no classes");
     CHECK(with(",\"settings\"", ",\"x\"") == "missing object: settings");
     // A site whose requests call nothing has no such address; one that calls needs it.
     const std::string records = "\"records\":\"r\",", domain = "\"domain\":{";
@@ -267,17 +287,21 @@
     CHECK(config::node_from_json(without).records_address.empty());
     without.insert(without.find(domain) + domain.size(), "\"depends-on\":\"one_for_all\",");
     CHECK(config_error_of([&] { config::node_from_json(without); }) == "missing text: records");
-    CHECK(config_error_of([&] { config::node_from_json(good.substr(0, good.size() / 2)); }) == "not a JSON object");
+    CHECK(config_error_of([&] { config::node_from_json(good.substr(0, good.size() / 2)); }) ==
+          "not a JSON object");
     CHECK(config_error_of([] { config::node_from_json(""); }) == "not a JSON object");
     CHECK(with("\"effect\":\"single_shot\"", "\"effect\":\"guarded\",\"repeat-window\":0") ==
           "settings: class a: the repeat-window is not a number above 0");
     // A file is named with the line.
     TemporaryDirectory f;
     std::string lines = good;
-    for (const std::string& comma : {std::string("\"engine\""), std::string("\"settings\""), std::string("\"deadline\"")}) lines.insert(lines.find(comma), "\n");
+    for (const std::string& comma :
+         {std::string("\"engine\""), std::string("\"settings\""), std::string("\"deadline\"")})
+        lines.insert(lines.find(comma), "\n");
     const auto of = [&](std::string text, const std::string& from, const std::string& to) {
         text.replace(text.find(from), from.size(), to);
-        const std::string path = f.write_file("n.json", text), all = config_error_of([&] { config::load_node_config(path); });
+        const std::string path = f.write_file("n.json", text),
+                          all = config_error_of([&] { config::load_node_config(path); });
         REQUIRE(all.rfind("n.json:", 0) == 0);  // complaint() leaves the folder out
         return all.substr(std::string("n.json:").size());
     };
--- a/tests/cressledge/connection_shutdown_test.cpp
+++ b/tests/cressledge/connection_shutdown_test.cpp
@@ -15,7 +15,8 @@
         CHECK(h.running_ids.size() == 1);
         h.finish_all();
         h.expect_served(*r);
-        if (wire == Protocol::http) CHECK(r->has_received("Connection: close\r\n"));
+        if (wire == Protocol::http)
+            CHECK(r->has_received("Connection: close\r\n"));
     }
 }
 
@@ -66,13 +67,15 @@
     }
 }
 
-TEST_CASE("ending: a request that comes in the instant of an idle limit is answered, and another ends clean") {
+TEST_CASE(
+    "ending: a request that comes in the instant of an idle limit is answered, and another ends clean") {
     frontend::Frontend::Limits limits;
     limits.idle_timeout = Duration(1'000'000);
     FrontendFixture h(Protocol::http, limits);
     auto crosses = h.open_idle_connection(), rests = h.open_idle_connection();
     crosses->send(h.request());
-    h.test_loop.timers.run_due(wall_clock_now() + Duration(1'500'000));  // both limits are over, and the loop has read nothing
+    h.test_loop.timers.run_due(wall_clock_now() +
+                               Duration(1'500'000));  // both limits are over, and the loop has read nothing
     CHECK(h.running_ids.size() == 1);
     h.expect_clean_close(*rests);
     CHECK(h.frontend().closed_connections().idle_timeouts == 1);
@@ -81,7 +84,8 @@
     CHECK_FALSE(crosses->is_over());  // and it may ask again
 }
 
-TEST_CASE("ending: the last bytes of a request that lie unread at its time's end are read before it is judged") {
+TEST_CASE(
+    "ending: the last bytes of a request that lie unread at its time's end are read before it is judged") {
     for (const Protocol wire : all_protocols) {
         FrontendFixture h(wire);
         const std::string all = h.request();
@@ -114,7 +118,8 @@
         // All three are let in or refused in one go, before anything is read from the first.
         h.test_loop.run_until([&] {
             h.finish_all();
-            return asks->has_received("\r\n\r\n") && other->has_received("\r\n\r\n") && third.has_received("\r\n\r\n");
+            return asks->has_received("\r\n\r\n") && other->has_received("\r\n\r\n") &&
+                   third.has_received("\r\n\r\n");
         });
         for (RawClient* r : {asks.get(), other.get(), &third}) {
             CHECK_FALSE(r->was_reset);
@@ -128,8 +133,10 @@
         FrontendFixture h(wire);
         auto r = h.open_idle_connection(), idle = h.open_idle_connection();
         r->send(h.request());
-        for (int i = 0; i < 2; ++i) CHECK(h.admitter.descriptors().used() > 0);
-        const auto one = h.admitter.limiter().evict_connection(h.server.now()), two = h.admitter.limiter().evict_connection(h.server.now());
+        for (int i = 0; i < 2; ++i)
+            CHECK(h.admitter.descriptors().used() > 0);
+        const auto one = h.admitter.limiter().evict_connection(h.server.now()),
+                   two = h.admitter.limiter().evict_connection(h.server.now());
         REQUIRE((one && two));
         h.frontend().evict(one->connection_id);
         h.frontend().evict(two->connection_id);
@@ -143,14 +150,19 @@
     }
 }
 
-TEST_CASE("ending: who waits in the backlog for want of a descriptor when the process is to leave is answered in the end") {
+TEST_CASE(
+    "ending: who waits in the backlog for want of a descriptor when the process is to leave is answered in "
+    "the end") {
     for (const Protocol wire : all_protocols) {
         FrontendFixture h(wire);
         auto asks = h.open_idle_connection();
         asks->send(h.request());
         h.test_loop.run_until([&] { return h.running_ids.size() == 1; });
-        std::vector<connection_admission::FileDescriptorBudget::Lease> taken;  // all that the front might have
-        while (auto lease = h.descriptors.try_acquire(h.server.now(), connection_admission::DescriptorPurpose::frontend)) taken.push_back(std::move(lease));
+        std::vector<connection_admission::FileDescriptorBudget::Lease>
+            taken;  // all that the front might have
+        while (auto lease = h.descriptors.try_acquire(h.server.now(),
+                                                      connection_admission::DescriptorPurpose::frontend))
+            taken.push_back(std::move(lease));
         RawClient waits(h.frontend().port());
         waits.send(h.request());
         h.frontend().start_drain();
@@ -169,7 +181,8 @@
     }
 }
 
-TEST_CASE("ending: who finds neither a seat nor a place in the lobby is told so if his request came with him") {
+TEST_CASE(
+    "ending: who finds neither a seat nor a place in the lobby is told so if his request came with him") {
     for (const Protocol wire : all_protocols) {
         FrontendFixture h(wire, {}, 2);
         std::vector<std::unique_ptr<RawClient>> in_hand, lobby;
@@ -190,17 +203,20 @@
         CHECK_FALSE(silent.was_reset);
         CHECK(h.running_ids.size() == 2);
         h.finish_all();
-        for (const auto& r : in_hand) h.test_loop.run_until([&] { return r->has_received("a whole map"); });
+        for (const auto& r : in_hand)
+            h.test_loop.run_until([&] { return r->has_received("a whole map"); });
     }
 }
 
 TEST_CASE("ending: half a line and a connection that says nothing do not hold up the exit") {
     for (const Protocol wire : all_protocols) {
         frontend::Frontend::Limits limits;
-        limits.request_timeout = Duration(60'000'000);  // longer than the way out: what ends the half line is the exit
+        limits.request_timeout =
+            Duration(60'000'000);  // longer than the way out: what ends the half line is the exit
         FrontendFixture h(wire, limits, 64, Duration(20'000'000));
         const std::string all = h.request();
-        auto half = h.open_idle_connection(), silent = h.open_idle_connection(), asks = h.open_idle_connection();
+        auto half = h.open_idle_connection(), silent = h.open_idle_connection(),
+             asks = h.open_idle_connection();
         asks->send(all);
         h.test_loop.run_until([&] { return h.running_ids.size() == 1; });
         half->send(all.substr(0, 20));
@@ -217,7 +233,8 @@
         asks->close();
         silent->close();
         h.test_loop.run_until([&] {
-            if (half->is_over()) half->close();
+            if (half->is_over())
+                half->close();
             return stopped = h.frontend().is_drained();
         });
         CHECK(stopped);
@@ -246,25 +263,31 @@
     }
 }
 
-TEST_CASE("ending: a last answer larger than the system takes at once reaches a peer that has shut its side") {
+TEST_CASE(
+    "ending: a last answer larger than the system takes at once reaches a peer that has shut its side") {
     FrontendFixture h(Protocol::http, {}, 64, Duration(3'000'000), test_settings(), 8'192);
     auto r = h.open_idle_connection(4'096);
     r->send(h.request());
     h.test_loop.run_until([&] { return h.running_ids.size() == 1; });
     h.frontend().start_drain();
     const std::string large(240'000, 'm');
-    for (const request::RequestId no : std::exchange(h.running_ids, {})) h.server.run_finished(no, request::RunResult::succeeded, large);
+    for (const request::RequestId no : std::exchange(h.running_ids, {}))
+        h.server.run_finished(no, request::RunResult::succeeded, large);
     r->half_close();  // behind its answer, of which most is still to be written
-    for (int i = 0; i < 3; ++i) h.test_loop.loop.run_once(false);
+    for (int i = 0; i < 3; ++i)
+        h.test_loop.loop.run_once(false);
     h.test_loop.run_until([&] { return r->is_over(); });
     CHECK_FALSE(r->was_reset);
     CHECK(r->received.size() > large.size());
 }
 
-TEST_CASE("ending: what is malformed, cut short or floods behind its last answer is counted, and its end is bounded") {
+TEST_CASE(
+    "ending: what is malformed, cut short or floods behind its last answer is counted, and its end is "
+    "bounded") {
     for (const Protocol wire : all_protocols) {
         FrontendFixture h(wire);
-        auto odd = h.open_idle_connection(), cut = h.open_idle_connection(), floods = h.open_idle_connection();
+        auto odd = h.open_idle_connection(), cut = h.open_idle_connection(),
+             floods = h.open_idle_connection();
         odd->send("x:\r\n\r\n");
         cut->send(h.request().substr(0, 20));
         cut->half_close();
@@ -279,10 +302,12 @@
         h.frontend().start_drain();
         h.finish_all();
         const std::string part(64'000, 'x');
-        h.test_loop.run_until([&] {
-            floods->try_send(part);
-            return h.frontend().closed_connections().excess_input == 1;
-        }, false);
+        h.test_loop.run_until(
+            [&] {
+                floods->try_send(part);
+                return h.frontend().closed_connections().excess_input == 1;
+            },
+            false);
         CHECK(h.requests_read() == 1);
     }
 }
--- a/tests/cressledge/experiment_test.cpp
+++ b/tests/cressledge/experiment_test.cpp
@@ -3,8 +3,8 @@
 
 #include "config/settings.hpp"
 #include "experiment/trial.hpp"
-#include "load_generator/driver.hpp"
 #include "fake_upstream/fleet.hpp"
+#include "load_generator/driver.hpp"
 #include "support.hpp"
 
 namespace {
@@ -13,11 +13,14 @@
 using fake_upstream::Queue;
 using upstream_health::Random;
 
-std::string small() { return std::filesystem::path(__FILE__).parent_path() / "../../bench/experiments/small.yaml"; }
+std::string small() {
+    return std::filesystem::path(__FILE__).parent_path() / "../../bench/experiments/small.yaml";
+}
 
 }  // namespace
 
-TEST_CASE("a stand-in serves as many at once as it has places, in order, and is slow, failing or cold when told") {
+TEST_CASE(
+    "a stand-in serves as many at once as it has places, in order, and is slow, failing or cold when told") {
     fake_upstream::Nature n;
     n.slots = 2;
     n.mean_s = 0.1;
@@ -49,7 +52,8 @@
     q.leave(Timestamp(1'200'000), 7, random);
     CHECK(q.arrive(Timestamp(1'000'000) + n.cold_for, 8, random)->ends == Timestamp(1'100'000) + n.cold_for);
     // Its word to probes counts the calls that they may bring: five of one moment, one call.
-    for (int i = 0; i < 5; ++i) q.probed(Timestamp(30'000'000));
+    for (int i = 0; i < 5; ++i)
+        q.probed(Timestamp(30'000'000));
     CHECK(q.probed(Timestamp(30'000'000)).in_flight == Approx(2.0));
     CHECK(q.load().in_flight == 1.0);
 }
@@ -60,14 +64,18 @@
     Random random(1);
     std::vector<Queue> servers(4, Queue(n));
     fake_upstream::Observer all;
-    for (std::uint64_t c = 1; c <= 4; ++c) servers[c - 1].arrive(Timestamp(0), c, random);
-    for (int i = 0; i < 50; ++i) all.look(servers);
+    for (std::uint64_t c = 1; c <= 4; ++c)
+        servers[c - 1].arrive(Timestamp(0), c, random);
+    for (int i = 0; i < 50; ++i)
+        all.look(servers);
     CHECK(all.result().worst_p99 == Approx(1.0));
     CHECK(all.result().idle == 0.0);
     CHECK(all.result().variation == Approx(0.0).margin(1e-6));
     servers[3].restart(Timestamp(0));
-    for (std::uint64_t c = 5; c <= 9; ++c) servers[0].arrive(Timestamp(0), c, random);  // 6, 1, 1, 0 in hand
-    for (int i = 0; i < 50; ++i) all.look(servers);
+    for (std::uint64_t c = 5; c <= 9; ++c)
+        servers[0].arrive(Timestamp(0), c, random);  // 6, 1, 1, 0 in hand
+    for (int i = 0; i < 50; ++i)
+        all.look(servers);
     const auto e = all.result();
     CHECK(e.worst_max == Approx(3.0));
     CHECK(e.worst_mean == Approx(2.0));
@@ -82,15 +90,18 @@
     load_generator::Arrivals a(1000.0, 10, {{"x", 3.0, false}, {"y", 1.0, true}}, 5);
     Timestamp at(0);
     int runs = 0, second = 0;
-    for (; at < Timestamp(100'000'000); ++runs) at = a.next(at);
+    for (; at < Timestamp(100'000'000); ++runs)
+        at = a.next(at);
     CHECK(runs * 10 == Approx(100'000).epsilon(0.03));
-    for (int i = 0; i < 10'000; ++i) second += a.kind() == 1 ? 1 : 0;
+    for (int i = 0; i < 10'000; ++i)
+        second += a.kind() == 1 ? 1 : 0;
     CHECK(second == Approx(2'500).epsilon(0.06));
 }
 
 TEST_CASE("a record's quantiles are within its bins, and records add up") {
     load_generator::Record r, other;
-    for (int ms = 1; ms <= 1000; ++ms) (ms % 2 == 0 ? r : other).add(load_generator::End::ok, Duration(ms * 1000));
+    for (int ms = 1; ms <= 1000; ++ms)
+        (ms % 2 == 0 ? r : other).add(load_generator::End::ok, Duration(ms * 1000));
     other.add(load_generator::End::lost, Duration(5));
     r.add(other);
     CHECK(r.all() == 1001);
@@ -100,7 +111,8 @@
     CHECK(load_generator::Record().quantile_ms(0.5) == 0.0);
 }
 
-TEST_CASE("the driver counts each request once whatever becomes of it, and its stand-ins break and come back") {
+TEST_CASE(
+    "the driver counts each request once whatever becomes of it, and its stand-ins break and come back") {
     TestLoop w;
     fake_upstream::Plan plan;
     fake_upstream::Nature n;
@@ -110,9 +122,12 @@
     plan.addresses = {"127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"};
     plan.once = {"map-order"};
     fake_upstream::Fleet fleet(w.loop, w.timers, plan);
-    load_generator::Driver driver(w.loop, w.timers, load_generator::Arrivals(500.0, 1, {{"trail-sheet", 1.0, false}, {"map-order", 1.0, true}}, 3));
+    load_generator::Driver driver(
+        w.loop, w.timers,
+        load_generator::Arrivals(500.0, 1, {{"trail-sheet", 1.0, false}, {"map-order", 1.0, true}}, 3));
     std::vector<net::Address> doors;
-    for (std::size_t i = 0; i < 3; ++i) doors.push_back(*net::Address::parse(fleet.address(i)));
+    for (std::size_t i = 0; i < 3; ++i)
+        doors.push_back(*net::Address::parse(fleet.address(i)));
     driver.doors(doors);
     fleet.observe(true);
     driver.start();
@@ -161,26 +176,31 @@
     CHECK(bad(good).empty());
     CHECK(bad(good + "speed: 3\n").find("e.yaml:5: speed: no such field") != std::string::npos);
     CHECK(bad(good + "routing: {policy: guess}\n").find("e.yaml:5: policy: none of") != std::string::npos);
-    CHECK(bad(good + "events:\n  - {at_s: 1, do: slow, servers: [3], by: 2}\n").find("e.yaml:6: servers: no such server") != std::string::npos);
-    CHECK(bad(good + "events:\n  - {at_s: 1, do: dance}\n").find("e.yaml:6: do: none of") != std::string::npos);
+    CHECK(bad(good + "events:\n  - {at_s: 1, do: slow, servers: [3], by: 2}\n")
+              .find("e.yaml:6: servers: no such server") != std::string::npos);
+    CHECK(bad(good + "events:\n  - {at_s: 1, do: dance}\n").find("e.yaml:6: do: none of") !=
+          std::string::npos);
     CHECK(bad("name: x\n").find("processes: missing") != std::string::npos);
     const auto e = experiment::load_experiment(small());
     CHECK(e.rate_s() == Approx(0.8 * 176 / 0.2));
     CHECK(experiment::emulated(e).choice == emulator::Choice::probed);
 }
 
-TEST_CASE("5 processes before 10 servers: the load lies evenly, as emulated, and no request is lost or doubled") {
+TEST_CASE(
+    "5 processes before 10 servers: the load lies evenly, as emulated, and no request is lost or doubled") {
     const auto e = experiment::load_experiment(small());
     TemporaryDirectory f;
     experiment::Where where{CRESSLEDGE_PROGRAM, CRESSLEDGE_LAB, small(), f.path + "/run", {}};
     std::filesystem::create_directory(where.folder);
     const auto real = experiment::trial(e, where), emulated = experiment::emulate(e);
     std::filesystem::remove_all(where.folder);
-    INFO(real["figures"].dump() << real["requests"].dump() << real["servers_saw"].dump() << emulated["figures"].dump());
+    INFO(real["figures"].dump() << real["requests"].dump() << real["servers_saw"].dump()
+                                << emulated["figures"].dump());
     CHECK(real["crashes"] == 0);
     CHECK(real["requests"]["open_at_end"] == 0);
     CHECK(real["servers_saw"]["doubled"] == 0);
-    for (const auto& [name, c] : real["classes"].items()) CHECK(c["lost"] == 0);
+    for (const auto& [name, c] : real["classes"].items())
+        CHECK(c["lost"] == 0);
     CHECK(real["servers_saw"]["probes"].get<double>() > 4.0 * real["requests"]["sent"].get<double>());
     // Far from what choice by its own calls alone would show (2 and more); how close in figures is bench/'s to say.
     CHECK(emulated["figures"]["worst_p99"].get<double>() < 1.4);
--- a/tests/cressledge/fault_injection_test.cpp
+++ b/tests/cressledge/fault_injection_test.cpp
@@ -23,7 +23,8 @@
     Place folder;
     fault_injection::Crowd crowd;
     explicit Fleet(std::size_t n, std::uint64_t seed = 1) : crowd(w.loop, w.timers, plan(folder.path, seed)) {
-        for (std::size_t i = 0; i < n; ++i) crowd.add(i == 0 ? std::vector<std::size_t>{} : std::vector<std::size_t>{0});
+        for (std::size_t i = 0; i < n; ++i)
+            crowd.add(i == 0 ? std::vector<std::size_t>{} : std::vector<std::size_t>{0});
     }
     static fault_injection::Plan plan(const std::string& folder, std::uint64_t seed) {
         fault_injection::Plan p;
@@ -33,7 +34,9 @@
         p.seed = seed;
         return p;
     }
-    bool agreed() { return crowd.agreed(Duration(20'000'000)); }  // the bound only ends a test that has failed
+    bool agreed() {
+        return crowd.agreed(Duration(20'000'000));
+    }  // the bound only ends a test that has failed
     // Whether some see just some, by the same bound.
     bool see(const std::vector<std::size_t>& whom, const std::vector<std::size_t>& expected) {
         const auto seen = crowd.until_seen(whom, expected, wall_clock_now() + Duration(20'000'000));
@@ -48,7 +51,8 @@
     REQUIRE(f.agreed());
     f.crowd.signal(3, SIGKILL);
     REQUIRE(f.agreed());
-    for (const std::size_t no : f.crowd.all_running()) CHECK(f.crowd.figures(no)["fleet.dead"] == 1);
+    for (const std::size_t no : f.crowd.all_running())
+        CHECK(f.crowd.figures(no)["fleet.dead"] == 1);
     f.crowd.start(3);  // the same id and address, incarnation 0 again
     REQUIRE(f.agreed());
     f.crowd.signal(5, SIGTERM);
@@ -84,7 +88,8 @@
     CHECK(f.agreed());
 }
 
-TEST_CASE("a process that is stopped for three seconds and goes on is alive in every view, and condemned nobody") {
+TEST_CASE(
+    "a process that is stopped for three seconds and goes on is alive in every view, and condemned nobody") {
     Fleet f(5);
     REQUIRE(f.agreed());
     f.crowd.signal(2, SIGSTOP);
@@ -100,7 +105,8 @@
 TEST_CASE("a process that receives and cannot send is dead to the others, and back when it can") {
     Fleet f(5);
     REQUIRE(f.agreed());
-    for (const char* to : {"n0", "n1", "n2", "n4"}) f.crowd.relay().cut("n3", to);
+    for (const char* to : {"n0", "n1", "n2", "n4"})
+        f.crowd.relay().cut("n3", to);
     CHECK(f.see({0, 1, 2, 4}, {0, 1, 2, 4}));
     f.crowd.relay().heal();
     CHECK(f.agreed());
@@ -112,9 +118,11 @@
     fault_injection::Crowd crowd(w.loop, w.timers, Fleet::plan(folder.path, 3));
     crowd.add({});
     crowd.signal(0, SIGKILL);
-    for (int i = 0; i < 4; ++i) crowd.add({0});
+    for (int i = 0; i < 4; ++i)
+        crowd.add({0});
     crowd.run(wall_clock_now() + Duration(500'000));
-    for (std::size_t no = 1; no < 5; ++no) CHECK(crowd.until_seen({no}, {no}, wall_clock_now() + Duration(10'000'000))[0].has_value());
+    for (std::size_t no = 1; no < 5; ++no)
+        CHECK(crowd.until_seen({no}, {no}, wall_clock_now() + Duration(10'000'000))[0].has_value());
     crowd.start(0);
     CHECK(crowd.agreed(Duration(20'000'000)));
 }
--- a/tests/cressledge/flood_test.cpp
+++ b/tests/cressledge/flood_test.cpp
@@ -10,8 +10,8 @@
 #include <cerrno>
 #include <map>
 
-#include "system_call_faults.hpp"
 #include "support.hpp"
+#include "system_call_faults.hpp"
 #include "upstream/gateway.hpp"
 
 namespace {
@@ -24,7 +24,8 @@
     return std::to_string(head.size()) + ':' + head + ',' + body;
 }
 std::string http(const std::string& kind, const std::string& body) {
-    return "POST /v1/" + kind + " HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+    return "POST /v1/" + kind + " HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+           body;
 }
 
 struct EchoUpstream {  // a stand-in server that answers each call at once, and remembers what it ran
@@ -34,12 +35,14 @@
         std::string received;
         explicit Connection(EchoUpstream& a) : owner(a) {}
         ~Connection() override {
-            if (stream != nullptr) stream->close();
+            if (stream != nullptr)
+                stream->close();
         }
         void on_bytes(std::string_view b) override {
             received.append(b);
             const std::size_t end = received.find(",body-");
-            if (end == std::string::npos || received.back() != '.') return;
+            if (end == std::string::npos || received.back() != '.')
+                return;
             ++owner.run_counts[received.substr(end + 6)];
             stream->write("Status: 200 OK\r\nContent-Length: 1\r\n\r\ny");
             stream->shut_down_writes();
@@ -74,7 +77,11 @@
         REQUIRE((bad == 0 || errno == EINPROGRESS));
     }
     BoundClient(BoundClient&& o) noexcept
-        : received(std::move(o.received)), unsent(std::move(o.unsent)), is_open(o.is_open), source_address_(o.source_address_), fd_(std::exchange(o.fd_, -1)) {}
+        : received(std::move(o.received)),
+          unsent(std::move(o.unsent)),
+          is_open(o.is_open),
+          source_address_(o.source_address_),
+          fd_(std::exchange(o.fd_, -1)) {}
     BoundClient& operator=(BoundClient&& o) noexcept {
         std::swap(received, o.received), std::swap(unsent, o.unsent), std::swap(is_open, o.is_open);
         std::swap(source_address_, o.source_address_), std::swap(fd_, o.fd_);
@@ -82,31 +89,39 @@
     }
     ~BoundClient() { hang_up(false); }
     void hang_up(bool reset) {
-        if (fd_ < 0) return;
+        if (fd_ < 0)
+            return;
         const linger now{1, 0};
-        if (reset) ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+        if (reset)
+            ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
         ::close(std::exchange(fd_, -1));
     }
     // Sends up to `most` of what is left, reads what has come, and sees whether the other side has ended it.
     void step(std::size_t most) {
         pollfd p{fd_, POLLIN | POLLOUT, 0};
-        if (!is_open || ::poll(&p, 1, 0) <= 0) return;
+        if (!is_open || ::poll(&p, 1, 0) <= 0)
+            return;
         if ((p.revents & POLLOUT) != 0 && !unsent.empty() && most > 0) {
             const ssize_t n = ::send(fd_, unsent.data(), std::min(most, unsent.size()), MSG_NOSIGNAL);
-            if (n > 0) unsent.erase(0, static_cast<std::size_t>(n));
+            if (n > 0)
+                unsent.erase(0, static_cast<std::size_t>(n));
         }
         char buffer[4096];
         ssize_t n = 1;
         while (is_open && n > 0) {
             n = ::recv(fd_, buffer, sizeof buffer, MSG_DONTWAIT);
-            if (n > 0) received.append(buffer, static_cast<std::size_t>(n));
-            if (n == 0 || (n < 0 && errno != EAGAIN && errno != ENOTCONN)) is_open = false;
+            if (n > 0)
+                received.append(buffer, static_cast<std::size_t>(n));
+            if (n == 0 || (n < 0 && errno != EAGAIN && errno != ENOTCONN))
+                is_open = false;
         }
     }
     int status() const {  // of the one answer; 0: none; -1: more than one
         const std::size_t first = std::min(received.find("Status: "), received.find("HTTP/1.1 "));
-        if (first == std::string::npos) return 0;
-        if (received.find("Status: ", first + 1) != std::string::npos || received.find("HTTP/1.1 ", first + 1) != std::string::npos)
+        if (first == std::string::npos)
+            return 0;
+        if (received.find("Status: ", first + 1) != std::string::npos ||
+            received.find("HTTP/1.1 ", first + 1) != std::string::npos)
             return -1;
         return std::stoi(received.substr(received.find(' ', first) + 1, 3));
     }
@@ -128,15 +143,19 @@
 
     FloodFixture() {
         config.scgi_address = config.http_address = "127.0.0.1:0";
-        config.inventory_path = directory.write_file("servers.csv", "name,address,protocol,group\nup,127.0.0.1:" +
-                                                      std::to_string(upstream_server.listener.port()) + ",scgi,maps\n");
+        config.inventory_path = directory.write_file(
+            "servers.csv", "name,address,protocol,group\nup,127.0.0.1:" +
+                               std::to_string(upstream_server.listener.port()) + ",scgi,maps\n");
         config.stop_delay = Duration(900'000);
         config.policy_settings = test_settings();
         config.policy_settings.cores = 16;
         config.admission.max_connections = 128;
         config.admission.rejection_slots = 8;
     }
-    void start() { gateway = std::make_unique<upstream::UpstreamGateway>(test_loop.loop, test_loop.timers, test_loop.loop, config, 7); }
+    void start() {
+        gateway = std::make_unique<upstream::UpstreamGateway>(test_loop.loop, test_loop.timers,
+                                                              test_loop.loop, config, 7);
+    }
     void add_listed_group(const std::string& network) {
         std::string wrong;
         config.admission.groups.push_back({"front-ends", {}, 8, 8});
@@ -165,7 +184,8 @@
         for (int i = 0; i < 32 && opened < by_now && callers.size() < at_once; ++i, ++opened) {
             const bool other = pattern == FloodPattern::valid_requests && opened % 4 == 0;  // counted apart
             callers.emplace_back(other ? "127.0.0.10" : "127.0.0.9", port);
-            if (pattern != FloodPattern::silent) callers.back().unsent = scgi("trail-sheet", "body-" + std::to_string(opened) + '.');
+            if (pattern != FloodPattern::silent)
+                callers.back().unsent = scgi("trail-sheet", "body-" + std::to_string(opened) + '.');
         }
         if (!listed && opened < connection_total) {
             listed = std::make_unique<BoundClient>("127.0.0.2", port);
@@ -182,18 +202,24 @@
             }
         }
         for (BoundClient& c : callers) {
-            if (pattern == FloodPattern::reset_midway && c.unsent.size() < 40) c.hang_up(true), c.is_open = false;
-            c.step(pattern == FloodPattern::byte_by_byte ? 1 : pattern == FloodPattern::reset_midway ? 50 : 1'000);
-            if (c.is_open) continue;
+            if (pattern == FloodPattern::reset_midway && c.unsent.size() < 40)
+                c.hang_up(true), c.is_open = false;
+            c.step(pattern == FloodPattern::byte_by_byte   ? 1
+                   : pattern == FloodPattern::reset_midway ? 50
+                                                           : 1'000);
+            if (c.is_open)
+                continue;
             ++(c.status() == 200 ? served : c.status() == 503 ? refused : closed)[c.source_address()];
         }
-        if (opened == connection_total && pattern != FloodPattern::valid_requests) callers.clear();  // the others would be waited out
+        if (opened == connection_total && pattern != FloodPattern::valid_requests)
+            callers.clear();  // the others would be waited out
         std::erase_if(callers, [](const BoundClient& c) { return !c.is_open; });
     }
     CHECK(asked >= 40);
     CHECK(answered == asked);
     fixture.gateway->connection_admitter().limiter().check_invariants();
-    if (pattern != FloodPattern::valid_requests) return;
+    if (pattern != FloodPattern::valid_requests)
+        return;
     // Refusals by address are those that the callers saw, to the last.
     const auto rows = fixture.gateway->connection_admitter().limiter().top_rejected_sources(10);
     const auto& counts = fixture.gateway->request_manager().counts();
@@ -213,12 +239,18 @@
     CHECK(std::count(log.begin(), log.end(), '\n') < 60);  // bounded, whatever came
 }
 
-TEST_CASE("5,000 silent connections from one address: a listed caller is served throughout") { run_flood(FloodPattern::silent); }
-TEST_CASE("5,000 that drip: a listed caller is served throughout") { run_flood(FloodPattern::byte_by_byte); }
+TEST_CASE("5,000 silent connections from one address: a listed caller is served throughout") {
+    run_flood(FloodPattern::silent);
+}
+TEST_CASE("5,000 that drip: a listed caller is served throughout") {
+    run_flood(FloodPattern::byte_by_byte);
+}
 TEST_CASE("5,000 valid requests: a listed caller is served, and refusals are counted by address") {
     run_flood(FloodPattern::valid_requests);
 }
-TEST_CASE("5,000 connections that are reset: a listed caller is served throughout") { run_flood(FloodPattern::reset_midway); }
+TEST_CASE("5,000 connections that are reset: a listed caller is served throughout") {
+    run_flood(FloodPattern::reset_midway);
+}
 
 TEST_CASE("thousands of addresses at once: each gets little, a listed caller is served") {
     FloodFixture h;
@@ -232,24 +264,31 @@
         all.back().unsent = scgi("trail-sheet", "");  // never whole
         all.back().unsent.pop_back();
         h.test_loop.loop.run_once(false);
-        if (i % 250 != 249) continue;
+        if (i % 250 != 249)
+            continue;
         BoundClient listed("127.0.0.2", h.gateway->scgi_port());
         listed.unsent = scgi("route-profile", "body-" + std::to_string(i) + '.');
         h.test_loop.run_until([&] { return listed.step(1'000), !listed.is_open; }, false);
         CHECK(listed.status() == 200);
-        for (BoundClient& c : all) c.step(1'000);
+        for (BoundClient& c : all)
+            c.step(1'000);
         std::erase_if(all, [](const BoundClient& c) { return !c.is_open; });
     }
     h.gateway->connection_admitter().limiter().check_invariants();
 }
 
-TEST_CASE("a reload takes the fleet's rules and seeds, and never another member's name; the control address shows both") {
+TEST_CASE(
+    "a reload takes the fleet's rules and seeds, and never another member's name; the control address shows "
+    "both") {
     FloodFixture h;
     const auto file = [&](const std::string& id, const std::string& more) {
-        return h.directory.write_file("o.yaml",
-                              "listen: {http: \"127.0.0.1:0\", control: \"127.0.0.1:0\"}\ninventory: servers.csv\ncores: 6\nclasses:\n"
-                              "  - {name: trail-sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\n"
-                              "fleet: {name: maps, id: " + id + ", gossip: \"127.0.0.1:0\"" + more + "}\n");
+        return h.directory.write_file(
+            "o.yaml",
+            "listen: {http: \"127.0.0.1:0\", control: \"127.0.0.1:0\"}\ninventory: servers.csv\ncores: "
+            "6\nclasses:\n"
+            "  - {name: trail-sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\n"
+            "fleet: {name: maps, id: " +
+                id + ", gossip: \"127.0.0.1:0\"" + more + "}\n");
     };
     h.config = config::load_operator_config(file("n1", ""));
     h.start();
@@ -265,39 +304,46 @@
     take_log();
     file("n2", "");
     h.gateway->reload();
-    CHECK(take_log().find("gossip and advertise of the fleet change with a restart only") != std::string::npos);
+    CHECK(take_log().find("gossip and advertise of the fleet change with a restart only") !=
+          std::string::npos);
     file("n1", ", probe_ms: 50, seeds: [\"127.0.0.1:9\"]");
     h.gateway->reload();
     CHECK(take_log().find("stays in force") == std::string::npos);
     const std::string figures = ask("/v1/metrics");
     CHECK(figures.find("node.config_applied=1\n") != std::string::npos);
     CHECK(figures.find("node.config_rejected=1\n") != std::string::npos);
-    h.test_loop.run_until([&] { return ask("/v1/metrics").find("fleet.exchanges_failed=0\n") == std::string::npos; });  // the new seed
+    h.test_loop.run_until([&] {
+        return ask("/v1/metrics").find("fleet.exchanges_failed=0\n") == std::string::npos;
+    });  // the new seed
 }
 
 TEST_CASE("a reload takes admission and inventory whole or not at all, and cuts nobody off") {
     FloodFixture h;
     const auto file = [&](const std::string& cores, const std::string& more) {
-        return h.directory.write_file("o.yaml", "listen: {scgi: \"127.0.0.1:0\", http: \"127.0.0.1:0\"}\ninventory: servers.csv\ncores: " +
-                                            cores + "\nclasses:\n" +
-                                            "  - {name: trail-sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\n" +
-                                            more);
+        return h.directory.write_file(
+            "o.yaml",
+            "listen: {scgi: \"127.0.0.1:0\", http: \"127.0.0.1:0\"}\ninventory: servers.csv\ncores: " +
+                cores + "\nclasses:\n" +
+                "  - {name: trail-sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\n" + more);
     };
     h.config = config::load_operator_config(file("6", ""));
     h.start();
     std::vector<BoundClient> open;
-    for (int i = 0; i < 4; ++i) open.emplace_back("127.0.0.9", h.gateway->http_port());
+    for (int i = 0; i < 4; ++i)
+        open.emplace_back("127.0.0.9", h.gateway->http_port());
     auto& gate = h.gateway->connection_admitter().limiter();
     h.test_loop.run_until([&] { return gate.open_connections() == 4; }, false);
     take_log();
     file("6", "admission: {open: 2, groups: [{name: g, networks: [127.0.0.9/8]}]}\n");
     h.gateway->reload();
-    CHECK(take_log().find("o.yaml:6: networks: bits set beyond its prefix: 127.0.0.9/8") != std::string::npos);
+    CHECK(take_log().find("o.yaml:6: networks: bits set beyond its prefix: 127.0.0.9/8") !=
+          std::string::npos);
     file("8", "admission: {open: 2}\n");
     h.gateway->reload();
     CHECK(take_log().find("with a restart only") != std::string::npos);
     CHECK(gate.settings().unlisted_source_limits.max_connections == 0);
-    file("6", "admission: {open: 2, groups: [{name: g, networks: [127.0.0.8], reserve: {connections: 3}}]}\n");
+    file("6",
+         "admission: {open: 2, groups: [{name: g, networks: [127.0.0.8], reserve: {connections: 3}}]}\n");
     h.gateway->reload();
     CHECK(gate.settings().unlisted_source_limits.max_connections == 2);
     CHECK(gate.open_connections() == 4);
@@ -315,29 +361,35 @@
     for (const bool over_scgi : {true, false}) {
         const int port = over_scgi ? h.gateway->scgi_port() : h.gateway->http_port();
         BoundClient first("127.0.0.9", port), second("127.0.0.9", port);
-        h.test_loop.run_until([&] { return h.gateway->connection_admitter().limiter().rejection_slots_in_use() == 1; }, false);
+        h.test_loop.run_until(
+            [&] { return h.gateway->connection_admitter().limiter().rejection_slots_in_use() == 1; }, false);
         second.unsent = over_scgi ? scgi("map-order", "body-1.") : http("map-order", "body-1.");
         h.test_loop.run_until([&] { return second.step(1'000), !second.is_open; }, false);
         CHECK(second.status() == 503);
         CHECK(second.received.find("Hold-Off-Ms: 1000\r\n") != std::string::npos);
         CHECK((over_scgi || second.received.find("Connection: close\r\n") != std::string::npos));
         first.hang_up(false);
-        h.test_loop.run_until([&] { return h.gateway->connection_admitter().limiter().open_connections() == 0; }, false);
+        h.test_loop.run_until(
+            [&] { return h.gateway->connection_admitter().limiter().open_connections() == 0; }, false);
     }
     CHECK(h.upstream_server.run_counts.empty());
 }
 
 TEST_CASE("a connection left in the backlog for want of a descriptor is served once there is one") {
     FloodFixture h;
-    h.config.max_descriptors = net::count_open_descriptors() + 2 + 2 + 2 + 32 + 3;  // two connections and one in between
+    h.config.max_descriptors =
+        net::count_open_descriptors() + 2 + 2 + 2 + 32 + 3;  // two connections and one in between
     h.start();
     CHECK(take_log().find("room for 2 of 128 connections") != std::string::npos);
     auto& d = h.gateway->descriptors();
     std::vector<connection_admission::FileDescriptorBudget::Lease> others;
-    while (auto l = d.try_acquire(wall_clock_now(), connection_admission::DescriptorPurpose::frontend)) others.push_back(std::move(l));
+    while (auto l = d.try_acquire(wall_clock_now(), connection_admission::DescriptorPurpose::frontend))
+        others.push_back(std::move(l));
     BoundClient c("127.0.0.9", h.gateway->scgi_port());
     c.unsent = scgi("trail-sheet", "body-1.");
-    h.test_loop.run_until([&] { return c.step(1'000), d.denied(connection_admission::DescriptorPurpose::frontend) > 1; }, false);
+    h.test_loop.run_until(
+        [&] { return c.step(1'000), d.denied(connection_admission::DescriptorPurpose::frontend) > 1; },
+        false);
     CHECK(c.received.empty());
     CHECK(c.is_open);
     others.clear();
@@ -392,7 +444,8 @@
             const bool over_scgi = i % 2 == 0;
             callers.emplace_back("127.0.0." + std::to_string(3 + i),
                                  over_scgi ? h.gateway->scgi_port() : h.gateway->http_port());
-            const std::string kind = i % 3 == 0 ? "map-order" : "trail-sheet", body = "body-" + std::to_string(i) + '.';
+            const std::string kind = i % 3 == 0 ? "map-order" : "trail-sheet",
+                              body = "body-" + std::to_string(i) + '.';
             callers.back().unsent = over_scgi ? scgi(kind, body) : http(kind, body);
         }
         Faults faults(seed);
@@ -404,7 +457,8 @@
         const auto& counts = h.gateway->request_manager().counts();
         h.test_loop.run_until(
             [&] {
-                if (turn++ == leave) h.gateway->begin_graceful_shutdown();
+                if (turn++ == leave)
+                    h.gateway->begin_graceful_shutdown();
                 std::uint64_t answers = 0, waiting = 0;
                 for (BoundClient& c : callers) {
                     c.step(1 + random() % 400);
@@ -414,8 +468,10 @@
                 return turn > leave && waiting == 0 && answers == counts.received;
             },
             false);
-        for (const BoundClient& c : callers) REQUIRE(c.status() >= 0);
-        for (const auto& [body, times] : h.upstream_server.run_counts) REQUIRE(times == 1);
+        for (const BoundClient& c : callers)
+            REQUIRE(c.status() >= 0);
+        for (const auto& [body, times] : h.upstream_server.run_counts)
+            REQUIRE(times == 1);
         REQUIRE(counts.served == h.upstream_server.run_counts.size());
         h.gateway->connection_admitter().limiter().check_invariants();
         REQUIRE(h.gateway->descriptors().used() <= h.gateway->descriptors().limit());
--- a/tests/cressledge/frontend_fixture.hpp
+++ b/tests/cressledge/frontend_fixture.hpp
@@ -10,9 +10,9 @@
 #include <cerrno>
 #include <optional>
 
-#include "frontend/shutdown_coordinator.hpp"
 #include "frontend/http/http_session.hpp"
 #include "frontend/scgi/scgi_session.hpp"
+#include "frontend/shutdown_coordinator.hpp"
 #include "support.hpp"
 
 namespace cressledge::testing {
@@ -20,7 +20,8 @@
 // A client that acts while the loop does not turn. The system completes its connection in the backlog.
 class RawClient {
 public:
-    explicit RawClient(int port, int receive_buffer_bytes = 0) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    explicit RawClient(int port, int receive_buffer_bytes = 0)
+        : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         sockaddr_in address{};
         address.sin_family = AF_INET;
         address.sin_port = htons(static_cast<std::uint16_t>(port));
@@ -28,28 +29,37 @@
         // What it sends is on its way when send() returns: the system must not hold a second small write back.
         const int on = 1;
         ::setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-        if (receive_buffer_bytes > 0) ::setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes, sizeof receive_buffer_bytes);
+        if (receive_buffer_bytes > 0)
+            ::setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes, sizeof receive_buffer_bytes);
         connect_refused = ::connect(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0;
     }
     ~RawClient() { ::close(fd_); }
     RawClient(const RawClient&) = delete;
     RawClient& operator=(const RawClient&) = delete;
-    void send(const std::string& bytes) const { REQUIRE(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size())); }
-    void try_send(const std::string& bytes) {  // the system tells of a reset once: here, if this is the first to ask
-        if (::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) was_reset = was_reset || errno == ECONNRESET;
+    void send(const std::string& bytes) const {
+        REQUIRE(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
+    }
+    void try_send(
+        const std::string& bytes) {  // the system tells of a reset once: here, if this is the first to ask
+        if (::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0)
+            was_reset = was_reset || errno == ECONNRESET;
     }
     void half_close() const { ::shutdown(fd_, SHUT_WR); }
     void close() { ::close(std::exchange(fd_, -1)); }
     void read_available() {  // what has come so far
-        if (fd_ < 0) return;
+        if (fd_ < 0)
+            return;
         char b[4096];
         ssize_t n = 0;
-        while ((n = ::recv(fd_, b, sizeof b, MSG_DONTWAIT)) > 0) received.append(b, static_cast<std::size_t>(n));
+        while ((n = ::recv(fd_, b, sizeof b, MSG_DONTWAIT)) > 0)
+            received.append(b, static_cast<std::size_t>(n));
         is_closed = is_closed || n == 0;
         was_reset = was_reset || (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
     }
     bool is_over() { return read_available(), is_closed || was_reset; }
-    bool has_received(const std::string& text) { return read_available(), received.find(text) != std::string::npos; }
+    bool has_received(const std::string& text) {
+        return read_available(), received.find(text) != std::string::npos;
+    }
 
     std::string received;
     bool connect_refused = false, is_closed = false, was_reset = false;
@@ -63,13 +73,17 @@
     explicit RunAllController(cressledge::policy::Settings settings) : policy_settings(std::move(settings)) {}
     const cressledge::policy::Settings policy_settings;
     std::optional<cressledge::policy::RequestArrived> last_request;
-    void handle(Timestamp, const cressledge::policy::Event& e, std::vector<cressledge::policy::Action>& out) override {
+    void handle(Timestamp, const cressledge::policy::Event& e,
+                std::vector<cressledge::policy::Action>& out) override {
         const auto* r = std::get_if<cressledge::policy::RequestArrived>(&e);
-        if (r == nullptr) return;
+        if (r == nullptr)
+            return;
         last_request = *r;
         const cressledge::policy::RequestClass& c = policy_settings.classes[r->class_index];
-        if (r->repeated_id != 0) return out.emplace_back(cressledge::policy::ReplayResult{r->id}), void();
-        if (c.idempotency == cressledge::policy::Idempotency::with_key) out.emplace_back(cressledge::policy::RetainKey{r->id, c.idempotency_window - r->age});
+        if (r->repeated_id != 0)
+            return out.emplace_back(cressledge::policy::ReplayResult{r->id}), void();
+        if (c.idempotency == cressledge::policy::Idempotency::with_key)
+            out.emplace_back(cressledge::policy::RetainKey{r->id, c.idempotency_window - r->age});
         out.emplace_back(cressledge::policy::Run{r->id});
     }
 };
@@ -98,27 +112,38 @@
     }
     // `sends`: bytes that the system takes from the program for each connection before the peer does; 0: its own measure.
     static net::ListenEndpoint make_listening(int send_buffer_bytes) {
-        if (send_buffer_bytes == 0) return net::ListenEndpoint{loopback_address(0)};
+        if (send_buffer_bytes == 0)
+            return net::ListenEndpoint{loopback_address(0)};
         const int fd = net::open_listening_socket(loopback_address(0));
         ::setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &send_buffer_bytes, sizeof send_buffer_bytes);
         return {loopback_address(0), fd};
     }
-    static connection_admission::Settings make_admission_settings(const connection_admission::DescriptorPlan& plan) {
+    static connection_admission::Settings make_admission_settings(
+        const connection_admission::DescriptorPlan& plan) {
         connection_admission::Settings s;
         s.max_connections = plan.max_connections;
         s.rejection_slots = plan.rejection_slots;
         return s;
     }
-    explicit FrontendFixture(Protocol protocol_under_test, frontend::Frontend::Limits limits = {}, std::uint32_t connections = 64, Duration stop_delay = Duration(3'000'000),
-                  const cressledge::policy::Settings& policy_settings = test_settings(), int send_buffer_bytes = 0)
-        : protocol(protocol_under_test), plan(make_plan(connections)), descriptors(plan), controller(new RunAllController(policy_settings)),
-          server(policy_settings, std::unique_ptr<cressledge::policy::AdmissionController>(controller), test_loop.loop, test_loop.timers),
-          admitter(test_loop.timers, server, descriptors, make_admission_settings(plan), 1), shutdown_coordinator(test_loop.loop, test_loop.timers, server, stop_delay) {
+    explicit FrontendFixture(Protocol protocol_under_test, frontend::Frontend::Limits limits = {},
+                             std::uint32_t connections = 64, Duration stop_delay = Duration(3'000'000),
+                             const cressledge::policy::Settings& policy_settings = test_settings(),
+                             int send_buffer_bytes = 0)
+        : protocol(protocol_under_test),
+          plan(make_plan(connections)),
+          descriptors(plan),
+          controller(new RunAllController(policy_settings)),
+          server(policy_settings, std::unique_ptr<cressledge::policy::AdmissionController>(controller),
+                 test_loop.loop, test_loop.timers),
+          admitter(test_loop.timers, server, descriptors, make_admission_settings(plan), 1),
+          shutdown_coordinator(test_loop.loop, test_loop.timers, server, stop_delay) {
         server.attach(*this, *this, *this);
         server.start(wall_clock_now());
         shutdown_coordinator.add_frontend(std::make_unique<frontend::Frontend>(
-            test_loop.loop, test_loop.timers, server, admitter, make_listening(send_buffer_bytes), limits, [this](frontend::Frontend& f) -> std::unique_ptr<frontend::Session> {
-                if (protocol == Protocol::scgi) return std::make_unique<frontend::scgi::ScgiSession>(f, defaults);
+            test_loop.loop, test_loop.timers, server, admitter, make_listening(send_buffer_bytes), limits,
+            [this](frontend::Frontend& f) -> std::unique_ptr<frontend::Session> {
+                if (protocol == Protocol::scgi)
+                    return std::make_unique<frontend::scgi::ScgiSession>(f, defaults);
                 return std::make_unique<frontend::http::HttpSession>(f, &defaults);
             }));
     }
@@ -141,14 +166,16 @@
                         const std::vector<std::pair<std::string, std::string>>& extra_fields = {}) {
         if (protocol == Protocol::http) {
             std::string text = "POST /v1/" + class_name + " HTTP/1.1\r\n";
-            for (const auto& [name, value] : extra_fields) text += name + ": " + value + "\r\n";
+            for (const auto& [name, value] : extra_fields)
+                text += name + ": " + value + "\r\n";
             return text + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
         }
         std::string head = binary_literal("CONTENT_LENGTH\0") + std::to_string(body.size()) + '\0';
         head += binary_literal("SCGI\0\x31\0REQUEST_METHOD\0POST\0REQUEST_URI\0/v1/") + class_name + '\0';
         for (const auto& [name, value] : extra_fields) {
             head += "HTTP_";
-            for (const char c : name) head += c == '-' ? '_' : static_cast<char>(std::toupper(static_cast<unsigned char>(c)));
+            for (const char c : name)
+                head += c == '-' ? '_' : static_cast<char>(std::toupper(static_cast<unsigned char>(c)));
             head += '\0' + value + '\0';
         }
         return std::to_string(head.size()) + ':' + head + ',' + body;
@@ -159,7 +186,8 @@
         auto r = std::make_unique<RawClient>(frontend().port(), receive_buffer_bytes);
         const std::size_t had = open_connections();
         test_loop.run_until([&] { return open_connections() == had + 1; }, true);
-        if (protocol == Protocol::scgi) return r;
+        if (protocol == Protocol::scgi)
+            return r;
         r->send("GET /healthz HTTP/1.1\r\n\r\n");
         test_loop.run_until([&] { return r->has_received("\r\n\r\n"); });
         r->received.clear();
@@ -167,7 +195,8 @@
     }
     std::size_t open_connections() { return admitter.limiter().open_connections(); }
     void finish_all() {
-        for (const request::RequestId no : std::exchange(running_ids, {})) server.run_finished(no, request::RunResult::succeeded, "a whole map");
+        for (const request::RequestId no : std::exchange(running_ids, {}))
+            server.run_finished(no, request::RunResult::succeeded, "a whole map");
     }
     void expect_served(RawClient& client) {  // one whole answer, then a clean end
         test_loop.run_until([&] { return client.is_over(); });
--- a/tests/cressledge/gossip_test.cpp
+++ b/tests/cressledge/gossip_test.cpp
@@ -15,7 +15,9 @@
     return connection_admission::plan_descriptors(2'000, 0, needs, 100);
 }
 
-membership::Endpoint local(int port) { return {0x7F000001U, static_cast<std::uint16_t>(port)}; }
+membership::Endpoint local(int port) {
+    return {0x7F000001U, static_cast<std::uint16_t>(port)};
+}
 
 struct Town {
     TestLoop w;
@@ -29,8 +31,10 @@
         s.listen = local(0);
         s.membership.probe_interval = Duration(100'000);
         s.membership.gossip_interval = Duration(20'000);
-        if (!nodes.empty()) s.seeds.push_back(nodes[0]->membership().local_member().endpoint);
-        nodes.push_back(std::make_unique<gossip::GossipNode>(w.loop, w.timers, descriptors, s, nodes.size() + 1));
+        if (!nodes.empty())
+            s.seeds.push_back(nodes[0]->membership().local_member().endpoint);
+        nodes.push_back(
+            std::make_unique<gossip::GossipNode>(w.loop, w.timers, descriptors, s, nodes.size() + 1));
         return *nodes.back();
     }
     void until(const std::function<bool()>& done) {
@@ -39,9 +43,11 @@
     bool agreed(std::size_t n) {
         std::size_t there = 0;
         for (const auto& node : nodes) {
-            if (node == nullptr) continue;
+            if (node == nullptr)
+                continue;
             ++there;
-            if (node->membership().live_count() + 1 != n || node->membership().suspect_count() != 0) return false;
+            if (node->membership().live_count() + 1 != n || node->membership().suspect_count() != 0)
+                return false;
         }
         return there == n;
     }
@@ -49,7 +55,8 @@
         std::vector<std::pair<std::string, std::uint64_t>> all;
         n.append_metrics(all);
         for (const auto& [what, value] : all)
-            if (what == "fleet." + name) return value;
+            if (what == "fleet." + name)
+                return value;
         FAIL("no such figure: " + name);
         return 0;
     }
@@ -57,7 +64,8 @@
 
 struct Sender {  // whoever sends datagrams to a node
     explicit Sender(TestLoop& w)
-        : socket(w.loop.uv(), loopback_address(0), [this](std::string_view b, const net::Address&) { got.emplace_back(b); }) {}
+        : socket(w.loop.uv(), loopback_address(0),
+                 [this](std::string_view b, const net::Address&) { got.emplace_back(b); }) {}
     std::vector<std::string> got;
     net::UdpSocket socket;
 };
@@ -67,14 +75,16 @@
 TEST_CASE("nodes on loopback find each other, notice who is gone, and are told who leaves") {
     Town t;
     take_log();
-    for (const char* id : {"n1", "n2", "n3", "n4"}) t.add(id);
+    for (const char* id : {"n1", "n2", "n3", "n4"})
+        t.add(id);
     t.until([&] { return t.agreed(4); });
     const auto view = nlohmann::json::parse(t.nodes[1]->status_json(false));
     CHECK(view["fleet"] == "maps");
     CHECK(view["self"]["id"] == "n2");
     REQUIRE(view["members"].size() == 3);
     CHECK(view["members"][0]["state"] == "alive");
-    CHECK(view["members"][0]["address"] == membership::to_string(t.nodes[0]->membership().local_member().endpoint));
+    CHECK(view["members"][0]["address"] ==
+          membership::to_string(t.nodes[0]->membership().local_member().endpoint));
     CHECK(view["digest"] == nlohmann::json::parse(t.nodes[3]->status_json(true))["digest"]);
     CHECK_FALSE(nlohmann::json::parse(t.nodes[3]->status_json(true)).contains("members"));
     t.nodes[2].reset();  // without a word
@@ -85,14 +95,16 @@
     t.nodes[3].reset();
     t.until([&] { return t.agreed(2); });
     CHECK(t.nodes[0]->membership().state_of("n4") == membership::MemberState::left);
-    CHECK(take_log().find(R"("from":"suspect","incarnation":0,"member":"n3","to":"dead")") != std::string::npos);
+    CHECK(take_log().find(R"("from":"suspect","incarnation":0,"member":"n3","to":"dead")") !=
+          std::string::npos);
     CHECK(t.figure(*t.nodes[0], "bytes_sent") > 0);
     CHECK(t.figure(*t.nodes[0], "probes") > 0);
     CHECK(t.figure(*t.nodes[0], "dead") == 1);
     CHECK(t.figure(*t.nodes[0], "left") == 1);
 }
 
-TEST_CASE("a flood of garbage at the gossip port is counted by cause, answered by nothing, and stops no probe") {
+TEST_CASE(
+    "a flood of garbage at the gossip port is counted by cause, answered by nothing, and stops no probe") {
     Town t;
     gossip::GossipNode& n1 = t.add("n1");
     t.add("n2");
@@ -109,9 +121,11 @@
         s.socket.send(to, std::string(static_cast<std::size_t>(i % 1500), static_cast<char>(i)));
         s.socket.send(to, later);
         s.socket.send(to, std::string(2'000, 'z'));
-        if (i % 50 == 0) t.w.loop.run_once(false);
+        if (i % 50 == 0)
+            t.w.loop.run_once(false);
     }
-    t.until([&] { return t.figure(n1, "dropped.oversized") > 0 && t.figure(n1, "dropped.unknown_version") > 0; });
+    t.until(
+        [&] { return t.figure(n1, "dropped.oversized") > 0 && t.figure(n1, "dropped.unknown_version") > 0; });
     CHECK(t.figure(n1, "dropped.malformed") > 0);
     CHECK(s.got.empty());
     CHECK(n1.membership().live_count() == 1);
@@ -121,15 +135,22 @@
     CHECK(n1.membership().suspect_count() == 0);
 }
 
-TEST_CASE("half exchanges, overlong ones and connections that say nothing hold up neither each other nor a newcomer") {
+TEST_CASE(
+    "half exchanges, overlong ones and connections that say nothing hold up neither each other nor a "
+    "newcomer") {
     Town t;
     gossip::GossipNode& n1 = t.add("n1");
     const int port = n1.membership().local_member().endpoint.port;
     std::vector<std::unique_ptr<StreamPeer>> bad;
-    for (std::size_t i = 0; i < gossip::GossipNode::max_exchanges_per_direction + 4; ++i) bad.push_back(connect_peer(t.w, port));
+    for (std::size_t i = 0; i < gossip::GossipNode::max_exchanges_per_direction + 4; ++i)
+        bad.push_back(connect_peer(t.w, port));
     bad[0]->send(binary_literal("\x7F\xFF\xFF\xFF"));
-    bad[1]->send(binary_literal("\0\0\0\x03" "abc"));
-    bad[2]->send(binary_literal("\0\0\0\x03" "abcd"));
+    bad[1]->send(
+        binary_literal("\0\0\0\x03"
+                       "abc"));
+    bad[2]->send(
+        binary_literal("\0\0\0\x03"
+                       "abcd"));
     bad[3]->send(binary_literal("\0\0"));
     t.until([&] { return bad[0]->is_closed && bad[1]->is_closed && bad[2]->is_closed; });
     t.add("n2");
@@ -137,7 +158,8 @@
     CHECK(t.figure(n1, "dropped.oversized") == 2);
     CHECK(t.figure(n1, "dropped.malformed") == 1);
     CHECK(t.figure(n1, "exchanges_failed") >= 3);
-    CHECK(t.descriptors.used(connection_admission::DescriptorPurpose::gossip) <= 2 * gossip::GossipNode::descriptors_needed);
+    CHECK(t.descriptors.used(connection_admission::DescriptorPurpose::gossip) <=
+          2 * gossip::GossipNode::descriptors_needed);
 }
 
 TEST_CASE("two processes with one id: the later holds it, the earlier says so until that one has gone") {
@@ -163,15 +185,19 @@
     struct Told final : admin::AdminSource {
         gossip::GossipNode* node = nullptr;
         bool is_ready() override { return true; }
-        void collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) override { node->append_metrics(out); }
+        void collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) override {
+            node->append_metrics(out);
+        }
         std::optional<std::string> membership_json(bool brief) override {
-            if (node == nullptr) return std::nullopt;
+            if (node == nullptr)
+                return std::nullopt;
             return node->status_json(brief);
         }
     } told;
     connection_admission::DescriptorDemand needs;
     needs.admin = admin::AdminServer::max_connections + 1;
-    connection_admission::FileDescriptorBudget own(connection_admission::plan_descriptors(200, 0, needs, 100));
+    connection_admission::FileDescriptorBudget own(
+        connection_admission::plan_descriptors(200, 0, needs, 100));
     admin::AdminServer control(t.w.loop, t.w.timers, own, net::ListenEndpoint{loopback_address(0)}, told);
     const auto ask = [&](const std::string& path) {
         auto p = connect_peer(t.w, control.port());
--- a/tests/cressledge/handover_test.cpp
+++ b/tests/cressledge/handover_test.cpp
@@ -45,10 +45,12 @@
     CHECK(refusal(std::to_string(pipe_ends[0]).c_str()) ==
           "CRESSLEDGE_TEST_FD=" + std::to_string(pipe_ends[0]) + ": not a socket");
     const int udp = ::socket(AF_INET, SOCK_DGRAM, 0), unbound = ::socket(AF_INET, SOCK_STREAM, 0);
-    CHECK(refusal(std::to_string(udp).c_str()) == "CRESSLEDGE_TEST_FD=" + std::to_string(udp) + ": not a TCP socket");
+    CHECK(refusal(std::to_string(udp).c_str()) ==
+          "CRESSLEDGE_TEST_FD=" + std::to_string(udp) + ": not a TCP socket");
     CHECK(refusal(std::to_string(unbound).c_str()) ==
           "CRESSLEDGE_TEST_FD=" + std::to_string(unbound) + ": not listening");
-    for (const int fd : {pipe_ends[0], pipe_ends[1], udp, unbound}) ::close(fd);
+    for (const int fd : {pipe_ends[0], pipe_ends[1], udp, unbound})
+        ::close(fd);
     ::unsetenv("CRESSLEDGE_TEST_FD");
 }
 
@@ -62,10 +64,11 @@
     REQUIRE(adopted == mine);
     std::vector<std::unique_ptr<StreamPeer>> taken;
     std::unique_ptr<net::Listener> listener;
-    listener = std::make_unique<net::Listener>(w.loop.uv(), net::ListenEndpoint{loopback_address(0), adopted}, [&] {
-        taken.push_back(std::make_unique<StreamPeer>());
-        taken.back()->stream = net::Stream::accept(*listener, *taken.back());
-    });
+    listener =
+        std::make_unique<net::Listener>(w.loop.uv(), net::ListenEndpoint{loopback_address(0), adopted}, [&] {
+            taken.push_back(std::make_unique<StreamPeer>());
+            taken.back()->stream = net::Stream::accept(*listener, *taken.back());
+        });
     const int port = listener->port();
     REQUIRE(port > 0);
     auto first = connect_peer(w, port);
--- a/tests/cressledge/learned_state_test.cpp
+++ b/tests/cressledge/learned_state_test.cpp
@@ -1,12 +1,13 @@
 // What is kept of what was learned: trust by age, what is refused, and that a wrong figure is unlearned as soon as a
 // first guess is.
+#include "learned_state/learned_state.hpp"
+
 #include <unistd.h>
 
 #include <algorithm>
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "learned_state/learned_state.hpp"
 #include "support.hpp"
 #include "upstream/gateway.hpp"
 
@@ -16,12 +17,15 @@
 using namespace cressledge::learned_state;
 
 constexpr Timestamp t0{1'764'576'000'000'000};
-constexpr Duration hours(double n) { return Duration(static_cast<std::int64_t>(n * 3.6e9)); }
+constexpr Duration hours(double n) {
+    return Duration(static_cast<std::int64_t>(n * 3.6e9));
+}
 
 LearnedState known() {
     LearnedState k;
     k.saved_at = t0;
-    k.controller_state.classes = {{"trail-sheet", 0.4, 0.6, 90.0, 0.0}, {"route-profile", 0.2, 0.3, 10.0, 0.0}};
+    k.controller_state.classes = {{"trail-sheet", 0.4, 0.6, 90.0, 0.0},
+                                  {"route-profile", 0.2, 0.3, 10.0, 0.0}};
     k.controller_state.bands = {{1.0, 0.5, {2.0, 1.0, 1.0}, 0.0}};
     k.controller_state.capacity_quanta_per_second = 3.5;
     k.controller_state.concurrency_limit = 6.0;
@@ -29,7 +33,9 @@
     return k;
 }
 const Identity me = identity_of("n3", test_settings());
-cressledge::store::Entries kept() { return to_entries(known(), me, {}); }
+cressledge::store::Entries kept() {
+    return to_entries(known(), me, {});
+}
 void set(cressledge::store::Entries& all, const char* key, const char* field, const nlohmann::json& value) {
     auto j = nlohmann::json::from_cbor(all.at(key));
     j[field] = value;
@@ -37,7 +43,8 @@
     all[key] = {bytes.begin(), bytes.end()};
 }
 
-TEST_CASE("trust follows the documented curve: halved by age, little for few completions, none when too old") {
+TEST_CASE(
+    "trust follows the documented curve: halved by age, little for few completions, none when too old") {
     const ConfidencePolicy trust;
     for (const double age : {0.0, 12.0, 24.0, 72.0, 240.0, 336.0})
         for (const double n : {1.0, 10.0, 1000.0})
@@ -52,7 +59,8 @@
         CHECK(c.confidence == Approx(c.name == "trail-sheet" ? 0.5 * 0.9 : 0.5 * 0.5));
     CHECK(j.state.upstreams.at("tiles-07").call_count == Approx(20.0 * 0.5 * 0.8));
     // Two weeks and an hour old, and three weeks: nothing.
-    for (const double age : {337.0, 504.0}) CHECK_FALSE(restore(kept(), me, t0 + hours(age), trust).restored);
+    for (const double age : {337.0, 504.0})
+        CHECK_FALSE(restore(kept(), me, t0 + hours(age), trust).restored);
     // At ten days a figure moves the guess by a thousandth of the way.
     CHECK(restore(kept(), me, t0 + hours(240), trust).state.controller_state.classes[0].confidence < 0.001);
 }
@@ -80,9 +88,9 @@
     e = kept();
     e["about"] = "\xff not CBOR";
     CHECK(reason(e) == "its head cannot be read");
-    const std::pair<const char*, nlohmann::json> bad[] = {{"quanta", std::nan("")}, {"quanta", -1.0}, {"quanta", 1e9},
-                                                          {"quanta", 0.0},          {"run", "x"},     {"count", 1e300},
-                                                          {"at_ms", 1e15}};
+    const std::pair<const char*, nlohmann::json> bad[] = {
+        {"quanta", std::nan("")}, {"quanta", -1.0}, {"quanta", 1e9}, {"quanta", 0.0}, {"run", "x"},
+        {"count", 1e300},         {"at_ms", 1e15}};
     for (const auto& [field, value] : bad) {
         e = kept();
         set(e, "class/trail-sheet", field, value);
@@ -111,7 +119,8 @@
     const auto old = restore(e, me, t0, ConfidencePolicy{});
     REQUIRE(old.restored);
     CHECK(old.stored_schema_version == 1);
-    CHECK(old.state.controller_state.classes.at(0).run_seconds == old.state.controller_state.classes.at(0).price_seconds);
+    CHECK(old.state.controller_state.classes.at(0).run_seconds ==
+          old.state.controller_state.classes.at(0).price_seconds);
     LearnedState later = known();
     later.saved_at = t0 + hours(48);
     later.last_completion_at["trail-sheet"] = later.saved_at;
@@ -126,7 +135,8 @@
 // ---- the seam in the module ----
 
 struct Trial {  // a controller with one class that costs `cost` seconds, fed one request after another
-    std::unique_ptr<cressledge::policy::AdmissionController> c = cressledge::policy::make_admission_controller(test_settings(), 1);
+    std::unique_ptr<cressledge::policy::AdmissionController> c =
+        cressledge::policy::make_admission_controller(test_settings(), 1);
     std::vector<cressledge::policy::Action> actions;
     Timestamp now{0};
     std::multimap<Timestamp, std::uint32_t> timers;  // as asked for
@@ -135,7 +145,8 @@
         actions.clear();
         c->handle(now, event, actions);
         for (const auto& a : actions)
-            if (const auto* w = std::get_if<cressledge::policy::ScheduleTimer>(&a)) timers.emplace(now + w->delay, w->token);
+            if (const auto* w = std::get_if<cressledge::policy::ScheduleTimer>(&a))
+                timers.emplace(now + w->delay, w->token);
     }
     void begin() { tell(cressledge::policy::Started{}); }
     void pass(Duration span, double busy_cores) {
@@ -171,7 +182,8 @@
     Trial cold, settled;
     const double guess = cold.price();
     settled.begin();
-    for (cressledge::policy::RequestId id = 1; id <= 200; ++id) settled.complete(id, work);
+    for (cressledge::policy::RequestId id = 1; id <= 200; ++id)
+        settled.complete(id, work);
     const double cost = settled.price();  // as the module measures it
     Trial right;
     right.c->restore(told(cost, 1.0));
@@ -198,7 +210,9 @@
     }
 }
 
-TEST_CASE("a restored capacity that is never measured goes back to the cold start's, and limits stay within bounds") {
+TEST_CASE(
+    "a restored capacity that is never measured goes back to the cold start's, and limits stay within "
+    "bounds") {
     Trial t;
     auto l = told(0.3, 1.0);
     l.capacity_quanta_per_second = 1.0;
@@ -206,7 +220,8 @@
     l.capacity_confidence = 1.0;
     l.bands = {{1.0, 50.0, {0.0, 0.0, 9.0}, 1.0}};
     t.c->restore(l);
-    CHECK(t.c->estimates().capacity_quanta_per_second == Approx(1.2));  // not below the floor: three tenths of four cores
+    CHECK(t.c->estimates().capacity_quanta_per_second ==
+          Approx(1.2));  // not below the floor: three tenths of four cores
     CHECK(t.c->estimates().concurrency_limit == 8.0);
     t.begin();
     t.pass(Duration(20'000'000), 0.0);
@@ -219,13 +234,16 @@
 
 // ---- the program ----
 
-TEST_CASE("a gateway keeps what it has learned and starts again with it; a folder that cannot be had ends nothing") {
+TEST_CASE(
+    "a gateway keeps what it has learned and starts again with it; a folder that cannot be had ends "
+    "nothing") {
     TemporaryDirectory folder;
     TestLoop w;
     ListeningPeer server(w.loop);
     config::OperatorConfig o;
     o.scgi_address = o.http_address = "127.0.0.1:0";
-    o.inventory_path = folder.write_file("servers.csv", "name,address,protocol,group\nup," + server.address() + ",http,maps\n");
+    o.inventory_path = folder.write_file(
+        "servers.csv", "name,address,protocol,group\nup," + server.address() + ",http,maps\n");
     o.policy_settings = test_settings();
     o.learned_state.directory = folder.path + "/state";
     o.learned_state.node_name = "n3";
@@ -241,7 +259,8 @@
             w.run_until([&] { return c->has_received("ok"); });
         }
         price = g.request_manager().learned().classes[0].price_seconds;
-        upstream::UpstreamGateway second(w.loop, w.timers, w.loop, o, 7);  // the folder is taken: it serves all the same
+        upstream::UpstreamGateway second(w.loop, w.timers, w.loop, o,
+                                         7);  // the folder is taken: it serves all the same
         CHECK(take_log().find("another process keeps its own there") != std::string::npos);
         g.save_learned_state();
         g.log_report();
--- a/tests/cressledge/membership_test.cpp
+++ b/tests/cressledge/membership_test.cpp
@@ -8,13 +8,18 @@
 
 using namespace cressledge::testing;
 using emulator::Fleet;
-using membership::MessageType, membership::Message, membership::MemberState, membership::MemberUpdate, membership::MembershipTable;
+using membership::MessageType, membership::Message, membership::MemberState, membership::MemberUpdate,
+    membership::MembershipTable;
 
-Duration ms(std::int64_t n) { return Duration(n * 1000); }
+Duration ms(std::int64_t n) {
+    return Duration(n * 1000);
+}
 
-membership::Endpoint place(std::uint32_t n) { return {0x7F000000U + n, 7946}; }
-MemberUpdate update(const std::string& id, std::uint32_t n, MemberState state = MemberState::alive, std::uint32_t incarnation = 0,
-              std::uint64_t birth = 100) {
+membership::Endpoint place(std::uint32_t n) {
+    return {0x7F000000U + n, 7946};
+}
+MemberUpdate update(const std::string& id, std::uint32_t n, MemberState state = MemberState::alive,
+                    std::uint32_t incarnation = 0, std::uint64_t birth = 100) {
     return {id, place(n), birth, incarnation, state, state == MemberState::suspect ? "judge" : ""};
 }
 Message message(MessageType kind, const MemberUpdate& sender, std::vector<MemberUpdate> updates = {}) {
@@ -23,7 +28,8 @@
     m.sequence = 7;
     m.sender = sender;
     m.updates = std::move(updates);
-    if (kind == MessageType::ping) m.target_id = "me";
+    if (kind == MessageType::ping)
+        m.target_id = "me";
     return m;
 }
 
@@ -33,7 +39,8 @@
     Timestamp now{1'000'000'000};
     MembershipTable view;
     MembershipTable::Effects out;
-    explicit Alone(membership::MembershipSettings r = {}) : rules(r), view(names, false, rules, {"me", place(1), 100}, {}, 5, now) {}
+    explicit Alone(membership::MembershipSettings r = {})
+        : rules(r), view(names, false, rules, {"me", place(1), 100}, {}, 5, now) {}
     void hear(const Message& m, std::uint32_t from = 2) { view.on_message(now, m, place(from), out); }
     void hear(const MemberUpdate& u) { hear(message(MessageType::gossip, update("teller", 2), {u})); }
     void pass(Duration span) {
@@ -44,11 +51,12 @@
     }
     MemberState state(const std::string& id) const { return *view.state_of(id); }
     bool sent(MessageType kind, const std::string& about, MemberState as) const {
-        return std::any_of(out.messages.begin(), out.messages.end(), [&](const MembershipTable::OutgoingMessage& s) {
-            return s.message.type == kind &&
-                   std::any_of(s.message.updates.begin(), s.message.updates.end(),
-                               [&](const MemberUpdate& u) { return u.id == about && u.state == as; });
-        });
+        return std::any_of(
+            out.messages.begin(), out.messages.end(), [&](const MembershipTable::OutgoingMessage& s) {
+                return s.message.type == kind &&
+                       std::any_of(s.message.updates.begin(), s.message.updates.end(),
+                                   [&](const MemberUpdate& u) { return u.id == about && u.state == as; });
+            });
     }
 };
 
@@ -58,24 +66,29 @@
     return r;
 }
 
-const membership::Message& taken(const std::variant<Message, membership::DropReason>& v) { return std::get<Message>(v); }
+const membership::Message& taken(const std::variant<Message, membership::DropReason>& v) {
+    return std::get<Message>(v);
+}
 
 }  // namespace
 
 TEST_CASE("a fleet message survives its wire form, and a datagram never outgrows its bound") {
-    Message m = message(MessageType::ping, update("n1", 3), {update("n2", 4, MemberState::suspect, 9), update("n3", 5, MemberState::dead)});
+    Message m = message(MessageType::ping, update("n1", 3),
+                        {update("n2", 4, MemberState::suspect, 9), update("n3", 5, MemberState::dead)});
     const std::string bytes = membership::encode(m, "maps");
     CHECK(taken(membership::decode(bytes, "maps", membership::max_datagram_bytes)) == m);
     for (int i = 0; i < 500; ++i)
-        m.updates.push_back(update(std::string(std::size_t(1 + i % 64), 'x'), 9, MemberState::suspect, membership::max_incarnation,
-                                   membership::max_start_time_us));
+        m.updates.push_back(update(std::string(std::size_t(1 + i % 64), 'x'), 9, MemberState::suspect,
+                                   membership::max_incarnation, membership::max_start_time_us));
     const std::string full = membership::encode(m, std::string(64, 'f'));
     CHECK(full.size() <= membership::max_datagram_bytes);
     CHECK(full.size() > membership::max_datagram_bytes - 200);
-    CHECK(std::holds_alternative<Message>(membership::decode(full, std::string(64, 'f'), membership::max_datagram_bytes)));
+    CHECK(std::holds_alternative<Message>(
+        membership::decode(full, std::string(64, 'f'), membership::max_datagram_bytes)));
 }
 
-TEST_CASE("a later version's additions are passed over; other versions, fleets and sizes are dropped by cause") {
+TEST_CASE(
+    "a later version's additions are passed over; other versions, fleets and sizes are dropped by cause") {
     using nlohmann::json;
     const Message m = message(MessageType::gossip, update("n1", 3), {update("n2", 4)});
     const std::string bytes = membership::encode(m, "maps");
@@ -93,8 +106,10 @@
     json other = j;
     other[0] = 2;
     CHECK(std::get<membership::DropReason>(as(other)) == membership::DropReason::unknown_version);
-    CHECK(std::get<membership::DropReason>(membership::decode(bytes, "charts", 1400)) == membership::DropReason::other_fleet);
-    CHECK(std::get<membership::DropReason>(membership::decode(std::string(1401, 'a'), "maps", 1400)) == membership::DropReason::oversized);
+    CHECK(std::get<membership::DropReason>(membership::decode(bytes, "charts", 1400)) ==
+          membership::DropReason::other_fleet);
+    CHECK(std::get<membership::DropReason>(membership::decode(std::string(1401, 'a'), "maps", 1400)) ==
+          membership::DropReason::oversized);
     for (const json& bad : {json(7), json::array(), json::object({{"a", 1}}), json::array({1, "maps"})})
         CHECK(std::get<membership::DropReason>(as(bad)) == membership::DropReason::malformed);
     for (std::size_t field = 2; field < 8; ++field) {
@@ -103,29 +118,36 @@
         CHECK(std::get<membership::DropReason>(as(wrong)) == membership::DropReason::malformed);
     }
     // Nesting without an end, and a length that nothing stands behind.
-    CHECK(std::get<membership::DropReason>(membership::decode(std::string(1'000'000, '\x91'), "maps", 4U << 20U)) == membership::DropReason::malformed);
-    CHECK(std::get<membership::DropReason>(membership::decode(testing::binary_literal("\xDD\xFF\xFF\xFF\xFF\x01"), "maps", 1400)) == membership::DropReason::malformed);
+    CHECK(std::get<membership::DropReason>(membership::decode(
+              std::string(1'000'000, '\x91'), "maps", 4U << 20U)) == membership::DropReason::malformed);
+    CHECK(std::get<membership::DropReason>(
+              membership::decode(testing::binary_literal("\xDD\xFF\xFF\xFF\xFF\x01"), "maps", 1400)) ==
+          membership::DropReason::malformed);
 }
 
 TEST_CASE("mutated and random datagrams are dropped or read whole, and a view takes them without harm") {
-    const Message m = message(MessageType::ping, update("n1", 3), {update("n2", 4, MemberState::suspect, 9), update("n3", 5, MemberState::dead)});
+    const Message m = message(MessageType::ping, update("n1", 3),
+                              {update("n2", 4, MemberState::suspect, 9), update("n3", 5, MemberState::dead)});
     const std::string good = membership::encode(m, "maps");
     pcg32 random(11);
     Alone a;
     std::size_t read = 0;
     for (int i = 0; i < 20'000; ++i) {
         std::string b = good;
-        if (i % 4 == 0) b.assign(random(200), '\0');
+        if (i % 4 == 0)
+            b.assign(random(200), '\0');
         const std::uint32_t changes = 1 + random(4);
         for (std::uint32_t k = 0; k < changes && !b.empty(); ++k)
             b[random(static_cast<std::uint32_t>(b.size()))] = static_cast<char>(random(256));
-        if (random(3) == 0 && !b.empty()) b.resize(random(static_cast<std::uint32_t>(b.size())));
+        if (random(3) == 0 && !b.empty())
+            b.resize(random(static_cast<std::uint32_t>(b.size())));
         const auto d = membership::decode(b, "maps", membership::max_datagram_bytes);
         if (const Message* got = std::get_if<Message>(&d)) {
             ++read;
             a.hear(*got);
         }
-        if (i % 100 == 0) a.pass(ms(1));
+        if (i % 100 == 0)
+            a.pass(ms(1));
         a.out = {};
     }
     CHECK(read > 100);
@@ -134,16 +156,19 @@
 
 TEST_CASE("a member that is silent is asked through others, suspected, and dead only after its time") {
     Alone a(quick());
-    for (std::uint32_t n = 2; n < 7; ++n) a.hear(update("n" + std::to_string(n), n));
+    for (std::uint32_t n = 2; n < 7; ++n)
+        a.hear(update("n" + std::to_string(n), n));
     CHECK(a.view.live_count() == 6);  // and the teller
-    while (a.view.counters().indirect_probes == 0) a.pass(ms(1));
+    while (a.view.counters().indirect_probes == 0)
+        a.pass(ms(1));
     CHECK(a.view.counters().probes == 1);
     CHECK(a.view.counters().indirect_probes == 3);
     CHECK(a.view.counters().suspicions_raised == 0);
     a.pass(ms(200));
     REQUIRE(a.view.counters().suspicions_raised == 1);
     const auto all = a.view.members();
-    const auto suspect = std::find_if(all.begin(), all.end(), [](const auto& m) { return m.state == MemberState::suspect; });
+    const auto suspect =
+        std::find_if(all.begin(), all.end(), [](const auto& m) { return m.state == MemberState::suspect; });
     REQUIRE(suspect != all.end());
     // The shortest suspicion: 3 times the period; nobody confirms, so twice that.
     a.pass(ms(1200));
@@ -155,7 +180,8 @@
 TEST_CASE("independent confirmations shorten a suspicion, and a repeated one does not") {
     const auto lasts = [](int judges, int times) {
         Alone a(quick());
-        for (std::uint32_t n = 2; n < 9; ++n) a.hear(update("n" + std::to_string(n), n));
+        for (std::uint32_t n = 2; n < 9; ++n)
+            a.hear(update("n" + std::to_string(n), n));
         const Timestamp from = a.now;
         for (int j = 0; j < judges; ++j)
             for (int t = 0; t < times; ++t) {
@@ -163,7 +189,8 @@
                 u.accuser_id = "n" + std::to_string(2 + j);
                 a.hear(u);
             }
-        while (a.state("n8") == MemberState::suspect) a.pass(ms(5));
+        while (a.state("n8") == MemberState::suspect)
+            a.pass(ms(5));
         return (a.now - from).count() / 1000;
     };
     CHECK(lasts(1, 1) >= 1490);
@@ -202,7 +229,8 @@
     a.hear(update("n3", 3, MemberState::dead, 5));
     a.hear(update("n3", 3, MemberState::alive, 5));
     CHECK(a.state("n3") == MemberState::dead);
-    a.hear(update("n3", 3, MemberState::alive, 0, 101));  // started again: a lower incarnation of a later birth
+    a.hear(
+        update("n3", 3, MemberState::alive, 0, 101));  // started again: a lower incarnation of a later birth
     CHECK(a.state("n3") == MemberState::alive);
     a.hear(update("n3", 3, MemberState::dead, 9, 100));  // late news of its former life
     CHECK(a.state("n3") == MemberState::alive);
@@ -222,10 +250,13 @@
     a.hear(message(MessageType::ping, update("n3", 3)), 3);
     REQUIRE(a.out.messages.size() == 1);
     REQUIRE(!a.out.messages[0].message.updates.empty());
-    CHECK(a.out.messages[0].message.updates[0] == MemberUpdate{"n3", place(3), 100, 0, MemberState::suspect, "me"});
+    CHECK(a.out.messages[0].message.updates[0] ==
+          MemberUpdate{"n3", place(3), 100, 0, MemberState::suspect, "me"});
 }
 
-TEST_CASE("of two processes that claim one id the later holds it; the other says so and takes it back when it is gone") {
+TEST_CASE(
+    "of two processes that claim one id the later holds it; the other says so and takes it back when it is "
+    "gone") {
     Alone a;
     a.hear(update("me", 9, MemberState::alive, 0, 500));
     CHECK(a.view.is_displaced());
@@ -249,7 +280,8 @@
 
 TEST_CASE("a process that stood still accuses nobody for what it missed") {
     Alone a(quick());
-    for (std::uint32_t n = 2; n < 9; ++n) a.hear(update("n" + std::to_string(n), n));
+    for (std::uint32_t n = 2; n < 9; ++n)
+        a.hear(update("n" + std::to_string(n), n));
     a.pass(ms(300));
     a.hear(update("n8", 8, MemberState::suspect));
     a.now += ms(20'000);
@@ -273,21 +305,25 @@
     r.max_members = 10;
     r.departed_retention = ms(2'000);
     Alone a(r);
-    for (std::uint32_t n = 2; n < 40; ++n) a.hear(update("n" + std::to_string(n), n));
+    for (std::uint32_t n = 2; n < 40; ++n)
+        a.hear(update("n" + std::to_string(n), n));
     CHECK(a.view.live_count() == 10);
     CHECK(a.view.counters().rejected_at_capacity > 0);
-    for (std::uint32_t n = 2; n < 40; ++n) a.hear(update("n" + std::to_string(n), n, MemberState::left));
+    for (std::uint32_t n = 2; n < 40; ++n)
+        a.hear(update("n" + std::to_string(n), n, MemberState::left));
     a.pass(ms(4'000));
     CHECK(a.view.counters().forgotten >= 9);
     const std::size_t names = a.names.size();
-    for (std::uint32_t n = 50; n < 58; ++n) a.hear(update("n" + std::to_string(n), n));
+    for (std::uint32_t n = 50; n < 58; ++n)
+        a.hear(update("n" + std::to_string(n), n));
     CHECK(a.view.state_of("n57") == MemberState::alive);
     CHECK(a.names.size() == names);  // their numbers are used again
 }
 
 TEST_CASE("an emulated fleet that starts at once agrees, though its only seed came last") {
     Fleet f(60, quick(), {}, 3);
-    for (int i = 1; i < 60; ++i) f.start({59});
+    for (int i = 1; i < 60; ++i)
+        f.start({59});
     f.run(f.now() + ms(1'000));
     f.start({});
     CHECK(f.run(f.now() + ms(8'000), ms(50), [&] { return f.agreed(); }));
@@ -332,7 +368,8 @@
     f.cut([](std::size_t from, std::size_t) { return from == 3; });
     CHECK(f.run(f.now() + ms(8'000), ms(50), [&] {
         for (std::size_t i = 0; i < 30; ++i)
-            if (i != 3 && f.view(i).state_of("n3") != MemberState::dead) return false;
+            if (i != 3 && f.view(i).state_of("n3") != MemberState::dead)
+                return false;
         return true;
     }));
     f.cut({});
--- a/tests/cressledge/platform_test.cpp
+++ b/tests/cressledge/platform_test.cpp
@@ -2,8 +2,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "platform/platform_node.hpp"
 #include "frontend_fixture.hpp"
+#include "platform/platform_node.hpp"
 
 namespace {
 
@@ -16,7 +16,8 @@
     int tries = 0;
 
     // A node's configuration with these peers.
-    static config::NodeConfig configuration(const ListeningPeer& engine, const ListeningPeer& records, const ListeningPeer& lookup) {
+    static config::NodeConfig configuration(const ListeningPeer& engine, const ListeningPeer& records,
+                                            const ListeningPeer& lookup) {
         config::NodeConfig c;
         c.name = "n3";
         c.listen_address = "127.0.0.1:0";
@@ -26,7 +27,8 @@
         c.policy_settings = test_settings();
         return c;
     }
-    explicit Site(Duration stop = Duration(3'000'000), bool up = true, bool control = false, int inherited = -1) {
+    explicit Site(Duration stop = Duration(3'000'000), bool up = true, bool control = false,
+                  int inherited = -1) {
         cressledge::policy::Settings s = test_settings();
         config::NodeConfig c = configuration(engine, records, lookup);
         c.stop_delay = stop;
@@ -44,18 +46,21 @@
         node = std::make_unique<platform::PlatformNode>(w.loop, w.timers, c);
         node->start();
         w.run_until([&] { return engine.has_received("ATTACH 0\r\n"); });
-        if (up) hello();
+        if (up)
+            hello();
     }
     void hello() {  // and the first gauges, which tell that nothing was missed
         engine.latest_peer().send("HELLO LOADED 5\r\n");
         w.run_until([&] { return engine.has_received("STAT s"); });
         engine.latest_peer().take_through("STAT ");
         w.run_until([&] { return engine.has_received("\r\n"); });
-        engine.latest_peer().send("STATS " + word(engine.latest_peer().take_through("\r\n"), 0) + " 0.1 0 0.1 3\r\n");
+        engine.latest_peer().send("STATS " + word(engine.latest_peer().take_through("\r\n"), 0) +
+                                  " 0.1 0 0.1 3\r\n");
     }
     static std::string word(const std::string& line, std::size_t n) {
         std::size_t at = 0;
-        for (; n > 0; --n) at = line.find(' ', at) + 1;
+        for (; n > 0; --n)
+            at = line.find(' ', at) + 1;
         return line.substr(at, line.find_first_of(" \r", at) - at);
     }
     static std::string id(int n) {
@@ -79,7 +84,8 @@
     std::string figure(const std::string& name) {
         const std::string all = control("/v1/metrics"), at = "\n" + name + '=';
         const std::size_t from = all.find(at);
-        if (from == std::string::npos) return "absent";
+        if (from == std::string::npos)
+            return "absent";
         return all.substr(from + at.size(), all.find('\n', from + at.size()) - from - at.size());
     }
     // Asks, and sees the run come to the engine. The request's id.
@@ -87,8 +93,8 @@
         caller.send(request(kind, body));
         const std::string name = id(tries);
         w.run_until([&] {
-            return engine.has_received("RUN " + name + ' ' + kind + ' ' + std::to_string(body.size()) + "\r\n" + body +
-                              "\r\n");
+            return engine.has_received("RUN " + name + ' ' + kind + ' ' + std::to_string(body.size()) +
+                                       "\r\n" + body + "\r\n");
         });
         return name;
     }
@@ -106,8 +112,11 @@
     const std::string name = s.ask(*c, "trail-sheet", body);
     const std::string call = binary_literal("que\r\nry"), reply = binary_literal("a\0\r\nb");
     s.engine.latest_peer().send("NEED 1 " + name + " 7\r\n" + call + "\r\n");
-    s.w.run_until([&] { return s.records.has_received("OP " + name) && s.records.has_received(" 7\r\n" + call + "\r\n"); });
-    s.records.latest_peer().send("ffffffffffffffff WAIT\r\n" + name + " DO");  // another's reply, and a split one
+    s.w.run_until([&] {
+        return s.records.has_received("OP " + name) && s.records.has_received(" 7\r\n" + call + "\r\n");
+    });
+    s.records.latest_peer().send("ffffffffffffffff WAIT\r\n" + name +
+                                 " DO");  // another's reply, and a split one
     s.records.latest_peer().send("NE 5\r\n" + reply + "\r\n");
     s.w.run_until([&] { return s.engine.has_received("FEED " + name + " 5\r\n" + reply + "\r\n"); });
     s.engine.latest_peer().send("DONE 2 " + name + " PASS 12.5 10\r\n" + result + "\r\n");
@@ -181,7 +190,8 @@
     CHECK_FALSE(s.engine.has_received("RUN "));  // not before all that was missed has been told
     s.engine.latest_peer().take_through("STAT ");
     s.w.run_until([&] { return s.engine.has_received("\r\n"); });
-    s.engine.latest_peer().send("STATS " + Site::word(s.engine.latest_peer().take_through("\r\n"), 0) + " 0 0 0 0\r\n");
+    s.engine.latest_peer().send("STATS " + Site::word(s.engine.latest_peer().take_through("\r\n"), 0) +
+                                " 0 0 0 0\r\n");
     s.w.run_until([&] { return s.engine.has_received("RUN " + two + " route-profile 1\r\ny\r\n"); });
     CHECK_FALSE(s.engine.has_received("RUN " + one));
     s.engine.latest_peer().send("DONE 3 " + two + " PASS 1 3\r\ntwo\r\n");
@@ -196,7 +206,8 @@
     s.w.run_until([&] { return s.records.peers.size() == 2 && s.records.has_received("q\r\n"); });
     s.records.peers[0]->send(one + " DONE 1\r\na\r\n");
     s.records.peers[1]->send(two + " DONE 1\r\nb\r\n");
-    s.w.run_until([&] { return s.engine.has_received("FEED " + one) && s.engine.has_received("FEED " + two); });
+    s.w.run_until(
+        [&] { return s.engine.has_received("FEED " + one) && s.engine.has_received("FEED " + two); });
     s.engine.latest_peer().close();
     s.w.run_until([&] { return s.engine.peers.size() == 2 && s.engine.has_received("ATTACH 2\r\n"); });
     s.hello();
@@ -275,7 +286,8 @@
         const std::string one = s.ask(*a, "map-order", "x"), two = s.ask(*b, "map-order", "y");
         s.engine.latest_peer().send("NEED 1 " + one + " 1\r\np\r\nNEED 2 " + two + " 1\r\nq\r\n");
         s.w.run_until([&] {
-            return s.records.peers.size() == 2 && s.records.peers[0]->has_received("p\r\n") && s.records.has_received("q\r\n");
+            return s.records.peers.size() == 2 && s.records.peers[0]->has_received("p\r\n") &&
+                   s.records.has_received("q\r\n");
         });
         s.records.peers[0]->send(reply[0] == '%' ? std::string(2000, '%') : one + reply);
         s.get(*a, "HTTP/1.1 500");
@@ -313,7 +325,8 @@
     s.w.run_until([&] { return s.records.peers.size() == 2 && s.records.has_received("q\r\n"); });
     s.records.latest_peer().send(two + " DONE 1\r\nb\r\n");
     s.w.run_until([&] { return s.engine.has_received("FEED " + two + " 1\r\nb\r\n"); });
-    s.engine.latest_peer().send("NEED 3 " + two + " 1\r\nr\r\n");  // its connection stands, and is not used for it
+    s.engine.latest_peer().send("NEED 3 " + two +
+                                " 1\r\nr\r\n");  // its connection stands, and is not used for it
     s.w.run_until([&] { return s.records.peers.size() == 3 && s.records.has_received("r\r\n"); });
     s.records.peers[1]->send(two + " DONE 1\r\nb\r\n");
     s.records.latest_peer().send(two + " DONE 1\r\nc\r\n");
@@ -326,10 +339,12 @@
     TemporaryDirectory f;
     ListeningPeer engine(s.w.loop), records(s.w.loop), lookup(s.w.loop);
     const auto file = [&](const std::string& e, const std::string& listen) {
-        return f.write_file("c.json", R"({"name":"n3","seed":"7","stop_ms":3000,"settings":{"classes":[{"name":"map-order","deadline":4000}],"domain":{
+        return f.write_file(
+            "c.json",
+            R"({"name":"n3","seed":"7","stop_ms":3000,"settings":{"classes":[{"name":"map-order","deadline":4000}],"domain":{
             "cores":4,"memory-kb":80000}},"listen":")" +
-                                     listen + R"(","engine":")" + e + R"(","records":")" + records.address() +
-                                     R"(","lookup":")" + lookup.address() + "\"}");
+                listen + R"(","engine":")" + e + R"(","records":")" + records.address() + R"(","lookup":")" +
+                lookup.address() + "\"}");
     };
     auto c = s.caller(), d = s.caller();
     const std::string one = s.ask(*c, "map-order", "x"), two = s.ask(*d, "map-order", "y");
@@ -347,7 +362,8 @@
     const std::string good = file(engine.address(), "127.0.0.1:0");
     s.node->reload(good);
     s.node->reload(good);  // again, while the dials are open
-    s.w.run_until([&] { return engine.has_received("ATTACH 1\r\n") && lookup.has_received("{\"mode\":\"open\"}"); });
+    s.w.run_until(
+        [&] { return engine.has_received("ATTACH 1\r\n") && lookup.has_received("{\"mode\":\"open\"}"); });
     s.w.run_until([&] { return s.engine.latest_peer().is_closed; });
     engine.latest_peer().send("HELLO LOADED 9\r\nNEED 2 " + two + " 1\r\nq\r\n");
     s.w.run_until([&] { return records.has_received("OP " + two); });
@@ -355,7 +371,8 @@
     s.w.run_until([&] { return s.records.latest_peer().is_closed && engine.has_received("STAT s"); });
     engine.latest_peer().take_through("STAT ");
     s.w.run_until([&] { return engine.has_received("\r\n"); });
-    engine.latest_peer().send("STATS " + Site::word(engine.latest_peer().take_through("\r\n"), 0) + " 0 0 0 0\r\n");
+    engine.latest_peer().send("STATS " + Site::word(engine.latest_peer().take_through("\r\n"), 0) +
+                              " 0 0 0 0\r\n");
     s.w.run_until([&] { return engine.has_received("FEED " + one + " 1\r\na\r\n"); });
     CHECK(engine.peers.size() == 1);
     CHECK(s.records.peers.size() == 1);
@@ -370,7 +387,8 @@
     s.lookup.latest_peer().send("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
     s.w.run_until([&] { return s.lookup.has_received(report); });
     s.lookup.latest_peer().close();
-    s.w.run_until([&] { return s.lookup.peers.size() == 2 && s.lookup.has_received(report); });  // and gets no answer
+    s.w.run_until(
+        [&] { return s.lookup.peers.size() == 2 && s.lookup.has_received(report); });  // and gets no answer
     s.w.run_until([&] { return s.lookup.peers.size() == 3 && s.lookup.has_received(report); });
     CHECK(wall_clock_now() - from < Duration(3'000'000));
 }
@@ -394,10 +412,12 @@
     late->send("GET /healthz HTTP/1.1\r\n\r\n");
     s.get(*late, "200 OK");
     s.w.run_until([&] { return all[2]->is_closed; });
-    for (const int open : {0, 1, 3, 11}) CHECK_FALSE(all[static_cast<std::size_t>(open)]->is_closed);
+    for (const int open : {0, 1, 3, 11})
+        CHECK_FALSE(all[static_cast<std::size_t>(open)]->is_closed);
     // Silent ones by the dozen: they go before the callers that rest, once a usual caller would have asked.
     std::vector<std::unique_ptr<StreamPeer>> silent;
-    for (int i = 0; i < 9; ++i) silent.push_back(s.caller());
+    for (int i = 0; i < 9; ++i)
+        silent.push_back(s.caller());
     bool waited = false;
     s.w.timers.schedule(wall_clock_now() + Duration(400'000), [&] { waited = true; });
     s.w.run_until([&] { return waited; });
@@ -429,7 +449,8 @@
     s.get(*large, "HTTP/1.1 413");
     const std::string part(200'000, 'x');
     while (!large->is_closed && wall_clock_now() - from < Duration(6'000'000)) {  // it goes on all the same
-        if (large->stream != nullptr) large->stream->write(part);
+        if (large->stream != nullptr)
+            large->stream->write(part);
         s.w.loop.run_once(false);
     }
     CHECK(large->is_closed);
@@ -531,7 +552,8 @@
     std::vector<std::unique_ptr<StreamPeer>> callers;
     for (int n = 0; n < 80; ++n) {  // more than the table holds, each with a request that the engine holds
         callers.push_back(s.caller());
-        if (callers.back()->is_open) callers.back()->send(s.request("trail-sheet", "held"));
+        if (callers.back()->is_open)
+            callers.back()->send(s.request("trail-sheet", "held"));
     }
     s.w.run_until([&] { return s.figure("node.active") != "0"; });
     for (int n = 0; n < 5; ++n) {
@@ -541,7 +563,9 @@
     }
 }
 
-TEST_CASE("idle clients fill the descriptors while the directory is down: all other links are still made, and reports resume") {
+TEST_CASE(
+    "idle clients fill the descriptors while the directory is down: all other links are still made, and "
+    "reports resume") {
     Site s(Duration(3'000'000), true, true);
     s.w.run_until([&] { return s.lookup.has_received("PUT /dir/nodes/n3"); });
     const int directory = s.lookup.port();
@@ -550,13 +574,16 @@
     std::vector<std::unique_ptr<RawClient>> idle;
     for (int n = 0; n < 120; ++n) {  // twice what the process may hold; a third of them with half a line
         idle.push_back(std::make_unique<RawClient>(s.node->http_port()));
-        if (n % 3 == 0) idle.back()->try_send("POST /v1/trail-sheet HTTP/1.1\r\nTrace-");
+        if (n % 3 == 0)
+            idle.back()->try_send("POST /v1/trail-sheet HTTP/1.1\r\nTrace-");
     }
-    for (int i = 0; i < 50; ++i) s.w.loop.run_once(false);
+    for (int i = 0; i < 50; ++i)
+        s.w.loop.run_once(false);
     // The engine: its link breaks, and is made anew.
     const std::size_t links = s.engine.peers.size();
     s.engine.latest_peer().close();
-    s.w.run_until([&] { return s.engine.peers.size() > links && s.engine.latest_peer().has_received("ATTACH "); });
+    s.w.run_until(
+        [&] { return s.engine.peers.size() > links && s.engine.latest_peer().has_received("ATTACH "); });
     s.hello();
     // A caller, and the records service: the call has a connection of its own.
     auto caller = s.caller();
@@ -570,21 +597,25 @@
     // The control address; then the directory is back, and hears at once again.
     CHECK(s.control("/v1/readyz").rfind("HTTP/1.1 200 OK", 0) == 0);
     s.lookup.listen(s.w.loop, directory);
-    s.w.run_until([&] { return s.lookup.has_received("PUT /dir/nodes/n3") && s.lookup.has_received("\"open\""); });
+    s.w.run_until(
+        [&] { return s.lookup.has_received("PUT /dir/nodes/n3") && s.lookup.has_received("\"open\""); });
 }
 
-TEST_CASE("a retune takes new classes for new requests, open ones keep theirs, and a bad file changes nothing") {
+TEST_CASE(
+    "a retune takes new classes for new requests, open ones keep theirs, and a bad file changes nothing") {
     Site s(Duration(3'000'000), true, true);
     TemporaryDirectory f;
     const auto file = [&](const std::string& name, const std::string& classes) {
-        return f.write_file(name, R"({"name":"n3","seed":"7","stop_ms":3000,"listen":"127.0.0.1:0","engine":")" +
-                                 s.engine.address() + R"(","records":")" + s.records.address() + R"(","lookup":")" +
-                                 s.lookup.address() + R"(","settings":{"classes":[)" + classes +
-                                 R"(],"domain":{"cores":4,"memory-kb":80000}}})");
+        return f.write_file(
+            name, R"({"name":"n3","seed":"7","stop_ms":3000,"listen":"127.0.0.1:0","engine":")" +
+                      s.engine.address() + R"(","records":")" + s.records.address() + R"(","lookup":")" +
+                      s.lookup.address() + R"(","settings":{"classes":[)" + classes +
+                      R"(],"domain":{"cores":4,"memory-kb":80000}}})");
     };
     auto c = s.caller(), d = s.caller();
     const std::string open = s.ask(*c, "map-order", "before");  // runs across the retune
-    const std::string retuned = file("a.json", R"({"name":"map-order","effect":"single_shot","deadline":12000},
+    const std::string retuned =
+        file("a.json", R"({"name":"map-order","effect":"single_shot","deadline":12000},
         {"name":"trail-sheet-ii","effect":"free","deadline":4000,"importance":3})");
     s.node->reload(retuned);
     CHECK(s.node->generation_count() == 2);
@@ -595,7 +626,8 @@
     d->take_through("\r\n\r\nn");
     s.engine.latest_peer().send("DONE 2 " + open + " PASS 1 1\r\no\r\n");  // its old generation answers it
     s.get(*c, "\r\n\r\no");
-    s.w.run_until([&] { return s.node->generation_count() == 1; });  // the old one goes once nothing is open there
+    s.w.run_until(
+        [&] { return s.node->generation_count() == 1; });  // the old one goes once nothing is open there
     CHECK(s.figure("node.responses.trail-sheet-ii.ok") == "1");
     CHECK(s.figure("node.responses.map-order.ok") == "1");
 
@@ -606,7 +638,8 @@
 
     for (const std::string& bad :
          {file("b.json", R"({"name":"x","deadline":0})"), file("c.json", R"({"name":"x","deadline":"soon"})"),
-          file("d.json", R"({"name":"x"})"), f.write_file("e.json", ""), f.write_file("g.json", "{\"name\":\"n3\",\"se")}) {
+          file("d.json", R"({"name":"x"})"), f.write_file("e.json", ""),
+          f.write_file("g.json", "{\"name\":\"n3\",\"se")}) {
         take_log();
         s.node->reload(bad);
         CHECK(take_log().find("configuration: the old one stays in force: ") != std::string::npos);
@@ -629,7 +662,9 @@
     const int port = old.node->http_port();
     const auto answers = [](const StreamPeer& p) {
         std::size_t n = 0;
-        for (std::size_t at = p.received.find("HTTP/1.1 "); at != std::string::npos; at = p.received.find("HTTP/1.1 ", at + 1)) ++n;
+        for (std::size_t at = p.received.find("HTTP/1.1 "); at != std::string::npos;
+             at = p.received.find("HTTP/1.1 ", at + 1))
+            ++n;
         return n;
     };
     std::vector<std::unique_ptr<StreamPeer>> before;
@@ -652,7 +687,8 @@
     old.w.run_until([&] { return engine.has_received("STAT s"); });
     engine.latest_peer().take_through("STAT ");
     old.w.run_until([&] { return engine.has_received("\r\n"); });
-    engine.latest_peer().send("STATS " + Site::word(engine.latest_peer().take_through("\r\n"), 0) + " 0.1 0 0.1 3\r\n");
+    engine.latest_peer().send("STATS " + Site::word(engine.latest_peer().take_through("\r\n"), 0) +
+                              " 0.1 0 0.1 3\r\n");
     old.w.run_until([&] { return next.is_ready(); });
 
     // A caller whose connection is in the backlog, unaccepted, at the notice to leave.
@@ -669,7 +705,8 @@
 
     // What the old one read, it answers, each once, and closes.
     for (std::size_t n = 0; n < names.size(); ++n)
-        old.engine.latest_peer().send("DONE " + std::to_string(n + 1) + ' ' + names[n] + " PASS 1 1\r\nx\r\n");
+        old.engine.latest_peer().send("DONE " + std::to_string(n + 1) + ' ' + names[n] +
+                                      " PASS 1 1\r\nx\r\n");
     for (auto& p : before) {
         old.w.run_until([&] { return p->is_closed; });
         CHECK(answers(*p) == 1);
@@ -694,8 +731,10 @@
     while (got.find("\r\n\r\nq") == std::string::npos && wall_clock_now() < end) {
         old.w.loop.run_once(false);
         const ssize_t n = ::recv(waiting, buffer, sizeof buffer, MSG_DONTWAIT);
-        if (n > 0) got.append(buffer, static_cast<std::size_t>(n));
-        if (n == 0) break;
+        if (n > 0)
+            got.append(buffer, static_cast<std::size_t>(n));
+        if (n == 0)
+            break;
     }
     CHECK(got.rfind("HTTP/1.1 200", 0) == 0);
     ::close(waiting);
--- a/tests/cressledge/protocol_parity_test.cpp
+++ b/tests/cressledge/protocol_parity_test.cpp
@@ -31,7 +31,8 @@
         const bool late =
             ms > leave_ms + 2'000;  // past the grace of the drain: orders only, none of which may run
         const int per_second = !late && (ms < 2'500 || ms > 8'500) ? 9 : 26;
-        if (below(1'000 / step_ms) >= per_second) continue;
+        if (below(1'000 / step_ms) >= per_second)
+            continue;
         const int dice = below(100);
         ScriptedRequest a;
         a.send_at = Timestamp(ms * 1000);
@@ -43,7 +44,8 @@
     return all;
 }
 
-struct FakeMultiCoreUpstream {  // four cores, shared by all that is in hand; answers when the script's clock says so
+struct
+    FakeMultiCoreUpstream {  // four cores, shared by all that is in hand; answers when the script's clock says so
     struct Job {
         std::unique_ptr<StreamPeer> peer;
         double left_ms = -1.0;  // below 0: the call is not whole yet
@@ -64,10 +66,13 @@
             p.stream = net::Stream::accept(*listener, p);
         });
     }
-    void read_calls() {  // takes in the calls that have come whole: their body is the work, and ends in a stop
+    void
+    read_calls() {  // takes in the calls that have come whole: their body is the work, and ends in a stop
         for (auto& j : jobs) {
-            if (j->left_ms >= 0.0 || j->peer->received.empty() || j->peer->received.back() != '.') continue;
-            const std::size_t from = uses_scgi ? j->peer->received.rfind(',') + 1 : j->peer->received.rfind('\n') + 1;
+            if (j->left_ms >= 0.0 || j->peer->received.empty() || j->peer->received.back() != '.')
+                continue;
+            const std::size_t from =
+                uses_scgi ? j->peer->received.rfind(',') + 1 : j->peer->received.rfind('\n') + 1;
             j->body = j->peer->received.substr(from);
             j->left_ms = std::stod(j->body);
             ++received;
@@ -81,9 +86,11 @@
     void advance(double ms) {
         const double share = std::min(1.0, 4.0 / std::max(1.0, static_cast<double>(open())));
         for (auto& j : jobs) {
-            if (j->left_ms < 0.0 || j->done || j->peer->is_closed) continue;
+            if (j->left_ms < 0.0 || j->done || j->peer->is_closed)
+                continue;
             j->left_ms = std::max(0.0, j->left_ms - ms * share);
-            if (j->left_ms > 0.0) continue;
+            if (j->left_ms > 0.0)
+                continue;
             j->done = true;
             const std::string result = "map of " + j->body;
             const std::string start = uses_scgi ? "Status: 200 OK\r\n" : "HTTP/1.1 200 OK\r\n";
@@ -101,7 +108,8 @@
     int count(const std::string& outcome) const {
         int n = 0;
         for (const auto& [what, times] : finals)
-            if (what.find(outcome) != std::string::npos) n += times;
+            if (what.find(outcome) != std::string::npos)
+                n += times;
         return n;
     }
 };
@@ -126,11 +134,13 @@
 
     explicit ProtocolRun(bool over_scgi) : upstream_server(test_loop, over_scgi), uses_scgi(over_scgi) {
         config::OperatorConfig o;
-        o.inventory_path = directory.write_file("s.csv", "name,address,protocol,group\nstand-in,127.0.0.1:" +
-                                                std::to_string(upstream_server.listener->port()) + ',' +
-                                                (uses_scgi ? "scgi" : "http") + ",all\n");
+        o.inventory_path =
+            directory.write_file("s.csv", "name,address,protocol,group\nstand-in,127.0.0.1:" +
+                                              std::to_string(upstream_server.listener->port()) + ',' +
+                                              (uses_scgi ? "scgi" : "http") + ",all\n");
         o.policy_settings = test_settings();
-        for (auto& c : o.policy_settings.classes) c.late_priority_weight = c.priority_weight < 5 ? 0.2 : 0.0;
+        for (auto& c : o.policy_settings.classes)
+            c.late_priority_weight = c.priority_weight < 5 ? 0.2 : 0.0;
         (uses_scgi ? o.scgi_address : o.http_address) = "127.0.0.1:0";
         gateway = std::make_unique<upstream::UpstreamGateway>(test_loop.loop, timers, clock, o, 11);
     }
@@ -142,26 +152,31 @@
                 upstream_server.read_calls();
                 take_answers();
                 const bool due = timers.next_due() && *timers.next_due() <= clock.now;
-                return !due && answer_count == n.served + n.rejected + n.failed && cancelled_count == n.cancelled &&
-                       upstream_server.received == n.runs_started && upstream_server.open() == n.runs_started - n.runs_finished;
+                return !due && answer_count == n.served + n.rejected + n.failed &&
+                       cancelled_count == n.cancelled && upstream_server.received == n.runs_started &&
+                       upstream_server.open() == n.runs_started - n.runs_finished;
             },
             false);
     }
     void take_answers() {
         for (Client& c : clients) {
-            if (c.is_done || !c.peer) continue;
+            if (c.is_done || !c.peer)
+                continue;
             const std::size_t head = c.peer->received.find("\r\n\r\n");
-            if (head == std::string::npos || (uses_scgi && !c.peer->is_closed)) continue;
+            if (head == std::string::npos || (uses_scgi && !c.peer->is_closed))
+                continue;
             const std::string result = c.peer->received.substr(head + 4), wanted = "map of " + c.body;
             const std::string status = c.peer->received.substr(uses_scgi ? 8 : 9, 3);
-            if (status == "200" && result.size() < wanted.size()) continue;
+            if (status == "200" && result.size() < wanted.size())
+                continue;
             c.is_done = true;
             ++answer_count;
             const auto& k = gateway->request_manager().settings().classes[c.asked.class_index];
             const Duration took = clock.now - start - c.asked.send_at;
             if (status == "200") {
                 figures.odd_results += result != wanted;
-                figures.earned += k.priority_weight * (took <= k.latency_objective ? 1.0 : k.late_priority_weight);
+                figures.earned +=
+                    k.priority_weight * (took <= k.latency_objective ? 1.0 : k.late_priority_weight);
             }
             const bool late = c.asked.send_at > Timestamp((leave_ms + 2'000) * 1000);
             figures.late_orders += late;
@@ -177,7 +192,8 @@
         c.body = std::to_string(a.work_ms) + '.';
         figures.asked += gateway->request_manager().settings().classes[a.class_index].priority_weight;
         c.peer = connect_peer(test_loop, uses_scgi ? gateway->scgi_port() : gateway->http_port());
-        const std::string path = std::string("/v1/") + kinds[a.class_index], length = std::to_string(c.body.size());
+        const std::string path = std::string("/v1/") + kinds[a.class_index],
+                          length = std::to_string(c.body.size());
         if (uses_scgi) {
             std::string head = binary_literal("CONTENT_LENGTH\0");
             head += length +
@@ -201,10 +217,13 @@
             clock.now = start + Duration(ms * 1000);
             upstream_server.advance(step_ms);
             settle();
-            if (ms == leave_ms) gateway->begin_graceful_shutdown();
-            for (; next < script.size() && script[next].send_at <= Timestamp(ms * 1000); ++next) send_request(script[next]);
+            if (ms == leave_ms)
+                gateway->begin_graceful_shutdown();
+            for (; next < script.size() && script[next].send_at <= Timestamp(ms * 1000); ++next)
+                send_request(script[next]);
             for (Client& c : clients) {
-                if (c.is_done || clock.now - start < c.asked.send_at + c.asked.caller_timeout) continue;
+                if (c.is_done || clock.now - start < c.asked.send_at + c.asked.caller_timeout)
+                    continue;
                 c.is_done = true;
                 ++cancelled_count;
                 ++figures.finals[std::string(kinds[c.asked.class_index]) + " gone"];
--- a/tests/cressledge/request_manager_test.cpp
+++ b/tests/cressledge/request_manager_test.cpp
@@ -1,12 +1,13 @@
 // The core without a wire: a scripted controller, executor and records client, and a clock set by hand.
 #include "request/request_manager.hpp"
+
 #include "support.hpp"
 
 namespace {
 
 using namespace cressledge::testing;
-using request::RunResult, request::ResponseStatus;
 using cressledge::policy::Action, cressledge::policy::Event, cressledge::policy::Outcome;
+using request::RunResult, request::ResponseStatus;
 
 struct Script final : cressledge::policy::AdmissionController {
     std::vector<Event> seen;
@@ -15,12 +16,14 @@
     void handle(Timestamp now, const Event& e, std::vector<Action>& out) override {
         seen.push_back(e);
         times.push_back(now);
-        if (then) then(e, out);
+        if (then)
+            then(e, out);
     }
     template <class T>
     std::size_t count() const {
         std::size_t n = 0;
-        for (const Event& e : seen) n += std::holds_alternative<T>(e);
+        for (const Event& e : seen)
+            n += std::holds_alternative<T>(e);
         return n;
     }
     template <class T>
@@ -28,12 +31,16 @@
         REQUIRE(count<T>() > 0);
         T found;
         for (const Event& e : seen)
-            if (const T* t = std::get_if<T>(&e)) found = *t;
+            if (const T* t = std::get_if<T>(&e))
+                found = *t;
         return found;
     }
 };
 
-struct Bench : request::Responder, request::Executor, request::DependencyClient, request::ConnectionSettingsSink {
+struct Bench : request::Responder,
+               request::Executor,
+               request::DependencyClient,
+               request::ConnectionSettingsSink {
     ManualClock clock;
     base::TimerQueue timers;
     Script* script = new Script;
@@ -44,16 +51,23 @@
     std::uint64_t tag = 0;
 
     explicit Bench(cressledge::policy::Settings s = test_settings())
-        : server(std::move(s), std::unique_ptr<cressledge::policy::AdmissionController>(script), clock, timers) {
+        : server(std::move(s), std::unique_ptr<cressledge::policy::AdmissionController>(script), clock,
+                 timers) {
         server.attach(*this, *this, *this);
         server.start(clock.now);
     }
-    void respond(std::uint64_t, const request::Response& a) override { answers.emplace_back(a.status, a.body); }
+    void respond(std::uint64_t, const request::Response& a) override {
+        answers.emplace_back(a.status, a.body);
+    }
     void run(const request::Work& w) override { did.push_back("run " + std::string(w.external_id)); }
     void suspend(request::RequestId) override { did.push_back("halt"); }
     void resume(request::RequestId) override { did.push_back("resume"); }
-    void deliver_call_reply(request::RequestId, std::string_view r) override { did.push_back("feed " + std::string(r)); }
-    void skip_call(request::RequestId, std::uint64_t n) override { did.push_back("skip " + std::to_string(n)); }
+    void deliver_call_reply(request::RequestId, std::string_view r) override {
+        did.push_back("feed " + std::string(r));
+    }
+    void skip_call(request::RequestId, std::uint64_t n) override {
+        did.push_back("skip " + std::to_string(n));
+    }
     bool request_gauges(std::uint64_t t) override { return tag = t, gauges; }
     bool request_health_check(std::uint64_t t) override { return tag = t, true; }
     void release(request::RequestId) override { did.push_back("release"); }
@@ -83,7 +97,8 @@
     template <class E>
     void on(std::function<std::vector<Action>(const E&)> what) {
         script->then = [what](const Event& e, std::vector<Action>& out) {
-            if (const E* mine = std::get_if<E>(&e)) out = what(*mine);
+            if (const E* mine = std::get_if<E>(&e))
+                out = what(*mine);
         };
     }
     void act(std::vector<Action> actions) {  // lets the controller do this, on a timer of its own
@@ -129,7 +144,8 @@
 
 TEST_CASE("an answer goes out once, and a request that ran is never refused") {
     Bench b;
-    b.on<cressledge::policy::RequestArrived>([](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
+    b.on<cressledge::policy::RequestArrived>(
+        [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
     const auto no = b.arrive();
     CHECK(b.script->last<cressledge::policy::RequestArrived>().age == Duration(5000));
     b.act({cressledge::policy::Reject{no, Duration(0), true}});
@@ -148,7 +164,8 @@
                                          {Outcome::timeout, 1U},
                                          {Outcome::reset, 1U}}) {
         Bench b;
-        b.on<cressledge::policy::RequestArrived>([](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
+        b.on<cressledge::policy::RequestArrived>(
+            [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
         const auto no = b.arrive(2);
         b.on<cressledge::policy::DependencyCallRequested>([](const auto& n) {
             return std::vector<Action>{cressledge::policy::CallDependency{n.id, Duration(0)}};
@@ -166,7 +183,8 @@
 
 TEST_CASE("a call that outlasts its deadline is given up and told as timed out") {
     Bench b;
-    b.on<cressledge::policy::RequestArrived>([](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
+    b.on<cressledge::policy::RequestArrived>(
+        [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
     const auto no = b.arrive();
     b.on<cressledge::policy::DependencyCallRequested>([](const auto& n) {
         return std::vector<Action>{cressledge::policy::CallDependency{n.id, Duration(50'000)}};
@@ -185,7 +203,8 @@
     auto s = test_settings();
     s.preemption = cressledge::policy::Preemption::pause;
     Bench b(s);
-    b.on<cressledge::policy::RequestArrived>([](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
+    b.on<cressledge::policy::RequestArrived>(
+        [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
     const auto no = b.arrive();
     b.act({cressledge::policy::Suspend{no}});
     b.server.run_finished(no, RunResult::killed, {});
@@ -199,7 +218,8 @@
 
 TEST_CASE("a request that came to nothing is still answered") {
     Bench b;
-    b.on<cressledge::policy::RequestArrived>([](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
+    b.on<cressledge::policy::RequestArrived>(
+        [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
     const auto no = b.arrive();
     b.server.run_finished(no, RunResult::noop, {});
     REQUIRE(b.answers.size() == 1);
@@ -239,9 +259,11 @@
     s.classes[2].idempotency = cressledge::policy::Idempotency::with_key;
     Bench b(s);
     b.on<cressledge::policy::RequestArrived>([](const auto& r) {
-        return std::vector<Action>{cressledge::policy::RetainKey{r.id, Duration(5'000'000)}, cressledge::policy::Run{r.id}};
+        return std::vector<Action>{cressledge::policy::RetainKey{r.id, Duration(5'000'000)},
+                                   cressledge::policy::Run{r.id}};
     });
-    for (std::size_t n = 0; n < 65'536; ++n) b.server.run_finished(b.arrive(2, "k" + std::to_string(n)), RunResult::succeeded, "");
+    for (std::size_t n = 0; n < 65'536; ++n)
+        b.server.run_finished(b.arrive(2, "k" + std::to_string(n)), RunResult::succeeded, "");
     const std::size_t runs = b.did.size();
     b.answers.clear();
     CHECK(b.arrive(2, "one more") == 0);
@@ -259,8 +281,10 @@
     s.result_ttl = Duration(1'000'000);
     Bench b(s);
     b.on<cressledge::policy::RequestArrived>([](const auto& r) {
-        if (r.repeated_id != 0) return std::vector<Action>{cressledge::policy::ReplayResult{r.id}};
-        return std::vector<Action>{cressledge::policy::RetainKey{r.id, Duration(5'000'000)}, cressledge::policy::Run{r.id}};
+        if (r.repeated_id != 0)
+            return std::vector<Action>{cressledge::policy::ReplayResult{r.id}};
+        return std::vector<Action>{cressledge::policy::RetainKey{r.id, Duration(5'000'000)},
+                                   cressledge::policy::Run{r.id}};
     });
     const auto first = b.arrive(0, "k");
     b.arrive(0, "k");
@@ -280,7 +304,8 @@
     const auto held = b.arrive();
     b.server.cancel(held);
     CHECK(b.times("release") == 1);
-    b.on<cressledge::policy::RequestArrived>([](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
+    b.on<cressledge::policy::RequestArrived>(
+        [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
     const auto running = b.arrive();
     b.server.cancel(running);
     CHECK(b.times("release") == 1);
