--- a/tests/cressledge/scgi_test.cpp
+++ b/tests/cressledge/scgi_test.cpp
@@ -22,13 +22,16 @@
         config.request_timeout = whole;
         config.stop_delay = Duration(900'000);
         config.policy_settings = test_settings();
-        gateway = std::make_unique<upstream::UpstreamGateway>(test_loop.loop, test_loop.timers, test_loop.loop, config, 7);
+        gateway = std::make_unique<upstream::UpstreamGateway>(test_loop.loop, test_loop.timers,
+                                                              test_loop.loop, config, 7);
     }
     std::string write_inventory(const std::string& protocol) {
-        return directory.write_file("servers.csv", "name,address,protocol,group\nup," + upstream_server.address() + "," +
-                                               protocol + ",maps\n");
+        return directory.write_file(
+            "servers.csv",
+            "name,address,protocol,group\nup," + upstream_server.address() + "," + protocol + ",maps\n");
     }
-    static std::string scgi_request(const std::string& path, const std::string& body, const std::string& extra_fields = "") {
+    static std::string scgi_request(const std::string& path, const std::string& body,
+                                    const std::string& extra_fields = "") {
         std::string head = binary_literal("CONTENT_LENGTH\0");
         head += std::to_string(body.size()) + '\0' +
                 std::string(
@@ -74,7 +77,8 @@
     auto c = o.send_request(ScgiGatewayFixture::scgi_request("/route-profile", "x"));
     o.test_loop.run_until([&] { return o.upstream_server.has_received("\r\n\r\nx"); });
     CHECK(o.upstream_server.latest_peer().received.rfind("POST /v1/route-profile HTTP/1.1\r\n", 0) == 0);
-    o.upstream_server.latest_peer().send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nmap\r\n0\r\n\r\n");
+    o.upstream_server.latest_peer().send(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nmap\r\n0\r\n\r\n");
     CHECK(o.read_status(*c) == "Status: 200 OK");
     CHECK(c->has_received("\r\n\r\nmap"));
 }
@@ -98,13 +102,13 @@
         "24:SCGI",
         net(start, ';'),
         net(binary_literal("CONTENT_LENGTH\0"
-                  "0\0")),  // no SCGI
+                           "0\0")),  // no SCGI
         net(binary_literal("CONTENT_LENGTH\0"
-                  "x\0SCGI\0"
-                  "1\0")),
+                           "x\0SCGI\0"
+                           "1\0")),
         net(binary_literal("CONTENT_LENGTH\0"
-                  "0\0SCGI\0"
-                  "2\0")),
+                           "0\0SCGI\0"
+                           "2\0")),
         net(start + binary_literal("A\0b\0A\0c\0")),  // a name that comes twice
         net(start + binary_literal("A\0")),  // no value
         net(start + binary_literal("\0b\0")),  // no name
@@ -119,7 +123,8 @@
     CHECK(o.read_status(*large) == "Status: 413 Payload Too Large");
     auto lost = o.send_request(ScgiGatewayFixture::scgi_request("/no-such-class", ""));
     CHECK(o.read_status(*lost) == "Status: 404 Not Found");
-    auto wrong = o.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "", binary_literal("HTTP_TRACE_ID\0zz\0")));
+    auto wrong = o.send_request(
+        ScgiGatewayFixture::scgi_request("/trail-sheet", "", binary_literal("HTTP_TRACE_ID\0zz\0")));
     CHECK(o.read_status(*wrong) == "Status: 400 Bad Request");
     CHECK(stalled->received.empty());
     auto c = o.send_request(good);
@@ -141,11 +146,13 @@
 TEST_CASE("a reset after sending proves nothing: the write fails, and no other server is tried") {
     ScgiGatewayFixture o;
     o.directory.write_file("servers.csv", "name,address,protocol,group\nup," + o.upstream_server.address() +
-                                      ",scgi,maps\nspare," + o.spare_server.address() + ",scgi,maps\n");
+                                              ",scgi,maps\nspare," + o.spare_server.address() +
+                                              ",scgi,maps\n");
     o.gateway->reload();
     auto c = o.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
     const auto both = [&] { return o.upstream_server.peers.size() + o.spare_server.peers.size(); };
-    o.test_loop.run_until([&] { return o.upstream_server.has_received(",pay") || o.spare_server.has_received(",pay"); });
+    o.test_loop.run_until(
+        [&] { return o.upstream_server.has_received(",pay") || o.spare_server.has_received(",pay"); });
     (o.upstream_server.peers.empty() ? o.spare_server : o.upstream_server).latest_peer().close();
     CHECK(o.read_status(*c) == "Status: 502 Bad Gateway");
     CHECK(both() == 1);
@@ -161,11 +168,16 @@
     ~RawServer() { ::close(listener_fd), ::close(connection_fd); }
     bool has_received(const std::string& part) {
         char b[4096];
-        if (connection_fd < 0 && (connection_fd = ::accept4(listener_fd, nullptr, nullptr, SOCK_NONBLOCK)) >= 0) ++calls;
-        for (ssize_t n = 0; connection_fd >= 0 && (n = ::recv(connection_fd, b, sizeof b, 0)) > 0;) received.append(b, static_cast<std::size_t>(n));
+        if (connection_fd < 0 &&
+            (connection_fd = ::accept4(listener_fd, nullptr, nullptr, SOCK_NONBLOCK)) >= 0)
+            ++calls;
+        for (ssize_t n = 0; connection_fd >= 0 && (n = ::recv(connection_fd, b, sizeof b, 0)) > 0;)
+            received.append(b, static_cast<std::size_t>(n));
         return received.find(part) != std::string::npos;
     }
-    void send(const std::string& b) const { REQUIRE(::send(connection_fd, b.data(), b.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(b.size())); }
+    void send(const std::string& b) const {
+        REQUIRE(::send(connection_fd, b.data(), b.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(b.size()));
+    }
     void reset_connection() {
         const linger now{1, 0};
         ::setsockopt(connection_fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -176,18 +188,22 @@
 
 }  // namespace
 
-TEST_CASE("an answer up to the connection's end that a reset cuts off is no answer, and what is unsafe is never called again") {
+TEST_CASE(
+    "an answer up to the connection's end that a reset cuts off is no answer, and what is unsafe is never "
+    "called again") {
     for (const std::string& protocol : {std::string("scgi"), std::string("http")}) {
         ScgiGatewayFixture o;
         RawServer raw;
         const bool scgi = protocol == "scgi";
-        o.directory.write_file("servers.csv", "name,address,protocol,group\nup," + raw.address() + ',' + protocol + ",maps\n");
+        o.directory.write_file(
+            "servers.csv", "name,address,protocol,group\nup," + raw.address() + ',' + protocol + ",maps\n");
         o.gateway->reload();
         auto c = o.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
         o.test_loop.run_until([&] { return raw.has_received(scgi ? ",pay" : "\r\n\r\npay"); }, false);
         raw.send(std::string(scgi ? "Status: 200 OK" : "HTTP/1.1 200 OK") + "\r\n\r\nhalf a rec");
         // The program has read the half before the reset comes: nothing but the reset tells that it is one.
-        for (int i = 0; i < 5; ++i) o.test_loop.loop.run_once(false);
+        for (int i = 0; i < 5; ++i)
+            o.test_loop.loop.run_once(false);
         raw.reset_connection();
         CHECK(o.read_status(*c) == "Status: 502 Bad Gateway");
         CHECK(c->received.find("half") == std::string::npos);
@@ -208,13 +224,15 @@
 TEST_CASE("a refused connection proves that nothing ran: the next server is called") {
     ScgiGatewayFixture o;
     o.directory.write_file("servers.csv", "name,address,protocol,group\nup," + o.upstream_server.address() +
-                                      ",scgi,maps\nspare," + o.spare_server.address() + ",scgi,maps\n");
+                                              ",scgi,maps\nspare," + o.spare_server.address() +
+                                              ",scgi,maps\n");
     o.gateway->reload();
     o.upstream_server.listener->close();
     for (int i = 0; i < 2; ++i) {  // whichever is first in turn
         const std::size_t before = o.spare_server.peers.size();
         auto c = o.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
-        o.test_loop.run_until([&] { return o.spare_server.peers.size() > before && o.spare_server.has_received(",pay"); });
+        o.test_loop.run_until(
+            [&] { return o.spare_server.peers.size() > before && o.spare_server.has_received(",pay"); });
         o.spare_server.latest_peer().send("Status: 200 OK\r\n\r\nreceipt");
         o.spare_server.latest_peer().stream->shut_down_writes();
         CHECK(o.read_status(*c) == "Status: 200 OK");
@@ -241,10 +259,12 @@
     ScgiGatewayFixture o;
     auto late = o.send_request(
         ScgiGatewayFixture::scgi_request("/route-profile", "x",
-                     binary_literal("HTTP_ACCEPTED_AT_MS\0") + std::to_string(wall_clock_now().count() / 1000 - 1000) + '\0'));
+                                         binary_literal("HTTP_ACCEPTED_AT_MS\0") +
+                                             std::to_string(wall_clock_now().count() / 1000 - 1000) + '\0'));
     o.test_loop.run_until([&] { return o.upstream_server.has_received(",x"); });
     auto c = o.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "y"));
-    o.test_loop.run_until([&] { return o.upstream_server.peers.size() == 2 && o.upstream_server.has_received(",y"); });
+    o.test_loop.run_until(
+        [&] { return o.upstream_server.peers.size() == 2 && o.upstream_server.has_received(",y"); });
     c->close();
     o.test_loop.run_until([&] { return o.upstream_server.latest_peer().is_closed; });
     CHECK(o.read_status(*late) == "Status: 504 Gateway Timeout");
@@ -255,9 +275,10 @@
     ScgiGatewayFixture o;
     o.gateway->begin_graceful_shutdown();
     // Accepted before the notice, or within its grace, a write may run; the controller says which.
-    auto c = o.send_request(
-        ScgiGatewayFixture::scgi_request("/map-order", "a",
-                     binary_literal("HTTP_ACCEPTED_AT_MS\0") + std::to_string(wall_clock_now().count() / 1000 - 11'500) + '\0'));
+    auto c = o.send_request(ScgiGatewayFixture::scgi_request(
+        "/map-order", "a",
+        binary_literal("HTTP_ACCEPTED_AT_MS\0") + std::to_string(wall_clock_now().count() / 1000 - 11'500) +
+            '\0'));
     CHECK(o.read_status(*c) == "Status: 503 Service Unavailable");
     CHECK(c->has_received("\r\nRetry-After: 1\r\n"));
     auto h = connect_peer(o.test_loop, o.gateway->http_port());
@@ -286,7 +307,8 @@
     auto thief = o.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "y", id));
     CHECK(o.read_status(*thief) == "Status: 400 Bad Request");
     std::vector<std::unique_ptr<StreamPeer>> silent;
-    for (std::size_t i = 0; i < o.config.admission.max_connections; ++i) silent.push_back(o.client());
+    for (std::size_t i = 0; i < o.config.admission.max_connections; ++i)
+        silent.push_back(o.client());
     o.test_loop.run_until([&] { return silent[0]->is_closed; });
     CHECK_FALSE(c->is_closed);
     auto late = o.send_request(ScgiGatewayFixture::scgi_request("/healthz", ""));
--- a/tests/cressledge/support.hpp
+++ b/tests/cressledge/support.hpp
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "request/request_manager.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
+#include "request/request_manager.hpp"
 
 namespace cressledge::testing {
 
@@ -57,10 +57,13 @@
     ~StreamPeer() override { close(); }
     void on_open() override { is_open = true; }
     void on_bytes(std::string_view b) override { received.append(b); }
-    void on_end(bool connect_failed) override { stream = nullptr, is_closed = true, connect_refused = connect_failed; }
+    void on_end(bool connect_failed) override {
+        stream = nullptr, is_closed = true, connect_refused = connect_failed;
+    }
     void send(std::string_view b) { REQUIRE((stream != nullptr && stream->write(b))); }
     void close() {
-        if (stream != nullptr) std::exchange(stream, nullptr)->close();
+        if (stream != nullptr)
+            std::exchange(stream, nullptr)->close();
     }
     bool has_received(const std::string& part) const { return received.find(part) != std::string::npos; }
     // Takes what stands before and including `part` out of what was read.
@@ -72,7 +75,9 @@
     }
 };
 
-inline net::Address loopback_address(int port) { return *net::Address::parse("127.0.0.1:" + std::to_string(port)); }
+inline net::Address loopback_address(int port) {
+    return *net::Address::parse("127.0.0.1:" + std::to_string(port));
+}
 
 inline std::unique_ptr<StreamPeer> connect_peer(TestLoop& w, int port) {
     auto p = std::make_unique<StreamPeer>();
@@ -94,7 +99,9 @@
     int port() const { return listener->port(); }
     std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
     StreamPeer& latest_peer() { return *peers.back(); }
-    bool has_received(const std::string& part) const { return !peers.empty() && peers.back()->has_received(part); }
+    bool has_received(const std::string& part) const {
+        return !peers.empty() && peers.back()->has_received(part);
+    }
 };
 
 struct TemporaryDirectory {  // files of one test
@@ -104,7 +111,8 @@
         path = mkdtemp(name);
     }
     ~TemporaryDirectory() {
-        for (const std::string& f : files) std::remove(f.c_str());
+        for (const std::string& f : files)
+            std::remove(f.c_str());
         std::remove(path.c_str());
     }
     std::string write_file(const std::string& name, const std::string& text) {
--- a/tests/cressledge/system_call_faults.cpp
+++ b/tests/cressledge/system_call_faults.cpp
@@ -11,7 +11,9 @@
 
 cressledge::testing::Faults* in_force = nullptr;
 
-bool strikes(cressledge::testing::Call call) { return in_force != nullptr && in_force->strikes(call); }
+bool strikes(cressledge::testing::Call call) {
+    return in_force != nullptr && in_force->strikes(call);
+}
 
 template <class F>
 F next(const char* name) {
@@ -44,20 +46,26 @@
 namespace cressledge::testing {
 
 Faults::Faults(std::uint32_t seed) : random_(seed) {
-    if (in_force != nullptr) throw std::logic_error("faults are in force already");
+    if (in_force != nullptr)
+        throw std::logic_error("faults are in force already");
     in_force = this;
 }
-Faults::~Faults() { in_force = nullptr; }
+Faults::~Faults() {
+    in_force = nullptr;
+}
 
 void Faults::fail(Call call, int error, int times, std::uint32_t one_in) {
     Plan& p = plans_[static_cast<int>(call)];
     p = {error, times, p.failed, one_in};
 }
-int Faults::failed(Call call) const { return plans_[static_cast<int>(call)].failed; }
+int Faults::failed(Call call) const {
+    return plans_[static_cast<int>(call)].failed;
+}
 
 bool Faults::strikes(Call call) {
     Plan& p = plans_[static_cast<int>(call)];
-    if (p.times == 0 || random_() % p.one_in != 0) return false;
+    if (p.times == 0 || random_() % p.one_in != 0)
+        return false;
     --p.times;
     ++p.failed;
     errno = p.error;
--- a/tests/policy/admission_controller_test.cpp
+++ b/tests/policy/admission_controller_test.cpp
@@ -37,13 +37,16 @@
 }
 
 struct RecordingHost {  // carries out nothing: it records what the controller asks for
-    explicit RecordingHost(const Settings& s) : controller(make_admission_controller(s, 1)) { send(Started{}); }
+    explicit RecordingHost(const Settings& s) : controller(make_admission_controller(s, 1)) {
+        send(Started{});
+    }
     std::vector<Action> send(const Event& e) {
         std::vector<Action> actions;
         controller->handle(now, e, actions);
         recorded_actions.insert(recorded_actions.end(), actions.begin(), actions.end());
         for (const Action& a : actions)
-            if (const auto* w = std::get_if<ScheduleTimer>(&a)) wakes.push_back({now + w->delay, w->token});
+            if (const auto* w = std::get_if<ScheduleTimer>(&a))
+                wakes.push_back({now + w->delay, w->token});
         return actions;
     }
     std::vector<Action> send_at(Timestamp t, const Event& e) {
@@ -60,10 +63,11 @@
         return send(r);
     }
     void advance_until(Timestamp until, double cpu = 1.0, std::optional<double> runnable = {},
-              std::optional<double> connections = {}) {  // delivers the timers that were asked for
+                       std::optional<double> connections = {}) {  // delivers the timers that were asked for
         for (;;) {
             const auto next = std::min_element(wakes.begin(), wakes.end());
-            if (next == wakes.end() || next->first > until) break;
+            if (next == wakes.end() || next->first > until)
+                break;
             const auto [when, token] = *next;
             wakes.erase(next);
             now = std::max(now, when);
@@ -86,7 +90,8 @@
     template <class A>
     const A* last() const {
         for (auto it = recorded_actions.rbegin(); it != recorded_actions.rend(); ++it)
-            if (const auto* x = std::get_if<A>(&*it)) return x;
+            if (const auto* x = std::get_if<A>(&*it))
+                return x;
         return nullptr;
     }
     long answer_count(RequestId id) const { return count<Reject>(id) + count<Fail>(id); }
@@ -101,9 +106,11 @@
 TEST(Budget, RefusesOnArrivalWhatThePeriodCannotPay) {
     RecordingHost h(test_settings());
     h.advance_until(1200ms);  // cpu gauge: no free core
-    for (RequestId id = 1; id <= 40; ++id) h.request(id, 0);
+    for (RequestId id = 1; id <= 40; ++id)
+        h.request(id, 0);
     long refused = 0;
-    for (RequestId id = 1; id <= 40; ++id) refused += h.count<Reject>(id);
+    for (RequestId id = 1; id <= 40; ++id)
+        refused += h.count<Reject>(id);
     EXPECT_GT(refused, 20);
     EXPECT_LT(refused, 40);
     EXPECT_EQ(h.count<Reject>(1), 0);
@@ -113,7 +120,8 @@
 TEST(Budget, WorthierBandHasRoomWhereTheLowerHasNone) {
     RecordingHost h(test_settings());
     h.advance_until(1200ms);
-    for (RequestId id = 1; id <= 40; ++id) h.request(id, 0);
+    for (RequestId id = 1; id <= 40; ++id)
+        h.request(id, 0);
     h.request(50, 2);
     EXPECT_EQ(h.count<Reject>(50), 0);
 }
@@ -121,9 +129,11 @@
 TEST(Budget, NewPeriodGrantsNewRoom) {
     RecordingHost h(test_settings());
     h.advance_until(1200ms);
-    for (RequestId id = 1; id <= 20; ++id) h.request(id, 0);
     for (RequestId id = 1; id <= 20; ++id)
-        if (h.count<Take>(id)) h.send(RunFinished{id, Outcome::ok});
+        h.request(id, 0);
+    for (RequestId id = 1; id <= 20; ++id)
+        if (h.count<Take>(id))
+            h.send(RunFinished{id, Outcome::ok});
     h.advance_until(2500ms);
     h.request(60, 0);
     EXPECT_EQ(h.count<Reject>(60), 0);
@@ -152,15 +162,18 @@
     RecordingHost h(test_settings());
     h.advance_until(1200ms, 0.1);  // the gauge shows idle cores
     long taken = 0;
-    for (RequestId id = 1; id <= 100; ++id) h.request(id, 0);
-    for (RequestId id = 1; id <= 100; ++id) taken += h.count<Reject>(id) == 0;
+    for (RequestId id = 1; id <= 100; ++id)
+        h.request(id, 0);
+    for (RequestId id = 1; id <= 100; ++id)
+        taken += h.count<Reject>(id) == 0;
     EXPECT_LT(taken, 20);
 }
 
 TEST(Hold, WorthiestStartsFirst) {
     RecordingHost h(test_settings());
     h.advance_until(1200ms);
-    for (RequestId id = 1; id <= 3; ++id) h.request(id, 0);  // two run, one waits
+    for (RequestId id = 1; id <= 3; ++id)
+        h.request(id, 0);  // two run, one waits
     h.request(9, 2);
     h.send(RunFinished{1, Outcome::ok});
     EXPECT_EQ(h.count<Take>(9), 1);
@@ -175,7 +188,8 @@
 
 TEST(Hold, WhatCannotStartInTimeIsRefusedAndNotStarted) {
     RecordingHost h(test_settings());
-    for (RequestId id = 1; id <= 3; ++id) h.request(id, 2);
+    for (RequestId id = 1; id <= 3; ++id)
+        h.request(id, 2);
     ASSERT_EQ(h.count<Take>(3), 0);
     h.advance_until(1950ms);
     EXPECT_EQ(h.count<Reject>(3), 1);
@@ -184,7 +198,8 @@
 
 TEST(RunLimit, StartsAtTheCoreCountAndGrowsWhileCoresIdle) {
     RecordingHost h(test_settings());
-    for (RequestId id = 1; id <= 3; ++id) h.request(id, 0);
+    for (RequestId id = 1; id <= 3; ++id)
+        h.request(id, 0);
     EXPECT_EQ(h.count<Take>(1) + h.count<Take>(2) + h.count<Take>(3), 2);
     h.advance_until(1200ms, 0.5);
     EXPECT_EQ(h.count<Take>(3), 1);
@@ -192,22 +207,27 @@
 
 TEST(RunLimit, GrowsToFullCoresUnderPressureOnly) {  // mixco quiet: large requests late beside a third run
     RecordingHost light(test_settings());
-    for (RequestId id = 1; id <= 3; ++id) light.request(id, 0);
+    for (RequestId id = 1; id <= 3; ++id)
+        light.request(id, 0);
     light.advance_until(1200ms, 0.85);
     EXPECT_EQ(light.count<Take>(3), 0);
     RecordingHost pressed(test_settings());
-    for (RequestId id = 1; id <= 40; ++id) pressed.request(id, 0);
+    for (RequestId id = 1; id <= 40; ++id)
+        pressed.request(id, 0);
     pressed.advance_until(1400ms, 0.85);  // a period has shown what is asked for
-    for (RequestId id = 41; id <= 60; ++id) pressed.request(id, 0);
+    for (RequestId id = 41; id <= 60; ++id)
+        pressed.request(id, 0);
     pressed.advance_until(1700ms, 0.85);
     long begun = 0;
-    for (RequestId id = 1; id <= 60; ++id) begun += pressed.count<Take>(id);
+    for (RequestId id = 1; id <= 60; ++id)
+        begun += pressed.count<Take>(id);
     EXPECT_GT(begun, 2);
 }
 
 TEST(RunLimit, WaitersAtACallAreOutsideIt) {
     RecordingHost h(test_settings());
-    for (RequestId id = 1; id <= 3; ++id) h.request(id, 0);
+    for (RequestId id = 1; id <= 3; ++id)
+        h.request(id, 0);
     h.send(DependencyCallRequested{1});
     EXPECT_EQ(h.count<CallDependency>(1), 1);
     EXPECT_EQ(h.count<Take>(3), 1);
@@ -218,13 +238,17 @@
     const auto load = [](RecordingHost& h, double runnable) {
         for (RequestId id = 1; id <= 60; ++id) {
             h.request(id, 0);
-            if (id > 2) h.send(RunFinished{id - 2, Outcome::ok});
+            if (id > 2)
+                h.send(RunFinished{id - 2, Outcome::ok});
             h.advance_until(h.now + 150ms, 1.0, runnable);
         }
         long before = 0, after = 0;
-        for (const Action& a : h.recorded_actions) before += std::holds_alternative<Take>(a);
-        for (RequestId id = 101; id <= 106; ++id) h.request(id, 0);
-        for (const Action& a : h.recorded_actions) after += std::holds_alternative<Take>(a);
+        for (const Action& a : h.recorded_actions)
+            before += std::holds_alternative<Take>(a);
+        for (RequestId id = 101; id <= 106; ++id)
+            h.request(id, 0);
+        for (const Action& a : h.recorded_actions)
+            after += std::holds_alternative<Take>(a);
         return after - before;
     };
     const long with_cores = load(busy, 2.0), with_disk = load(waiting, 0.5);
@@ -250,16 +274,19 @@
             h.send(r);
         }
         for (; done < r.id; ++done)  // the oldest that runs is done
-            if (h.count<Take>(done) != 0) break;
+            if (h.count<Take>(done) != 0)
+                break;
         h.send(RunFinished{done++, Outcome::ok});
-        if (i % 10 != 5) continue;
+        if (i % 10 != 5)
+            continue;
         ++r.id;
         r.tenant_index = 1;
         h.send(r);
         EXPECT_EQ(h.count<Reject>(r.id), 0) << "the part of a tenant within its share is protected";
     }
     long refused = 0;
-    for (RequestId id = 1; id <= r.id; ++id) refused += h.count<Reject>(id);
+    for (RequestId id = 1; id <= r.id; ++id)
+        refused += h.count<Reject>(id);
     EXPECT_GT(refused, 20);
 }
 
@@ -301,7 +328,8 @@
 
 TEST(Due, GoneRequestsAreOwedNothing) {
     RecordingHost h(test_settings());
-    for (RequestId id = 1; id <= 3; ++id) h.request(id, 0);
+    for (RequestId id = 1; id <= 3; ++id)
+        h.request(id, 0);
     h.send(Cancelled{3});
     h.send(Cancelled{1});
     EXPECT_EQ(h.count<Suspend>(1), 1);
@@ -333,7 +361,8 @@
 
 TEST(Effects, RepeatOfAHeldKeyedRequestTakesItsPlace) {
     RecordingHost h(test_settings());
-    for (RequestId id = 1; id <= 2; ++id) h.request(id, 2);
+    for (RequestId id = 1; id <= 2; ++id)
+        h.request(id, 2);
     h.request(3, 1);
     ASSERT_EQ(h.count<Take>(3), 0);
     h.request(4, 1, 3);
@@ -426,10 +455,12 @@
     Settings s = test_settings();
     s.preemption = Preemption::none;
     RecordingHost h(s);
-    for (RequestId id = 1; id <= 3; ++id) h.request(id, 1);
+    for (RequestId id = 1; id <= 3; ++id)
+        h.request(id, 1);
     h.send(DrainStarted{h.now + 800ms});
     h.advance_until(1800ms);
-    for (RequestId id = 1; id <= 3; ++id) EXPECT_EQ(h.answer_count(id), 1) << id;
+    for (RequestId id = 1; id <= 3; ++id)
+        EXPECT_EQ(h.answer_count(id), 1) << id;
     EXPECT_FALSE(h.last<SetHealth>()->healthy);
 }
 
@@ -470,7 +501,8 @@
     RecordingHost h(s);
     h.request(1, 1);
     ASSERT_EQ(h.count<Take>(1), 1);
-    for (RequestId id = 2; id <= 80; ++id) h.request(id, 1, 1);
+    for (RequestId id = 2; id <= 80; ++id)
+        h.request(id, 1, 1);
     long waiting = 0, failed = 0, refused = 0;
     for (RequestId id = 2; id <= 80; ++id) {
         waiting += h.count<ReplayResult>(id);
@@ -491,7 +523,8 @@
         h.request(id, id % 2 == 0 ? 1 : 2);
         held = 0.0;
         for (RequestId i = 1; i <= id; ++i)
-            if (h.answer_count(i) == 0) held += 20 * (h.count<Take>(i) ? 4 : 1) + (h.count<RetainKey>(i) ? 2 : 0);
+            if (h.answer_count(i) == 0)
+                held += 20 * (h.count<Take>(i) ? 4 : 1) + (h.count<RetainKey>(i) ? 2 : 0);
         ASSERT_LE(held, s.memory_kb) << id;
     }
     EXPECT_GT(held, 0.3 * s.memory_kb);
@@ -505,10 +538,12 @@
     RecordingHost h(s);
     for (RequestId id = 1; id <= 12; ++id) {
         h.request(id, 2);
-        if (h.count<Take>(id)) h.send(DependencyCallRequested{id});
+        if (h.count<Take>(id))
+            h.send(DependencyCallRequested{id});
     }
     long run = 0;
-    for (RequestId id = 1; id <= 12; ++id) run += h.count<Take>(id);
+    for (RequestId id = 1; id <= 12; ++id)
+        run += h.count<Take>(id);
     EXPECT_LE(run, 4);
     EXPECT_GE(run, 2);
 }
@@ -524,7 +559,8 @@
         h.send(DependencyCallRequested{id});
     }
     long calls = 0;
-    for (RequestId id = 1; id <= 8; ++id) calls += h.count<CallDependency>(id);
+    for (RequestId id = 1; id <= 8; ++id)
+        calls += h.count<CallDependency>(id);
     EXPECT_EQ(calls, 2);
 }
 
@@ -544,11 +580,13 @@
     for (int i = 0; i < 60; ++i) {
         for (int k = 0; k < 4; ++k) {
             h.request(++id, 0);
-            if (h.count<Take>(id)) h.send(DependencyCallRequested{id});
+            if (h.count<Take>(id))
+                h.send(DependencyCallRequested{id});
         }
         for (Timestamp until = h.now + 500ms; seen < h.recorded_actions.size(); ++seen)
             if (std::holds_alternative<CallDependency>(h.recorded_actions[seen])) {
-                const CallDependency c = std::get<CallDependency>(h.recorded_actions[seen]);  // a copy: the list grows below
+                const CallDependency c =
+                    std::get<CallDependency>(h.recorded_actions[seen]);  // a copy: the list grows below
                 calls.push_back({h.now, h.now + c.timeout + s.abandoned_call_grace});
                 h.advance_until(h.now + c.timeout);
                 h.send(DependencyCallFinished{c.id, Outcome::timeout, 400ms});
@@ -580,13 +618,16 @@
         h.request(id, 0);
         h.send(DependencyCallRequested{id});
         h.advance_until(h.now + 300ms);
-        if (h.count<CallDependency>(id)) h.send(DependencyCallFinished{id, Outcome::ok, 300ms});
+        if (h.count<CallDependency>(id))
+            h.send(DependencyCallFinished{id, Outcome::ok, 300ms});
         h.send(RunFinished{id, Outcome::ok});
     }
     h.advance_until(h.now + 10s);
-    for (RequestId id = 11; id <= 30; ++id) h.request(id, 0);
+    for (RequestId id = 11; id <= 30; ++id)
+        h.request(id, 0);
     long taken = 0;
-    for (RequestId id = 11; id <= 30; ++id) taken += h.count<Take>(id);
+    for (RequestId id = 11; id <= 30; ++id)
+        taken += h.count<Take>(id);
     EXPECT_GE(taken, 1);
     EXPECT_LE(taken, 5);  // cores for all of them, calls for few
     h.request(31, 2);  // needs no call
@@ -636,7 +677,8 @@
     h.send(DependencyCallRequested{3});
     ASSERT_EQ(h.count<CallDependency>(3), 0);  // queued behind the call of 2
     h.advance_until(2200ms);
-    h.send(DependencyCallFinished{2, Outcome::ok, 700ms});  // 3 has 220 ms left where a call takes half a second
+    h.send(
+        DependencyCallFinished{2, Outcome::ok, 700ms});  // 3 has 220 ms left where a call takes half a second
     EXPECT_EQ(h.count<CallDependency>(3), 0);
     EXPECT_EQ(h.count<Fail>(3), 1);
 }
@@ -660,7 +702,8 @@
         h.send(DependencyCallRequested{id});
     }
     long calls = 0;
-    for (RequestId id = 101; id <= 112; ++id) calls += h.count<CallDependency>(id);
+    for (RequestId id = 101; id <= 112; ++id)
+        calls += h.count<CallDependency>(id);
     EXPECT_GE(calls, 4);
     EXPECT_LE(calls, 16);
 }
@@ -679,7 +722,8 @@
     EXPECT_EQ(h.count<SkipDependencyCall>(6), 0);
     h.request(7, 0);  // held: the crowd is full, and both cores idle
     long skips = 0;
-    for (RequestId id = 1; id <= 6; ++id) skips += h.count<SkipDependencyCall>(id);
+    for (RequestId id = 1; id <= 6; ++id)
+        skips += h.count<SkipDependencyCall>(id);
     EXPECT_EQ(skips, 1);
     EXPECT_EQ(h.count<SkipDependencyCall>(1), 0);
 }
@@ -759,7 +803,8 @@
     for (RequestId id = 30; id <= 60; ++id) {  // it recovers by its probes
         h.advance_until(h.now + 250ms, 0.1);
         h.request(id, 0);
-        if (h.count<Take>(id)) h.send(RunFinished{id, Outcome::ok});
+        if (h.count<Take>(id))
+            h.send(RunFinished{id, Outcome::ok});
     }
     h.advance_until(h.now + 250ms, 0.1);
     EXPECT_TRUE(h.last<SetHealth>()->healthy);
@@ -807,12 +852,14 @@
     for (int i = 0; i < 100; ++i) {
         h.advance_until(h.now + 20ms);
         h.request(++id, 0);
-        if (h.count<Take>(id)) h.send(RunFinished{id, Outcome::ok});
+        if (h.count<Take>(id))
+            h.send(RunFinished{id, Outcome::ok});
         h.request(++id, 0);
     }
     EXPECT_GT(h.last<AdvertiseLoad>()->value, 0.0);
     for (RequestId i = 1; i <= id; ++i)
-        if (h.count<Take>(i)) h.send(RunFinished{i, Outcome::ok});
+        if (h.count<Take>(i))
+            h.send(RunFinished{i, Outcome::ok});
     h.advance_until(h.now + 20s);
     EXPECT_EQ(h.last<AdvertiseLoad>()->value, 0.0);
 }
@@ -822,7 +869,8 @@
     Settings s = test_settings();
     s.load_advertisement = LoadAdvertisement::level;
     RecordingHost h(s);
-    for (RequestId id = 1; id <= 12; ++id) h.request(id, 0, 0, 900ms);
+    for (RequestId id = 1; id <= 12; ++id)
+        h.request(id, 0, 0, 900ms);
     EXPECT_GT(h.last<Reject>()->retry_after, Duration(900ms));
     h.advance_until(1200ms);
     EXPECT_GT(h.last<AdvertiseLoad>()->value, 0.8);
@@ -836,7 +884,8 @@
         h.advance_until(h.now + 100ms);
         h.send(RunFinished{id, Outcome::ok});
     }
-    for (RequestId id = 301; id <= 400; ++id) h.request(id, 0);
+    for (RequestId id = 301; id <= 400; ++id)
+        h.request(id, 0);
     ASSERT_EQ(h.count<Reject>(400), 1);
     EXPECT_EQ(h.last<Reject>()->retry_after, Duration(0));
 }
@@ -879,7 +928,8 @@
     s.replica_count = 300;
     RecordingHost h(s);
     h.advance_until(1200ms);
-    for (RequestId id = 1; id <= 40; ++id) h.request(id, 0);
+    for (RequestId id = 1; id <= 40; ++id)
+        h.request(id, 0);
     ASSERT_EQ(h.count<Reject>(40), 1);
     EXPECT_FALSE(h.last<Reject>()->do_not_retry);  // a first try may find room elsewhere
     RequestArrived again;
@@ -920,9 +970,11 @@
     RecordingHost h = overloaded_host(test_settings(), false);
     ASSERT_EQ(h.count<Reject>(200), 1);
     EXPECT_TRUE(h.last<Reject>()->do_not_retry);
-    for (RequestId id = 201; id <= 300; ++id) h.request(id, 2);
+    for (RequestId id = 201; id <= 300; ++id)
+        h.request(id, 2);
     ASSERT_EQ(h.count<Reject>(300), 1);
-    EXPECT_TRUE(h.last<Reject>()->do_not_retry);  // precious ones too: each step takes a reading from other work
+    EXPECT_TRUE(
+        h.last<Reject>()->do_not_retry);  // precious ones too: each step takes a reading from other work
 }
 
 TEST(Walk, OwnTroubleLetsRequestsGoOn) {
@@ -981,14 +1033,17 @@
         for (int i = 0; i < 40; ++i) {
             h.request(++id, 0);
             h.advance_until(h.now + 100ms);
-            if (pauses) h.now += 270ms;  // nothing comes in, no timer runs
+            if (pauses)
+                h.now += 270ms;  // nothing comes in, no timer runs
             h.send(RunFinished{id, Outcome::ok});
         }
         h.advance_until(h.now + 1s);
         const RequestId first = id + 1;
-        for (int i = 0; i < 30; ++i) h.request(++id, 0);
+        for (int i = 0; i < 30; ++i)
+            h.request(++id, 0);
         long n = 0;
-        for (RequestId k = first; k <= id; ++k) n += h.count<Reject>(k);
+        for (RequestId k = first; k <= id; ++k)
+            n += h.count<Reject>(k);
         return n;
     };
     EXPECT_LE(refused(true), refused(false) + 1);
@@ -1022,13 +1077,16 @@
             ++id;
             h.request(id, id % 3);
             h.advance_until(h.now + 100ms);
-            if (id > 3) h.send(RunFinished{id - 3, Outcome::ok});
+            if (id > 3)
+                h.send(RunFinished{id - 3, Outcome::ok});
         }
-        return std::count_if(h.recorded_actions.begin() + static_cast<std::ptrdiff_t>(before), h.recorded_actions.end(),
+        return std::count_if(h.recorded_actions.begin() + static_cast<std::ptrdiff_t>(before),
+                             h.recorded_actions.end(),
                              [](const Action& a) { return std::holds_alternative<ScheduleTimer>(a); });
     };
     const auto first = minute();
-    for (int i = 0; i < 8; ++i) minute();
+    for (int i = 0; i < 8; ++i)
+        minute();
     EXPECT_LE(minute(), first + first / 10);
     EXPECT_LE(h.wakes.size(), 4U);
 }
@@ -1082,8 +1140,8 @@
 // -- contract --
 TEST(Contract, EventsForUnknownRequestsChangeNothing) {
     RecordingHost h(test_settings());
-    for (const Event& e :
-         std::vector<Event>{RunFinished{7, Outcome::ok}, DependencyCallRequested{7}, DependencyCallFinished{7, Outcome::ok, 1ms}, Cancelled{7}})
+    for (const Event& e : std::vector<Event>{RunFinished{7, Outcome::ok}, DependencyCallRequested{7},
+                                             DependencyCallFinished{7, Outcome::ok, 1ms}, Cancelled{7}})
         EXPECT_TRUE(h.send(e).empty());
 }
 
@@ -1104,7 +1162,8 @@
     }
     EXPECT_EQ(h.count<Take>(3), 1);  // earns without the call that cannot be had
     h.advance_until(20s);
-    for (RequestId id = 1; id <= 20; ++id) EXPECT_GE(h.answer_count(id), 1) << id;  // nobody finished: all are answered
+    for (RequestId id = 1; id <= 20; ++id)
+        EXPECT_GE(h.answer_count(id), 1) << id;  // nobody finished: all are answered
 }
 
 TEST(Contract, TimeGoingBackwardsIsHarmless) {
@@ -1124,7 +1183,8 @@
         b.request(id, id % 3);
     }
     ASSERT_EQ(a.recorded_actions.size(), b.recorded_actions.size());
-    for (std::size_t i = 0; i < a.recorded_actions.size(); ++i) EXPECT_EQ(a.recorded_actions[i].index(), b.recorded_actions[i].index());
+    for (std::size_t i = 0; i < a.recorded_actions.size(); ++i)
+        EXPECT_EQ(a.recorded_actions[i].index(), b.recorded_actions[i].index());
 }
 
 }  // namespace
--- a/tests/policy/random_schedule_test.cpp
+++ b/tests/policy/random_schedule_test.cpp
@@ -26,7 +26,9 @@
     };
 
     ServerModel(Settings initial_settings, unsigned seed)
-        : settings(std::move(initial_settings)), generator(seed), controller(make_admission_controller(settings, seed)) {
+        : settings(std::move(initial_settings)),
+          generator(seed),
+          controller(make_admission_controller(settings, seed)) {
         send(Started{});
     }
 
@@ -37,28 +39,34 @@
         double total_kb = static_cast<double>(retained_keys.size()) * settings.idempotency_key_kb;
         for (const auto& [id, e] : entries)
             if (e.phase != Phase::finished)
-                total_kb += e.memory_kb * (e.phase == Phase::queued || e.phase == Phase::awaiting_result ? 1.0 : std::max(1.0, settings.running_memory_factor));
+                total_kb += e.memory_kb * (e.phase == Phase::queued || e.phase == Phase::awaiting_result
+                                               ? 1.0
+                                               : std::max(1.0, settings.running_memory_factor));
         return total_kb;
     }
 
     void send(const Event& event) {
         std::vector<Action> actions;
         controller->handle(now, event, actions);
-        for (const Action& a : actions) std::visit([this](const auto& x) { apply(x); }, a);
+        for (const Action& a : actions)
+            std::visit([this](const auto& x) { apply(x); }, a);
         check();
     }
     void check() {
         ASSERT_LE(memory_kb(), settings.memory_kb);
         double running = 0.0;
-        for (const auto& [id, e] : entries) running += e.phase == Phase::running;
+        for (const auto& [id, e] : entries)
+            running += e.phase == Phase::running;
         ASSERT_LE(running, max_running() + 1e-9) << "crowd on the cores";
     }
     double max_running() const {
         const double speed =
-            settings.cold_start ? std::min(1.0, settings.cold_start_speed + (1.0 - settings.cold_start_speed) *
-                                                     std::chrono::duration<double>(now - started_at).count() /
-                                                     std::chrono::duration<double>(settings.warm_up_duration).count())
-                   : 1.0;
+            settings.cold_start
+                ? std::min(1.0, settings.cold_start_speed +
+                                    (1.0 - settings.cold_start_speed) *
+                                        std::chrono::duration<double>(now - started_at).count() /
+                                        std::chrono::duration<double>(settings.warm_up_duration).count())
+                : 1.0;
         return (1.0 + (settings.max_runnable_per_core - 1.0) * speed) * settings.cores;
     }
 
@@ -79,12 +87,15 @@
             EXPECT_EQ(e.answers, 0);
             const auto last = last_run_by_key.find(e.idempotency_key);
             if (e.idempotency_key != 0 && last != last_run_by_key.end()) {
-                EXPECT_GT(e.arrived_at - last->second, class_of(e).idempotency_window) << "a second effect within the window";
+                EXPECT_GT(e.arrived_at - last->second, class_of(e).idempotency_window)
+                    << "a second effect within the window";
             }
-            if (e.idempotency_key != 0) last_run_by_key[e.idempotency_key] = e.arrived_at;
+            if (e.idempotency_key != 0)
+                last_run_by_key[e.idempotency_key] = e.arrived_at;
         }
         if (is_draining) {
-            EXPECT_LE(e.arrived_at, drain_started_at + settings.drain_grace) << "run though it came after the grace";
+            EXPECT_LE(e.arrived_at, drain_started_at + settings.drain_grace)
+                << "run though it came after the grace";
         }
         e.has_run = true;
         e.phase = Phase::running;
@@ -92,9 +103,11 @@
     }
     void apply(const Reject& a) {
         RequestEntry& e = entry(a.id);
-        if (e.phase == Phase::finished) return;
+        if (e.phase == Phase::finished)
+            return;
         EXPECT_EQ(e.phase, Phase::queued);
-        EXPECT_FALSE(e.has_run && class_of(e).idempotency != Idempotency::always) << "turned away after it ran";
+        EXPECT_FALSE(e.has_run && class_of(e).idempotency != Idempotency::always)
+            << "turned away after it ran";
         EXPECT_LE(a.retry_after, settings.max_retry_after);
         answer(e);
         e.phase = Phase::finished;
@@ -102,22 +115,27 @@
     }
     void apply(const Fail& a) {
         RequestEntry& e = entry(a.id);
-        if (e.phase == Phase::finished) return;
+        if (e.phase == Phase::finished)
+            return;
         answer(e);
-        if (e.phase == Phase::queued || e.phase == Phase::awaiting_result) e.phase = Phase::finished;
-        if (e.phase == Phase::awaiting_call || e.phase == Phase::in_call) pending_results.push_back({a.id, Outcome::cancelled});
+        if (e.phase == Phase::queued || e.phase == Phase::awaiting_result)
+            e.phase = Phase::finished;
+        if (e.phase == Phase::awaiting_call || e.phase == Phase::in_call)
+            pending_results.push_back({a.id, Outcome::cancelled});
     }
     void apply(const Suspend& a) {
         ASSERT_NE(settings.preemption, Preemption::none);
         RequestEntry& e = entry(a.id);
-        if (e.phase != Phase::running || (settings.preemption == Preemption::pause && random_unit() < 0.3)) return;  // it waits for a disk
+        if (e.phase != Phase::running || (settings.preemption == Preemption::pause && random_unit() < 0.3))
+            return;  // it waits for a disk
         ASSERT_TRUE(e.answers == 1 || e.is_cancelled) << "stopped work is owed an answer";
         pending_results.push_back({a.id, Outcome::cancelled});
     }
     void apply(const CallDependency& a) {
         RequestEntry& e = entry(a.id);
         ASSERT_EQ(e.phase, Phase::awaiting_call);
-        EXPECT_FALSE(e.may_have_called && class_of(e).idempotency != Idempotency::always) << "a call repeated that may have run";
+        EXPECT_FALSE(e.may_have_called && class_of(e).idempotency != Idempotency::always)
+            << "a call repeated that may have run";
         e.phase = Phase::in_call;
     }
     void apply(const SkipDependencyCall& a) {
@@ -128,11 +146,13 @@
     }
     void apply(const RetainKey& a) {
         RequestEntry& e = entry(a.id);
-        if (class_of(e).idempotency == Idempotency::with_key) retained_keys[e.idempotency_key] = {a.id, now + a.duration};
+        if (class_of(e).idempotency == Idempotency::with_key)
+            retained_keys[e.idempotency_key] = {a.id, now + a.duration};
     }
     void apply(const ReleaseKey& a) {
         const auto it = retained_keys.find(entry(a.id).idempotency_key);
-        if (it != retained_keys.end() && it->second.first == a.id) retained_keys.erase(it);
+        if (it != retained_keys.end() && it->second.first == a.id)
+            retained_keys.erase(it);
     }
     void apply(const ReplayResult& a) {
         RequestEntry& e = entry(a.id);
@@ -148,15 +168,18 @@
     // -- events --
     void finish(RequestId id, Outcome outcome) {
         RequestEntry& e = entries[id];
-        if (e.phase == Phase::finished) return;
-        if (outcome != Outcome::cancelled && e.answers == 0 && !e.is_cancelled) ++e.answers;
+        if (e.phase == Phase::finished)
+            return;
+        if (outcome != Outcome::cancelled && e.answers == 0 && !e.is_cancelled)
+            ++e.answers;
         e.phase = Phase::finished;
         send(RunFinished{id, outcome});
     }
     void arrive() {
         RequestArrived r;
         r.id = ++last_id;
-        r.class_index = static_cast<std::size_t>(random_unit() * static_cast<double>(settings.classes.size()));
+        r.class_index =
+            static_cast<std::size_t>(random_unit() * static_cast<double>(settings.classes.size()));
         r.reserved_kb = 5.0 + 30.0 * random_unit();
         r.age = Duration(static_cast<long>(random_unit() * 60'000));
         r.is_retry = random_unit() < 0.2;
@@ -164,13 +187,16 @@
         RequestEntry e{r.class_index, Phase::queued, now - r.age, Timestamp(0), r.reserved_kb};
         const RequestClass& c = settings.classes[r.class_index];
         e.deadline = std::max(now, e.arrived_at + c.answer_deadline);
-        if (random_unit() < 0.5) r.caller_deadline = e.deadline = now + Duration(static_cast<long>(random_unit() * 3'000'000));
+        if (random_unit() < 0.5)
+            r.caller_deadline = e.deadline = now + Duration(static_cast<long>(random_unit() * 3'000'000));
         if (c.idempotency == Idempotency::with_key) {
             e.idempotency_key = ++last_key;
             auto it = retained_keys.begin();
             if (!retained_keys.empty())
-                std::advance(it, static_cast<long>(random_unit() * static_cast<double>(retained_keys.size())));
-            if (it != retained_keys.end() && it->second.second > e.arrived_at && random_unit() < 0.5) {  // a further try
+                std::advance(it,
+                             static_cast<long>(random_unit() * static_cast<double>(retained_keys.size())));
+            if (it != retained_keys.end() && it->second.second > e.arrived_at &&
+                random_unit() < 0.5) {  // a further try
                 e.idempotency_key = it->first;
                 r.repeated_id = e.original_id = it->second.first;
             }
@@ -179,25 +205,31 @@
         send(r);
     }
     void step() {
-        now += Duration(static_cast<long>(random_unit() * (random_unit() < 0.01 ? 400'000 : 12'000)));  // at times a standstill
+        now += Duration(static_cast<long>(
+            random_unit() * (random_unit() < 0.01 ? 400'000 : 12'000)));  // at times a standstill
         for (auto it = retained_keys.begin(); it != retained_keys.end();)
             it = it->second.second <= now ? retained_keys.erase(it) : ++it;
         while (!timers.empty() && timers.begin()->first <= now) {
             TimerFired t;
             t.token = timers.begin()->second;
             timers.erase(timers.begin());
-            if (random_unit() < 0.8) t.gauges = {random_unit(), 6.0 * random_unit(), random_unit(), 120.0 * random_unit()};
+            if (random_unit() < 0.8)
+                t.gauges = {random_unit(), 6.0 * random_unit(), random_unit(), 120.0 * random_unit()};
             send(t);
         }
-        for (const auto& [id, outcome] : std::exchange(pending_results, {})) finish(id, outcome);
+        for (const auto& [id, outcome] : std::exchange(pending_results, {}))
+            finish(id, outcome);
         const int arrivals = random_unit() < 0.05 ? 25 : random_unit() < 0.25 ? 1 : 0;
-        for (int i = 0; i < arrivals; ++i) arrive();
+        for (int i = 0; i < arrivals; ++i)
+            arrive();
         std::vector<RequestId> open_ids;
         for (const auto& [id, e] : entries)
-            if (e.phase != Phase::finished) open_ids.push_back(id);
+            if (e.phase != Phase::finished)
+                open_ids.push_back(id);
         for (const RequestId id : open_ids) {
             RequestEntry& e = entries[id];
-            if (e.phase == Phase::finished || random_unit() > 0.03) continue;
+            if (e.phase == Phase::finished || random_unit() > 0.03)
+                continue;
             if (e.phase == Phase::running && class_of(e).calls_dependency && !e.made_call) {
                 e.made_call = true;
                 if (e.answers > 0 || e.is_cancelled) {  // it ends at its call, as nobody waits for it
@@ -206,7 +238,8 @@
                 }
                 e.phase = Phase::awaiting_call;
                 send(DependencyCallRequested{id});
-            } else if (e.phase == Phase::running || (e.phase == Phase::awaiting_result && entries[e.original_id].phase == Phase::finished)) {
+            } else if (e.phase == Phase::running || (e.phase == Phase::awaiting_result &&
+                                                     entries[e.original_id].phase == Phase::finished)) {
                 finish(id, random_unit() < 0.1 ? Outcome::error : Outcome::ok);
             } else if (e.phase == Phase::in_call) {
                 const double x = random_unit();
@@ -216,8 +249,10 @@
                 send(DependencyCallFinished{id, o, 30ms});
             } else if (random_unit() < 0.1) {
                 e.is_cancelled = true;
-                if (e.phase == Phase::queued || e.phase == Phase::awaiting_result) e.phase = Phase::finished;
-                if (e.phase == Phase::awaiting_call || e.phase == Phase::in_call) pending_results.push_back({id, Outcome::cancelled});
+                if (e.phase == Phase::queued || e.phase == Phase::awaiting_result)
+                    e.phase = Phase::finished;
+                if (e.phase == Phase::awaiting_call || e.phase == Phase::in_call)
+                    pending_results.push_back({id, Outcome::cancelled});
                 send(Cancelled{id});
             }
         }
@@ -280,14 +315,18 @@
 
 TEST_P(Random, TheFourRulesHoldAgainstAPlainModel) {
     const unsigned seed = GetParam();
-    ServerModel m(test_settings(seed % 2 == 0 ? Preemption::pause : Preemption::discard, seed % 3 == 0), seed);
-    for (int i = 0; i < 3000 && !testing::Test::HasFatalFailure(); ++i) m.step();
+    ServerModel m(test_settings(seed % 2 == 0 ? Preemption::pause : Preemption::discard, seed % 3 == 0),
+                  seed);
+    for (int i = 0; i < 3000 && !testing::Test::HasFatalFailure(); ++i)
+        m.step();
     m.is_draining = true;
     m.drain_started_at = m.now;
     const Timestamp stop = m.now + (seed % 2 == 0 ? 4s : 1s);  // the notice may be shorter than the grace
     m.send(DrainStarted{stop});
-    if (seed % 3 == 1) m.send(DrainStarted{stop});  // and may come twice
-    while (m.now < stop - 450ms && !testing::Test::HasFatalFailure()) m.step();
+    if (seed % 3 == 1)
+        m.send(DrainStarted{stop});  // and may come twice
+    while (m.now < stop - 450ms && !testing::Test::HasFatalFailure())
+        m.step();
     for (; m.now < stop - 20ms; m.now += 10ms) {
         while (!m.timers.empty() && m.timers.begin()->first <= m.now) {
             TimerFired t;
@@ -297,7 +336,9 @@
         }
     }
     for (const auto& [id, e] : m.entries)
-        if (!e.is_cancelled) { EXPECT_EQ(e.answers, 1) << "unanswered at the stop: " << id; }
+        if (!e.is_cancelled) {
+            EXPECT_EQ(e.answers, 1) << "unanswered at the stop: " << id;
+        }
     EXPECT_GT(m.run_count, 100);
     EXPECT_GT(m.rejected_count, 300);
     EXPECT_GT(m.replayed_count, 10);
--- a/tests/policy/simulator_adapter_test.cpp
+++ b/tests/policy/simulator_adapter_test.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-using cressledge::simulator_adapter::SimulatorAdapter;
 using cressledge::simulator_adapter::MalformedBatch;
+using cressledge::simulator_adapter::SimulatorAdapter;
 
 // Settings with a dependency, all advice and a stop; `extra` goes into the domain.
 std::string born_message(const std::string& who, const std::string& extra = "") {
@@ -26,7 +26,9 @@
     return R"({"inbound":{"who":")" + who + R"(","txn":)" + std::to_string(id) + R"(,"type":")" + type +
            R"(","by":3,"lay":1,"held-kb":10)" + more + "}}";
 }
-bool contains(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool contains(const std::string& text, const std::string& part) {
+    return text.find(part) != std::string::npos;
+}
 
 TEST(Wire, EmptyBatchGetsEmptyReply) {
     SimulatorAdapter a;
@@ -46,7 +48,7 @@
     std::string all;
     for (int i = 1; i <= 40; ++i)
         all += a.handle_batch(batch(10 + 125 * i, R"({"wake":{"who":"b","label":"1","usage":{"cpu_busy":0.2,)"
-                                           R"("runnable":0,"mem_used":0.1,"sockets":90}}})"));
+                                                  R"("runnable":0,"mem_used":0.1,"sockets":90}}})"));
     EXPECT_TRUE(contains(all, R"("idle-limit":{"who":"b","span":)")) << all;
 }
 
@@ -76,7 +78,8 @@
     r = a.handle_batch(batch(80, R"({"terminate-soon":{"who":"b","client-deadline":5000}})"));
     EXPECT_TRUE(contains(r, R"("health":{"who":"b","active":false,"cheap":true})")) << r;
     EXPECT_TRUE(contains(r, R"("hint-out":{"who":"b","x":1.0})")) << r;
-    r = a.handle_batch(batch(90, R"({"wake":{"who":"b","label":"1","usage":{"cpu_busy":0.4,"odd_gauge":7}}})"));
+    r = a.handle_batch(
+        batch(90, R"({"wake":{"who":"b","label":"1","usage":{"cpu_busy":0.4,"odd_gauge":7}}})"));
     EXPECT_TRUE(contains(r, R"("sleep":)")) << r;
     EXPECT_EQ(a.handle_batch(batch(99, R"({"detach":{"who":"b"}})")), R"({"actions":[]})");
     EXPECT_EQ(a.handle_batch(batch(99.5, R"({"finished":{"who":"b","txn":1,"code":"revoked"}})")),
--- a/tools/emulator/fleet.cpp
+++ b/tools/emulator/fleet.cpp
@@ -2,7 +2,8 @@
 
 namespace cressledge::emulator {
 
-Fleet::Fleet(std::size_t most, const membership::MembershipSettings& rules, const Network& network, std::uint64_t seed)
+Fleet::Fleet(std::size_t most, const membership::MembershipSettings& rules, const Network& network,
+             std::uint64_t seed)
     : most_(most), rules_(rules), network_(network), random_(seed) {
     nodes_.reserve(most);
 }
@@ -15,12 +16,14 @@
 void Fleet::boot(std::size_t no, const std::vector<std::size_t>& seeds) {
     Node& n = nodes_[no];
     std::vector<membership::Endpoint> places;
-    for (const std::size_t s : seeds) places.push_back(place(s));
+    for (const std::size_t s : seeds)
+        places.push_back(place(s));
     ++n.life;
     n.leaving = false;
     n.scheduled = Timestamp::max();
     const membership::LocalMember self{n.id, place(no), static_cast<std::uint64_t>(now_.count())};
-    n.view = std::make_unique<membership::MembershipTable>(names_, true, rules_, self, std::move(places), random_(), now_);
+    n.view = std::make_unique<membership::MembershipTable>(names_, true, rules_, self, std::move(places),
+                                                           random_(), now_);
     schedule(no);
 }
 
@@ -31,11 +34,14 @@
     return no;
 }
 
-void Fleet::restart(std::size_t no, std::vector<std::size_t> seeds) { boot(no, seeds); }
+void Fleet::restart(std::size_t no, std::vector<std::size_t> seeds) {
+    boot(no, seeds);
+}
 
 void Fleet::start_agreed(std::size_t n) {
     const std::size_t first = nodes_.size();
-    for (std::size_t i = 0; i < n; ++i) start({});
+    for (std::size_t i = 0; i < n; ++i)
+        start({});
     membership::Message all;
     all.type = membership::MessageType::exchange;
     for (std::size_t i = 0; i < n; ++i) {
@@ -57,16 +63,20 @@
     schedule(no);
 }
 
-void Fleet::pause(std::size_t no, Timestamp until) { nodes_[no].paused = until; }
+void Fleet::pause(std::size_t no, Timestamp until) {
+    nodes_[no].paused = until;
+}
 
-void Fleet::put(Timestamp when, std::size_t from, std::size_t to, std::shared_ptr<const membership::Message> m) {
+void Fleet::put(Timestamp when, std::size_t from, std::size_t to,
+                std::shared_ptr<const membership::Message> m) {
     events_.push({when, ++order_, to, from, 0, std::move(m)});
 }
 
 void Fleet::schedule(std::size_t no) {
     Node& n = nodes_[no];
     const Timestamp at = std::max(now_, n.view->next_deadline());
-    if (at >= n.scheduled) return;
+    if (at >= n.scheduled)
+        return;
     n.scheduled = at;
     events_.push({at, ++order_, no, no, n.life, nullptr});
 }
@@ -76,20 +86,26 @@
         const std::size_t to = number(s.destination);
         ++datagrams_;
         bytes_ += membership::max_encoded_size(s.message, 5);
-        for (const auto& u : s.message.updates) bytes_ += membership::max_encoded_size(u);
-        if (to >= nodes_.size() || cut(no, to) || random_() * 0x1p-32 < network_.loss) continue;
+        for (const auto& u : s.message.updates)
+            bytes_ += membership::max_encoded_size(u);
+        if (to >= nodes_.size() || cut(no, to) || random_() * 0x1p-32 < network_.loss)
+            continue;
         put(now_ + delay(), no, to, std::make_shared<const membership::Message>(std::move(s.message)));
     }
     for (const auto& p : out.exchange_peers) {
         const std::size_t to = number(p);
-        if (to >= nodes_.size() || to == no || cut(no, to) || cut(to, no)) continue;
-        put(now_ + delay(), no, to, std::make_shared<const membership::Message>(nodes_[no].view->full_state(membership::MessageType::exchange)));
+        if (to >= nodes_.size() || to == no || cut(no, to) || cut(to, no))
+            continue;
+        put(now_ + delay(), no, to,
+            std::make_shared<const membership::Message>(
+                nodes_[no].view->full_state(membership::MessageType::exchange)));
     }
     for (const auto& c : out.changes) {
-        if (c.new_state != membership::MemberState::dead) continue;
+        if (c.new_state != membership::MemberState::dead)
+            continue;
         const std::size_t of = number(c.endpoint);
-        false_deaths_ += of < nodes_.size() && nodes_[of].view != nullptr && !nodes_[of].leaving && !cut(no, of) &&
-                         !cut(of, no);
+        false_deaths_ += of < nodes_.size() && nodes_[of].view != nullptr && !nodes_[of].leaving &&
+                         !cut(no, of) && !cut(of, no);
     }
     if (nodes_[no].leaving && nodes_[no].view->departure_announced())
         nodes_[no].view.reset();
@@ -99,24 +115,30 @@
 
 void Fleet::handle(const Event& e) {
     Node& n = nodes_[e.to];
-    if (n.view == nullptr) return;
+    if (n.view == nullptr)
+        return;
     if (n.paused > now_) {
         Event later = e;
         later.when = n.paused;
-        if (e.message == nullptr) later.order = 0;  // timers go first when it goes on
-        if (e.message == nullptr) n.scheduled = n.paused;
+        if (e.message == nullptr)
+            later.order = 0;  // timers go first when it goes on
+        if (e.message == nullptr)
+            n.scheduled = n.paused;
         events_.push(std::move(later));
         return;
     }
     membership::MembershipTable::Effects out;
     if (e.message == nullptr) {
-        if (e.life != n.life || e.when != n.scheduled) return;
+        if (e.life != n.life || e.when != n.scheduled)
+            return;
         n.scheduled = Timestamp::max();
         n.view->tick(now_, out);
     } else if (e.message->type == membership::MessageType::exchange) {
-        auto reply = std::make_shared<const membership::Message>(n.view->full_state(membership::MessageType::exchange_reply));
+        auto reply = std::make_shared<const membership::Message>(
+            n.view->full_state(membership::MessageType::exchange_reply));
         for (const auto& m : {e.message, reply})
-            for (const auto& u : m->updates) bytes_ += membership::max_encoded_size(u);
+            for (const auto& u : m->updates)
+                bytes_ += membership::max_encoded_size(u);
         n.view->merge_full_state(now_, *e.message, out);
         put(now_ + delay(), e.to, e.from, std::move(reply));
     } else if (e.message->type == membership::MessageType::exchange_reply) {
@@ -139,7 +161,8 @@
 
 bool Fleet::run(Timestamp until, Duration look_every, const std::function<bool()>& done) {
     while (now_ < until) {
-        if (done()) return true;
+        if (done())
+            return true;
         run(std::min(until, now_ + look_every));
     }
     return done();
@@ -147,14 +170,18 @@
 
 bool Fleet::agreed() const {
     std::size_t running = 0;
-    for (const Node& n : nodes_) running += n.view != nullptr && !n.leaving;
+    for (const Node& n : nodes_)
+        running += n.view != nullptr && !n.leaving;
     std::uint64_t digest = 0;
     bool first = true;
     for (const Node& n : nodes_) {
-        if (n.view == nullptr || n.leaving) continue;
-        if (n.view->live_count() + 1 != running || n.view->suspect_count() != 0) return false;
+        if (n.view == nullptr || n.leaving)
+            continue;
+        if (n.view->live_count() + 1 != running || n.view->suspect_count() != 0)
+            return false;
         const std::uint64_t d = n.view->digest();
-        if (!first && d != digest) return false;
+        if (!first && d != digest)
+            return false;
         digest = d;
         first = false;
     }
--- a/tools/emulator/fleet.hpp
+++ b/tools/emulator/fleet.hpp
@@ -22,7 +22,8 @@
 
 class Fleet {
 public:
-    Fleet(std::size_t most, const membership::MembershipSettings& rules, const Network& network, std::uint64_t seed);
+    Fleet(std::size_t most, const membership::MembershipSettings& rules, const Network& network,
+          std::uint64_t seed);
 
     std::size_t start(std::vector<std::size_t> seeds);  // a new member; its number
     void crash(std::size_t no) { nodes_[no].view.reset(); }
@@ -43,9 +44,13 @@
     const std::string& id(std::size_t no) const { return nodes_[no].id; }
     std::size_t size() const { return nodes_.size(); }
     bool agreed() const;  // every running view has all running members alive and no other
-    std::uint64_t false_deaths() const { return false_deaths_; }  // of running members, in any view, no cut between them
+    std::uint64_t false_deaths() const {
+        return false_deaths_;
+    }  // of running members, in any view, no cut between them
     std::uint64_t datagrams() const { return datagrams_; }
-    std::uint64_t bytes() const { return bytes_; }  // at most, as membership::size_of has it; exchanges with them
+    std::uint64_t bytes() const {
+        return bytes_;
+    }  // at most, as membership::size_of has it; exchanges with them
 
 private:
     struct Node {
@@ -67,7 +72,9 @@
             return a.when != b.when ? a.when > b.when : a.order > b.order;
         }
     };
-    static membership::Endpoint place(std::size_t no) { return {0x0A000000U + static_cast<std::uint32_t>(no) + 1, 7946}; }
+    static membership::Endpoint place(std::size_t no) {
+        return {0x0A000000U + static_cast<std::uint32_t>(no) + 1, 7946};
+    }
     static std::size_t number(const membership::Endpoint& p) { return p.ip - 0x0A000001U; }
     void boot(std::size_t no, const std::vector<std::size_t>& seeds);
     void handle(const Event& e);
--- a/tools/emulator/roll.cpp
+++ b/tools/emulator/roll.cpp
@@ -8,14 +8,16 @@
 
 using base::Duration;
 using base::Timestamp;
-using rollout::MetricsByClass;
 using rollout::ClassMetrics;
+using rollout::MetricsByClass;
 
 struct Kind {
     const char* name;
     double share, median_ms, sigma, target_ms;
 };
-constexpr Kind kinds[] = {{"trail-sheet", 0.46, 450.0, 0.6, 2900.0}, {"route-profile", 0.46, 250.0, 0.5, 1500.0}, {"map-order", 0.08, 700.0, 0.5, 3500.0}};
+constexpr Kind kinds[] = {{"trail-sheet", 0.46, 450.0, 0.6, 2900.0},
+                          {"route-profile", 0.46, 250.0, 0.5, 1500.0},
+                          {"map-order", 0.08, 700.0, 0.5, 3500.0}};
 constexpr double change_takes_s = 1.5, comes_back_s = 0.5, longest_s = 7200.0;
 
 struct Process {
@@ -50,17 +52,21 @@
     RollOutcome go() {
         RollOutcome out;
         for (now_ = 0.0; now_ < longest_s; now_ += c_.looks_s) {
-            if (now_ > 0.0) live(c_.looks_s);
+            if (now_ > 0.0)
+                live(c_.looks_s);
             const auto looks = look();
             auto orders = roll_->step(at(), looks);
-            if (orders.must_save_state) orders = roll_->step(at(), looks);  // it lasts: on at once
+            if (orders.must_save_state)
+                orders = roll_->step(at(), looks);  // it lasts: on at once
             for (const auto& [id, spec] : orders.spec_updates) {
                 Process& p = processes_[numbers_[id]];
-                if (p.wanted == spec) continue;
+                if (p.wanted == spec)
+                    continue;
                 p.wanted = spec;
                 p.changes_at = now_ + change_takes_s;
             }
-            if (orders.is_finished) break;
+            if (orders.is_finished)
+                break;
         }
         out.done = roll_->state().phase == rollout::Phase::completed;
         out.reverted = roll_->state().phase == rollout::Phase::rolled_back;
@@ -76,19 +82,27 @@
     bool chance(double p) { return std::bernoulli_distribution(std::min(1.0, p))(random_); }
 
     void live(double seconds) {
-        weather_ += -weather_ * seconds / 60.0 + c_.weather * std::sqrt(2.0 * seconds / 60.0) * std::normal_distribution<>()(random_);
+        weather_ += -weather_ * seconds / 60.0 +
+                    c_.weather * std::sqrt(2.0 * seconds / 60.0) * std::normal_distribution<>()(random_);
         for (Process& p : processes_) {
-            if (p.changes_at >= 0.0 && p.changes_at <= now_) start(p);
-            if (p.back_at >= 0.0 && p.back_at <= now_) start(p);
-            if (p.back_at >= 0.0) continue;
+            if (p.changes_at >= 0.0 && p.changes_at <= now_)
+                start(p);
+            if (p.back_at >= 0.0 && p.back_at <= now_)
+                start(p);
+            if (p.back_at >= 0.0)
+                continue;
             serve(p, seconds);
-            const bool own = p.fresh && c_.fresh.crash_after_s > 0.0 && now_ - p.born >= c_.fresh.crash_after_s;
-            if (!own && !chance(c_.deaths_an_hour * seconds / 3600.0)) continue;
+            const bool own =
+                p.fresh && c_.fresh.crash_after_s > 0.0 && now_ - p.born >= c_.fresh.crash_after_s;
+            if (!own && !chance(c_.deaths_an_hour * seconds / 3600.0))
+                continue;
             ++p.crashes;
             p.back_at = now_ + comes_back_s;
         }
-        const bool cut = c_.cut_off && roll_->state().stage_index == 1 && roll_->state().phase == rollout::Phase::baking;
-        if (cut && cut_at_ < 0.0) cut_at_ = now_;
+        const bool cut =
+            c_.cut_off && roll_->state().stage_index == 1 && roll_->state().phase == rollout::Phase::baking;
+        if (cut && cut_at_ < 0.0)
+            cut_at_ = now_;
         for (std::size_t i = 0; i < processes_.size(); ++i)
             processes_[i].cut = cut_at_ >= 0.0 && now_ < cut_at_ + 40.0 && i % 5 == 0;
     }
@@ -109,7 +123,8 @@
             all_ += n;
             met_ += p.fresh ? n : 0;
             const double bad = std::min(0.5, c_.errors * p.fault) + (&k == &kinds[1] ? v.errors : 0.0);
-            std::lognormal_distribution<> took(std::log(k.median_ms * p.speed * v.slower * std::exp(weather_)), k.sigma);
+            std::lognormal_distribution<> took(
+                std::log(k.median_ms * p.speed * v.slower * std::exp(weather_)), k.sigma);
             for (int i = 0; i < n; ++i) {
                 const double what = std::generate_canonical<double, 32>(random_);
                 if (what < bad) {
@@ -117,10 +132,12 @@
                 } else if (what < bad + c_.refusals * p.fault + v.refusals) {
                     f.shed += 1.0;
                 } else {
-                    const double ms = took(random_) + (v.slow_share > 0.0 && chance(v.slow_share) ? v.slow_ms : 0.0);
+                    const double ms =
+                        took(random_) + (v.slow_share > 0.0 && chance(v.slow_share) ? v.slow_ms : 0.0);
                     f.ok += 1.0;
                     f.late += ms > k.target_ms ? 1.0 : 0.0;
-                    f.latency_counts[base::LatencyHistogram::bucket_index(Duration(static_cast<std::int64_t>(ms * 1e3)))] += 1.0;
+                    f.latency_counts[base::LatencyHistogram::bucket_index(
+                        Duration(static_cast<std::int64_t>(ms * 1e3)))] += 1.0;
                 }
             }
         }
@@ -130,13 +147,16 @@
         for (std::size_t i = 0; i < processes_.size(); ++i) {
             const Process& p = processes_[i];
             rollout::ProcessObservation& l = all[ids_[i]];
-            if (p.cut || chance(c_.lost_looks)) continue;
+            if (p.cut || chance(c_.lost_looks))
+                continue;
             l.is_reachable = true;
             l.active_spec = p.spec;
-            l.change_status = p.wanted == p.spec ? supervisor::ChangeStatus::succeeded : supervisor::ChangeStatus::in_progress;
+            l.change_status = p.wanted == p.spec ? supervisor::ChangeStatus::succeeded
+                                                 : supervisor::ChangeStatus::in_progress;
             l.serving_generation = p.back_at >= 0.0 ? 0 : p.generation;
             l.crash_count = p.crashes;
-            if (p.back_at < 0.0) l.metrics = p.figures;
+            if (p.back_at < 0.0)
+                l.metrics = p.figures;
         }
         return all;
     }
@@ -152,6 +172,8 @@
 
 }  // namespace
 
-RollOutcome run(const RollCase& c) { return Run(c).go(); }
+RollOutcome run(const RollCase& c) {
+    return Run(c).go();
+}
 
 }  // namespace cressledge::emulator
--- a/tools/emulator/spread.hpp
+++ b/tools/emulator/spread.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "load_balancing/balancer.hpp"
 #include "fake_upstream/observer.hpp"
+#include "load_balancing/balancer.hpp"
 
 namespace cressledge::emulator {
 
@@ -64,7 +64,8 @@
     fake_upstream::Evenness even;
     double p50_ms = 0.0, p95_ms = 0.0, p99_ms = 0.0, p999_ms = 0.0;
     double errors = 0.0;  // share of the calls
-    double moved = 0.0;  // places of subsets that a change in the number of processes moved, of all that stayed
+    double moved =
+        0.0;  // places of subsets that a change in the number of processes moved, of all that stayed
     std::uint64_t calls = 0, probes = 0;
 };
 
--- a/tools/experiment/main.cpp
+++ b/tools/experiment/main.cpp
@@ -31,9 +31,11 @@
 
 int compare(const std::string& a, const std::string& b) {
     const ordered_json x = read_report(a), y = read_report(b);
-    std::printf("%-18s %14s %14s %8s\n", "", x.value("how", "?").c_str(), y.value("how", "?").c_str(), "ratio");
+    std::printf("%-18s %14s %14s %8s\n", "", x.value("how", "?").c_str(), y.value("how", "?").c_str(),
+                "ratio");
     for (const auto& [name, value] : x.at("figures").items()) {
-        if (!y.at("figures").contains(name)) continue;
+        if (!y.at("figures").contains(name))
+            continue;
         const double v = value.get<double>(), w = y["figures"][name].get<double>();
         std::printf("%-18s %14.4f %14.4f %8.3f\n", name.c_str(), v, w, w == 0.0 ? 0.0 : v / w);
     }
@@ -42,9 +44,11 @@
 
 void write_report(const ordered_json& report, const std::string& out) {
     std::printf("%s\n", ordered_json{{"how", report["how"]}, {"figures", report["figures"]}}.dump(2).c_str());
-    if (out.empty()) return;
+    if (out.empty())
+        return;
     const std::filesystem::path path(out);
-    if (path.has_parent_path()) std::filesystem::create_directories(path.parent_path());
+    if (path.has_parent_path())
+        std::filesystem::create_directories(path.parent_path());
     std::ofstream(out) << report.dump(1) << '\n';
 }
 
@@ -57,8 +61,9 @@
         "files", "", cxxopts::value<std::vector<std::string>>()->default_value(""))(
         "program", "run: the program", cxxopts::value<std::string>()->default_value("build/cressledge"))(
         "out", "run, emulate: where the report goes", cxxopts::value<std::string>()->default_value(""))(
-        "keep", "run: a folder for the processes' files and logs", cxxopts::value<std::string>()->default_value(""))(
-        "quiet", "run: no lines of progress")("h,help", "print this");
+        "keep", "run: a folder for the processes' files and logs",
+        cxxopts::value<std::string>()->default_value(""))("quiet", "run: no lines of progress")("h,help",
+                                                                                                "print this");
     options.parse_positional({"command", "files"});
     try {
         const auto given = options.parse(argc, argv);
@@ -68,15 +73,19 @@
         }
         const auto command = given["command"].as<std::string>(), out = given["out"].as<std::string>();
         const auto files = given["files"].as<std::vector<std::string>>();
-        if (command == "compare" && files.size() == 2) return compare(files[0], files[1]);
-        if (files.size() != 1 || files[0].empty()) throw config::ConfigError(command + ": names no file");
+        if (command == "compare" && files.size() == 2)
+            return compare(files[0], files[1]);
+        if (files.size() != 1 || files[0].empty())
+            throw config::ConfigError(command + ": names no file");
         const experiment::Experiment e = experiment::load_experiment(files[0]);
-        if (command == "stand-in") return experiment::serve_stand_ins(e);
+        if (command == "stand-in")
+            return experiment::serve_stand_ins(e);
         if (command == "emulate") {
             write_report(experiment::emulate(e), out);
             return 0;
         }
-        if (command != "run") throw config::ConfigError("no such command: " + command);
+        if (command != "run")
+            throw config::ConfigError("no such command: " + command);
         experiment::Where where;
         where.program = std::filesystem::absolute(given["program"].as<std::string>());
         where.self = std::filesystem::read_symlink("/proc/self/exe");
@@ -88,7 +97,8 @@
         if (given.count("quiet") == 0)
             where.progress = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
         const ordered_json report = experiment::trial(e, where);
-        if (keep.empty()) std::filesystem::remove_all(where.folder);
+        if (keep.empty())
+            std::filesystem::remove_all(where.folder);
         write_report(report, out);
         return 0;
     } catch (const std::exception& e) {
--- a/tools/experiment/rehearsal.hpp
+++ b/tools/experiment/rehearsal.hpp
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
-#include "load_generator/driver.hpp"
-#include "net/http_client.hpp"
+#include "fake_upstream/fleet.hpp"
 #include "fault_injection/child.hpp"
 #include "fault_injection/wire.hpp"
+#include "load_generator/driver.hpp"
+#include "net/http_client.hpp"
 #include "rollout/rollout_state_machine.hpp"
-#include "fake_upstream/fleet.hpp"
 
 namespace cressledge::experiment {
 
--- a/tools/experiment/servers.cpp
+++ b/tools/experiment/servers.cpp
@@ -20,10 +20,12 @@
         n.expects = e.round_trip;
         p.servers.push_back(n);
         // Addresses of their own: what the processes bind is above 127.0.
-        p.addresses.push_back("127.0." + std::to_string(1 + i / 250) + '.' + std::to_string(1 + i % 250) + ":0");
+        p.addresses.push_back("127.0." + std::to_string(1 + i / 250) + '.' + std::to_string(1 + i % 250) +
+                              ":0");
     }
     for (const load_generator::Kind& k : e.kinds)
-        if (k.once) p.once.insert(k.name);
+        if (k.once)
+            p.once.insert(k.name);
     p.seed = e.seed;
     return p;
 }
@@ -31,18 +33,33 @@
 json obey(fake_upstream::Fleet& fleet, const json& command) {
     const std::string what = command.at("do");
     const auto each = [&](const auto& act) {
-        for (const std::size_t s : command.at("servers")) act(s);
+        for (const std::size_t s : command.at("servers"))
+            act(s);
     };
-    if (what == "slow") each([&](std::size_t s) { fleet.slow(s, command.at("by")); });
-    else if (what == "fail" || what == "mend") each([&](std::size_t s) { fleet.fail(s, what == "fail"); });
-    else if (what == "restart") each([&](std::size_t s) { fleet.restart(s, Duration(static_cast<std::int64_t>(command.at("for_s").get<double>() * 1e6))); });
-    else if (what == "observe") fleet.observe(command.at("on"));
-    else if (what != "report") throw std::invalid_argument("no such command");
-    if (what != "report") return {{"done", what}};
+    if (what == "slow")
+        each([&](std::size_t s) { fleet.slow(s, command.at("by")); });
+    else if (what == "fail" || what == "mend")
+        each([&](std::size_t s) { fleet.fail(s, what == "fail"); });
+    else if (what == "restart")
+        each([&](std::size_t s) {
+            fleet.restart(s, Duration(static_cast<std::int64_t>(command.at("for_s").get<double>() * 1e6)));
+        });
+    else if (what == "observe")
+        fleet.observe(command.at("on"));
+    else if (what != "report")
+        throw std::invalid_argument("no such command");
+    if (what != "report")
+        return {{"done", what}};
     const auto& n = fleet.counts();
     return {{"evenness", json_of(fleet.evenness())},
-            {"calls", n.calls}, {"answers", n.answers}, {"errors", n.errors}, {"probes", n.probes},
-            {"given_up", n.given_up}, {"bad", n.bad}, {"doubled", n.doubled}, {"calls_by_server", fleet.calls()}};
+            {"calls", n.calls},
+            {"answers", n.answers},
+            {"errors", n.errors},
+            {"probes", n.probes},
+            {"given_up", n.given_up},
+            {"bad", n.bad},
+            {"doubled", n.doubled},
+            {"calls_by_server", fleet.calls()}};
 }
 
 void say(const json& j) {
@@ -53,14 +70,22 @@
 
 nlohmann::ordered_json json_of(const fake_upstream::Evenness& e) {
     const auto brief = [](double x) { return std::round(x * 1e4) / 1e4; };
-    nlohmann::ordered_json j = {{"worst_p99", brief(e.worst_p99)}, {"worst_max", brief(e.worst_max)}, {"worst_mean", brief(e.worst_mean)},
-                                {"variation", brief(e.variation)}, {"idle", e.idle}, {"looks", e.looks},
+    nlohmann::ordered_json j = {{"worst_p99", brief(e.worst_p99)},
+                                {"worst_max", brief(e.worst_max)},
+                                {"worst_mean", brief(e.worst_mean)},
+                                {"variation", brief(e.variation)},
+                                {"idle", e.idle},
+                                {"looks", e.looks},
                                 {"longest_over_2_s", brief(e.longest_over(2.0))}};
     nlohmann::ordered_json all = nlohmann::ordered_json::array();
     for (const auto& s : e.stretches) {
         std::vector<double> shares;
-        for (const float f : s.shares) shares.push_back(std::round(f * 1e3) / 1e3);
-        all.push_back({{"at_s", brief(s.at_s)}, {"worst", brief(s.worst)}, {"mean", brief(s.mean)}, {"shares", shares}});
+        for (const float f : s.shares)
+            shares.push_back(std::round(f * 1e3) / 1e3);
+        all.push_back({{"at_s", brief(s.at_s)},
+                       {"worst", brief(s.worst)},
+                       {"mean", brief(s.mean)},
+                       {"shares", shares}});
     }
     j["stretches"] = std::move(all);
     return j;
@@ -80,10 +105,12 @@
     input.fleet = &fleet;
     input.loop = &loop;
     uv_pipe_init(loop.uv(), &input.pipe, 0);
-    if (uv_pipe_open(&input.pipe, 0) != 0) throw std::runtime_error("stand-in: no pipe on its standard input");
+    if (uv_pipe_open(&input.pipe, 0) != 0)
+        throw std::runtime_error("stand-in: no pipe on its standard input");
     input.pipe.data = &input;
     std::vector<std::string> addresses;
-    for (std::size_t i = 0; i < fleet.size(); ++i) addresses.push_back(fleet.address(i));
+    for (std::size_t i = 0; i < fleet.size(); ++i)
+        addresses.push_back(fleet.address(i));
     say({{"addresses", addresses}});
     uv_read_start(
         reinterpret_cast<uv_stream_t*>(&input.pipe),
@@ -93,9 +120,11 @@
         },
         [](uv_stream_t* s, ssize_t n, const uv_buf_t* b) {
             auto* in = static_cast<Input*>(s->data);
-            if (n < 0) return in->loop->stop();  // whoever started this has gone
+            if (n < 0)
+                return in->loop->stop();  // whoever started this has gone
             in->got.append(b->base, static_cast<std::size_t>(n));
-            for (std::size_t end; (end = in->got.find('\n')) != std::string::npos; in->got.erase(0, end + 1)) {
+            for (std::size_t end; (end = in->got.find('\n')) != std::string::npos;
+                 in->got.erase(0, end + 1)) {
                 try {
                     say(obey(*in->fleet, json::parse(in->got.substr(0, end))));
                 } catch (const std::exception& bad) {
@@ -107,7 +136,8 @@
     return 0;
 }
 
-Servers::Servers(net::Loop& loop, base::TimerQueue& timers, const std::string& program, const std::string& file)
+Servers::Servers(net::Loop& loop, base::TimerQueue& timers, const std::string& program,
+                 const std::string& file)
     : loop_(loop), timers_(timers), buffer_(65536) {
     uv_pipe_init(loop.uv(), &in_, 0);
     uv_pipe_init(loop.uv(), &out_, 0);
@@ -139,23 +169,29 @@
             *b = uv_buf_init(me->buffer_.data(), static_cast<unsigned>(me->buffer_.size()));
         },
         [](uv_stream_t* s, ssize_t n, const uv_buf_t* b) {
-            if (n > 0) static_cast<Servers*>(s->data)->got_.append(b->base, static_cast<std::size_t>(n));
-            if (n < 0) uv_read_stop(s);
+            if (n > 0)
+                static_cast<Servers*>(s->data)->got_.append(b->base, static_cast<std::size_t>(n));
+            if (n < 0)
+                uv_read_stop(s);
         });
     const json first = next();
-    if (!first.is_object()) throw std::runtime_error("the stand-in servers do not start");
+    if (!first.is_object())
+        throw std::runtime_error("the stand-in servers do not start");
     addresses_ = first.at("addresses").get<std::vector<std::string>>();
 }
 
 Servers::~Servers() {
-    if (pid_ != 0) uv_process_kill(&process_, SIGKILL);
-    while (pid_ != 0) loop_.run_once(true);
+    if (pid_ != 0)
+        uv_process_kill(&process_, SIGKILL);
+    while (pid_ != 0)
+        loop_.run_once(true);
     for (uv_handle_t* h : {reinterpret_cast<uv_handle_t*>(&in_), reinterpret_cast<uv_handle_t*>(&out_),
                            reinterpret_cast<uv_handle_t*>(&process_)}) {
         ++closing_;
         uv_close(h, [](uv_handle_t* closed) { --static_cast<Servers*>(closed->data)->closing_; });
     }
-    while (closing_ > 0) loop_.run_once(true);
+    while (closing_ > 0)
+        loop_.run_once(true);
 }
 
 json Servers::next() {
@@ -173,7 +209,8 @@
             timers_.cancel(bound);
             return j;
         }
-        if (pid_ == 0 || loop_.unix_now() >= end) break;
+        if (pid_ == 0 || loop_.unix_now() >= end)
+            break;
         loop_.run_once(true);
     }
     timers_.cancel(bound);
--- a/tools/fake_upstream/fleet.cpp
+++ b/tools/fake_upstream/fleet.cpp
@@ -39,18 +39,22 @@
         };
     }
     ~Connection() override {
-        if (stream != nullptr) std::exchange(stream, nullptr)->close();
+        if (stream != nullptr)
+            std::exchange(stream, nullptr)->close();
     }
     void on_bytes(std::string_view bytes) override {
-        if (call != 0) return fleet_.gone(no);  // it speaks out of turn
+        if (call != 0)
+            return fleet_.gone(no);  // it speaks out of turn
         const std::size_t n = http_parser_execute(&parser_, &hooks_, bytes.data(), bytes.size());
         if (whole) {
-            if (n < bytes.size()) ++fleet_.counts_.bad;
+            if (n < bytes.size())
+                ++fleet_.counts_.bad;
             whole = false;
             http_parser_pause(&parser_, 0);
             return fleet_.read(*this);
         }
-        if (HTTP_PARSER_ERRNO(&parser_) == HPE_OK) return;
+        if (HTTP_PARSER_ERRNO(&parser_) == HPE_OK)
+            return;
         ++fleet_.counts_.bad;
         fleet_.gone(no);
     }
@@ -59,12 +63,16 @@
         fleet_.gone(no);
     }
     void answer(const char* status, const std::string& load, std::string_view text) {
-        std::string out = std::string("HTTP/1.1 ") + status + "\r\nEndpoint-Load-Metrics: " + load + "\r\nContent-Length: " +
-                          std::to_string(text.size()) + (stays ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n");
+        std::string out = std::string("HTTP/1.1 ") + status + "\r\nEndpoint-Load-Metrics: " + load +
+                          "\r\nContent-Length: " + std::to_string(text.size()) +
+                          (stays ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n");
         out.append(text);
-        if (stream == nullptr) return;
-        if (!stream->write(out)) return fleet_.gone(no);
-        if (!stays) stream->shut_down_writes();
+        if (stream == nullptr)
+            return;
+        if (!stream->write(out))
+            return fleet_.gone(no);
+        if (!stays)
+            stream->shut_down_writes();
     }
 
 private:
@@ -84,16 +92,20 @@
 
 Fleet::Fleet(net::Loop& loop, base::TimerQueue& timers, Plan plan)
     : loop_(loop), timers_(timers), plan_(std::move(plan)), random_(plan_.seed, 5) {
-    for (const Nature& n : plan_.servers) queues_.emplace_back(n);
+    for (const Nature& n : plan_.servers)
+        queues_.emplace_back(n);
     listeners_.resize(queues_.size());
     ports_.resize(queues_.size());
     calls_.resize(queues_.size());
-    for (std::size_t i = 0; i < queues_.size(); ++i) listen(i);
+    for (std::size_t i = 0; i < queues_.size(); ++i)
+        listen(i);
 }
 
 Fleet::~Fleet() {
-    for (auto& [call, handle] : ends_) timers_.cancel(handle);
-    for (auto& [server, handle] : back_) timers_.cancel(handle);
+    for (auto& [call, handle] : ends_)
+        timers_.cancel(handle);
+    for (auto& [server, handle] : back_)
+        timers_.cancel(handle);
     timers_.cancel(look_);
     timers_.cancel(sweep_);
 }
@@ -101,8 +113,9 @@
 void Fleet::listen(std::size_t server) {
     const std::string& where = plan_.addresses.at(server);
     const std::string again = where.substr(0, where.rfind(':') + 1) + std::to_string(ports_[server]);
-    listeners_[server] = std::make_unique<net::Listener>(loop_.uv(), *net::Address::parse(ports_[server] == 0 ? where : again),
-                                                         [this, server] { take(server); });
+    listeners_[server] =
+        std::make_unique<net::Listener>(loop_.uv(), *net::Address::parse(ports_[server] == 0 ? where : again),
+                                        [this, server] { take(server); });
     ports_[server] = listeners_[server]->port();
 }
 
@@ -117,7 +130,8 @@
         Connection& c = *made;
         c.no = connections_.add(std::move(made));
         c.stream = net::Stream::accept(*listeners_[server], c);
-        if (c.stream == nullptr) return connections_.erase(c.no);
+        if (c.stream == nullptr)
+            return connections_.erase(c.no);
     }
 }
 
@@ -126,28 +140,33 @@
     const Timestamp now = loop_.unix_now();
     if (c.url == "/healthz") {
         ++counts_.probes;
-        return c.answer(q.failing() ? "503 x" : "200 x", load_balancing::format_load_report(q.probed(now)), "ok");
+        return c.answer(q.failing() ? "503 x" : "200 x", load_balancing::format_load_report(q.probed(now)),
+                        "ok");
     }
     ++counts_.calls;
     ++calls_[c.server];
-    if (plan_.once.count(c.url.substr(c.url.rfind('/') + 1)) != 0 && !seen_.insert(c.body).second) ++counts_.doubled;
+    if (plan_.once.count(c.url.substr(c.url.rfind('/') + 1)) != 0 && !seen_.insert(c.body).second)
+        ++counts_.doubled;
     c.call = ++last_;
     open_[c.call] = c.no;
     follow(c.server, q.arrive(now, c.call, random_));
 }
 
 void Fleet::follow(std::size_t server, const std::optional<Queue::Begun>& begun) {
-    if (!begun) return;
+    if (!begun)
+        return;
     ends_[begun->call] = timers_.schedule(begun->ends, [this, server, call = begun->call] {
         ends_.erase(call);
         const base::SlotId no = open_[call];
         leave(server, call);
         Connection* c = connections_.find(no);
-        if (c == nullptr) return;
+        if (c == nullptr)
+            return;
         c->call = 0;
         const bool bad = queues_[server].failing();
         ++(bad ? counts_.errors : counts_.answers);
-        c->answer(bad ? "500 x" : "200 x", load_balancing::format_load_report(queues_[server].load()), bad ? "no" : "ok");
+        c->answer(bad ? "500 x" : "200 x", load_balancing::format_load_report(queues_[server].load()),
+                  bad ? "no" : "ok");
     });
 }
 
@@ -162,25 +181,30 @@
 
 void Fleet::gone(base::SlotId no) {
     Connection* c = connections_.find(no);
-    if (c == nullptr) return;
+    if (c == nullptr)
+        return;
     if (c->call != 0) {
         ++counts_.given_up;
         leave(c->server, c->call);
     }
     c->call = 0;
-    if (c->stream != nullptr) std::exchange(c->stream, nullptr)->close();
+    if (c->stream != nullptr)
+        std::exchange(c->stream, nullptr)->close();
     over_.push_back(no);
-    if (sweep_ != 0) return;
+    if (sweep_ != 0)
+        return;
     sweep_ = timers_.schedule(Timestamp(0), [this] {
         sweep_ = 0;
-        for (const base::SlotId over : std::exchange(over_, {})) connections_.erase(over);
+        for (const base::SlotId over : std::exchange(over_, {}))
+            connections_.erase(over);
     });
 }
 
 void Fleet::restart(std::size_t server, Duration gone_for) {
     listeners_.at(server).reset();
     for (const base::SlotId no : connections_.ids())
-        if (Connection* c = connections_.find(no); c->server == server) gone(no);
+        if (Connection* c = connections_.find(no); c->server == server)
+            gone(no);
     auto& back = back_[server];
     timers_.cancel(back);
     back = timers_.schedule(loop_.unix_now() + gone_for, [this, server] {
@@ -193,7 +217,8 @@
 void Fleet::observe(bool on) {
     timers_.cancel(look_);
     look_ = 0;
-    if (!on) return;
+    if (!on)
+        return;
     observer_ = Observer();
     next_look_ = loop_.unix_now();
     look();
@@ -201,7 +226,8 @@
 
 void Fleet::look() {
     // Every one that was due is taken, late or not: a figure over time counts moments, not turns of the loop.
-    for (const Timestamp now = loop_.unix_now(); next_look_ <= now; next_look_ += look_every) observer_.look(queues_);
+    for (const Timestamp now = loop_.unix_now(); next_look_ <= now; next_look_ += look_every)
+        observer_.look(queues_);
     look_ = timers_.schedule(next_look_, [this] { look(); });
 }
 
--- a/tools/fake_upstream/fleet.hpp
+++ b/tools/fake_upstream/fleet.hpp
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "base/slot_map.hpp"
+#include "fake_upstream/observer.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
-#include "fake_upstream/observer.hpp"
 
 namespace cressledge::fake_upstream {
 
--- a/tools/fake_upstream/observer.cpp
+++ b/tools/fake_upstream/observer.cpp
@@ -18,7 +18,8 @@
             from = -1.0;
             continue;
         }
-        if (from < 0.0) from = s.at_s;
+        if (from < 0.0)
+            from = s.at_s;
         last = s.at_s + look_s * looks_a_stretch;
         longest = std::max(longest, last - from);
     }
@@ -50,10 +51,12 @@
     Evenness::Stretch& s = stretches_.back();
     worst_.push_back(all > 0.0 ? static_cast<float>(worst / mean) : 0.0F);
     for (std::size_t i = 0; i < servers.size(); ++i)
-        s.shares[i] += static_cast<float>(servers[i].load().utilization() / static_cast<double>(looks_a_stretch));
+        s.shares[i] +=
+            static_cast<float>(servers[i].load().utilization() / static_cast<double>(looks_a_stretch));
     s.mean += mean / static_cast<double>(looks_a_stretch);
     s.worst += static_cast<double>(worst_.back()) / static_cast<double>(looks_a_stretch);
-    if (sum > 0.0) variation_ += std::sqrt(std::max(0.0, squares / n - sum / n * (sum / n))) / (sum / n);
+    if (sum > 0.0)
+        variation_ += std::sqrt(std::max(0.0, squares / n - sum / n * (sum / n))) / (sum / n);
     idle_ += queues ? static_cast<double>(idle) : 0.0;
 }
 
@@ -61,8 +64,10 @@
     Evenness e;
     e.looks = worst_.size();
     e.stretches = stretches_;
-    if (worst_.size() % looks_a_stretch != 0) e.stretches.pop_back();  // not whole
-    if (worst_.empty()) return e;
+    if (worst_.size() % looks_a_stretch != 0)
+        e.stretches.pop_back();  // not whole
+    if (worst_.empty())
+        return e;
     std::vector<float> sorted = worst_;
     std::sort(sorted.begin(), sorted.end());
     const auto n = static_cast<double>(sorted.size());
--- a/tools/fake_upstream/queue.cpp
+++ b/tools/fake_upstream/queue.cpp
@@ -7,8 +7,10 @@
 namespace cressledge::fake_upstream {
 
 double Queue::speed(Timestamp now) const {
-    if (!cold_since_ || now - *cold_since_ >= nature_.cold_for) return 1.0 / slow_;
-    const double warm = static_cast<double>((now - *cold_since_).count()) / static_cast<double>(nature_.cold_for.count());
+    if (!cold_since_ || now - *cold_since_ >= nature_.cold_for)
+        return 1.0 / slow_;
+    const double warm =
+        static_cast<double>((now - *cold_since_).count()) / static_cast<double>(nature_.cold_for.count());
     return (nature_.cold_speed + (1.0 - nature_.cold_speed) * warm) / slow_;
 }
 
@@ -19,8 +21,10 @@
     else if (nature_.law == Law::exponential)
         s = std::exponential_distribution<>(1.0 / nature_.mean_s)(random);
     else if (nature_.law == Law::lognormal)
-        s = std::lognormal_distribution<>(std::log(nature_.mean_s) - 0.5 * std::log(2.0), std::sqrt(std::log(2.0)))(random);
-    if (!fails_) s /= speed(now);
+        s = std::lognormal_distribution<>(std::log(nature_.mean_s) - 0.5 * std::log(2.0),
+                                          std::sqrt(std::log(2.0)))(random);
+    if (!fails_)
+        s /= speed(now);
     return {call, now + Duration(std::max<std::int64_t>(1, std::llround(s * 1e6)))};
 }
 
@@ -39,9 +43,11 @@
         std::erase_if(waiting_, [call](const auto& w) { return w.first == call; });
         return std::nullopt;
     }
-    latency_ += (latency_ <= 0.0 ? 1.0 : 0.05) * (static_cast<double>((now - it->second).count()) * 1e-6 - latency_);
+    latency_ +=
+        (latency_ <= 0.0 ? 1.0 : 0.05) * (static_cast<double>((now - it->second).count()) * 1e-6 - latency_);
     served_.erase(it);
-    if (waiting_.empty() || served_.size() >= nature_.slots) return std::nullopt;
+    if (waiting_.empty() || served_.size() >= nature_.slots)
+        return std::nullopt;
     const auto [next, since] = waiting_.front();
     waiting_.pop_front();
     served_.emplace(next, since);
--- a/tools/fake_upstream/queue.hpp
+++ b/tools/fake_upstream/queue.hpp
@@ -17,7 +17,11 @@
 using base::Timestamp;
 using upstream_health::Random;
 
-enum class Law { exponential, constant, lognormal };  // of service times; lognormal: of a coefficient of variation of 1
+enum class Law {
+    exponential,
+    constant,
+    lognormal
+};  // of service times; lognormal: of a coefficient of variation of 1
 
 struct Nature {
     unsigned slots = 8;  // calls at once, 1 or more
@@ -51,7 +55,9 @@
     // It begins anew, cold, with nothing in hand.
     void restart(Timestamp now);
 
-    load_balancing::LoadReport load() const { return {static_cast<double>(in_flight()), static_cast<double>(nature_.slots), latency_}; }
+    load_balancing::LoadReport load() const {
+        return {static_cast<double>(in_flight()), static_cast<double>(nature_.slots), latency_};
+    }
     load_balancing::LoadReport probed(Timestamp now);  // its word to a probe
     std::size_t in_flight() const { return served_.size() + waiting_.size(); }
     unsigned slots() const { return nature_.slots; }
--- a/tools/fault_injection/child.hpp
+++ b/tools/fault_injection/child.hpp
@@ -18,7 +18,8 @@
     Child(const Child&) = delete;
     Child& operator=(const Child&) = delete;
     void signal(int signal) {
-        if (running_) uv_process_kill(&handle_, signal);
+        if (running_)
+            uv_process_kill(&handle_, signal);
     }
     bool running() const { return running_; }
     int status() const { return status_; }  // once it has ended by itself; -1: by a signal
--- a/tools/fault_injection/crowd.cpp
+++ b/tools/fault_injection/crowd.cpp
@@ -22,14 +22,16 @@
 // moment ago is taken by nobody else.
 std::uint32_t loopback(std::size_t no, std::uint32_t use) {
     const std::uint32_t second = 1 + 4 * (static_cast<std::uint32_t>(::getpid()) % 60) + use;
-    return 0x7F000000U | second << 16U | static_cast<std::uint32_t>(no / 250) << 8U | static_cast<std::uint32_t>(no % 250 + 1);
+    return 0x7F000000U | second << 16U | static_cast<std::uint32_t>(no / 250) << 8U |
+           static_cast<std::uint32_t>(no % 250 + 1);
 }
 
 }  // namespace
 
 Crowd::Crowd(net::Loop& loop, base::TimerQueue& timers, const Plan& plan)
     : loop_(loop), timers_(timers), plan_(plan), asks_(loop, timers) {
-    if (plan.relay) relay_ = std::make_unique<Relay>(loop, timers, plan.fleet, plan.seed);
+    if (plan.relay)
+        relay_ = std::make_unique<Relay>(loop, timers, plan.fleet, plan.seed);
     std::ofstream(plan_.folder + "/servers.csv") << plan_.servers;
 }
 
@@ -38,7 +40,8 @@
         members_[no]->again = false;
         signal(no, SIGKILL);
     }
-    while (alive_ > 0) loop_.run_once(true);
+    while (alive_ > 0)
+        loop_.run_once(true);
 }
 
 membership::Endpoint Crowd::free_place(std::uint32_t ip) const {
@@ -46,20 +49,27 @@
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in name{};
     socklen_t length = sizeof name;
-    const bool ok = fd >= 0 && ::bind(fd, reinterpret_cast<const sockaddr*>(&any.raw), sizeof(sockaddr_in)) == 0 &&
+    const bool ok = fd >= 0 &&
+                    ::bind(fd, reinterpret_cast<const sockaddr*>(&any.raw), sizeof(sockaddr_in)) == 0 &&
                     ::getsockname(fd, reinterpret_cast<sockaddr*>(&name), &length) == 0;
-    if (fd >= 0) ::close(fd);
-    if (!ok) throw std::runtime_error("no free port on loopback");
+    if (fd >= 0)
+        ::close(fd);
+    if (!ok)
+        throw std::runtime_error("no free port on loopback");
     return {ip, ntohs(name.sin_port)};
 }
 
 void Crowd::write_file(Member& m, const std::vector<std::size_t>& seeds) {
     std::string list;
-    for (const std::size_t s : seeds) list += (list.empty() ? "\"" : ", \"") + membership::to_string(members_[s]->place) + '"';
+    for (const std::size_t s : seeds)
+        list += (list.empty() ? "\"" : ", \"") + membership::to_string(members_[s]->place) + '"';
     std::ofstream(m.file) << "listen: {http: \"" << membership::to_string(m.web) << "\", control: \""
-                          << membership::to_string(m.control) << "\"}\ninventory: servers.csv\n" << plan_.general << "fleet:\n  name: " << plan_.fleet << "\n  id: " << m.id << "\n  gossip: " << membership::to_string(m.own)
+                          << membership::to_string(m.control) << "\"}\ninventory: servers.csv\n"
+                          << plan_.general << "fleet:\n  name: " << plan_.fleet << "\n  id: " << m.id
+                          << "\n  gossip: " << membership::to_string(m.own)
                           << "\n  advertise: " << membership::to_string(m.place) << "\n  seeds: [" << list
-                          << "]\n  probe_ms: " << plan_.probe_ms << '\n' << plan_.more;
+                          << "]\n  probe_ms: " << plan_.probe_ms << '\n'
+                          << plan_.more;
 }
 
 std::size_t Crowd::add(const std::vector<std::size_t>& seeds) {
@@ -86,12 +96,14 @@
     auto* child = new Child;
     child->crowd = this;
     child->handle.data = child;
-    const int log = ::open((plan_.folder + '/' + m.id + ".log").c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
+    const int log =
+        ::open((plan_.folder + '/' + m.id + ".log").c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     uv_stdio_container_t io[3]{};
     io[1].flags = io[2].flags = UV_INHERIT_FD;
     io[1].data.fd = io[2].data.fd = log;
     std::string serve = "serve", option = "--operator";
-    char* argv[] = {const_cast<char*>(plan_.program.c_str()), serve.data(), option.data(), m.file.data(), nullptr};
+    char* argv[] = {const_cast<char*>(plan_.program.c_str()), serve.data(), option.data(), m.file.data(),
+                    nullptr};
     uv_process_options_t options{};
     options.file = plan_.program.c_str();
     options.args = argv;
@@ -100,12 +112,15 @@
     options.exit_cb = [](uv_process_t* p, std::int64_t, int) {
         const auto* c = static_cast<Child*>(p->data);
         c->crowd->ended(p->pid);
-        uv_close(reinterpret_cast<uv_handle_t*>(p), [](uv_handle_t* h) { delete static_cast<Child*>(h->data); });
+        uv_close(reinterpret_cast<uv_handle_t*>(p),
+                 [](uv_handle_t* h) { delete static_cast<Child*>(h->data); });
     };
     const int bad = uv_spawn(loop_.uv(), &child->handle, &options);
-    if (log >= 0) ::close(log);
+    if (log >= 0)
+        ::close(log);
     if (bad != 0) {
-        uv_close(reinterpret_cast<uv_handle_t*>(&child->handle), [](uv_handle_t* h) { delete static_cast<Child*>(h->data); });
+        uv_close(reinterpret_cast<uv_handle_t*>(&child->handle),
+                 [](uv_handle_t* h) { delete static_cast<Child*>(h->data); });
         throw std::runtime_error(plan_.program + ": " + uv_strerror(bad));
     }
     m.pid = child->handle.pid;
@@ -118,11 +133,13 @@
     --alive_;
     for (std::size_t no = 0; no < members_.size(); ++no) {
         Member& m = *members_[no];
-        if (m.pid != pid) continue;
+        if (m.pid != pid)
+            continue;
         m.running = false;
         m.pid = 0;
         crashes_ += m.expected_to_end ? 0 : 1;
-        if (std::exchange(m.again, false)) start(no);
+        if (std::exchange(m.again, false))
+            start(no);
     }
 }
 
@@ -133,7 +150,8 @@
 
 void Crowd::signal(std::size_t no, int signal) {
     Member& m = *members_[no];
-    if (m.pid == 0) return;
+    if (m.pid == 0)
+        return;
     if (signal == SIGKILL || signal == SIGTERM) {
         m.expected_to_end = true;
         m.running = false;
@@ -143,26 +161,32 @@
 
 void Crowd::ask(std::size_t no, const std::string& path, std::function<void(const std::string&)> told) {
     asks_.get(gossip::to_address(members_[no]->control), path, loop_.unix_now() + answer_within,
-              [told = std::move(told)](const net::HttpClient::Response& r) { told(r.status == 200 ? r.body : std::string()); });
+              [told = std::move(told)](const net::HttpClient::Response& r) {
+                  told(r.status == 200 ? r.body : std::string());
+              });
 }
 
 std::vector<std::size_t> Crowd::all_running() const {
     std::vector<std::size_t> all;
     for (std::size_t no = 0; no < members_.size(); ++no)
-        if (members_[no]->running) all.push_back(no);
+        if (members_[no]->running)
+            all.push_back(no);
     return all;
 }
 
 void Crowd::run(Timestamp until) {
     base::TimerQueue::Handle end = timers_.schedule(until, [] {});
-    while (loop_.unix_now() < until) loop_.run_once(true);
+    while (loop_.unix_now() < until)
+        loop_.run_once(true);
     timers_.cancel(end);
 }
 
 std::vector<std::optional<Timestamp>> Crowd::until_seen(const std::vector<std::size_t>& whom,
-                                                   const std::vector<std::size_t>& expected, Timestamp bound) {
+                                                        const std::vector<std::size_t>& expected,
+                                                        Timestamp bound) {
     std::uint64_t digest = 0;
-    for (const std::size_t no : expected) digest += membership::MembershipTable::member_digest(members_[no]->id, members_[no]->place);
+    for (const std::size_t no : expected)
+        digest += membership::MembershipTable::member_digest(members_[no]->id, members_[no]->place);
     const std::string want = fmt::format("{:016x}", digest);
     struct Looks {
         std::vector<std::optional<Timestamp>> seen;
@@ -176,12 +200,14 @@
     looks->missing = whom.size();
     while (looks->missing > 0 && loop_.unix_now() < bound) {
         for (std::size_t i = 0; i < whom.size(); ++i) {
-            if (looks->seen[i] || looks->asking[i]) continue;
+            if (looks->seen[i] || looks->asking[i])
+                continue;
             looks->asking[i] = true;
             ask(whom[i], "/v1/fleet?brief", [this, looks, i, want](const std::string& body) {
                 looks->asking[i] = false;
                 const auto j = nlohmann::json::parse(body, nullptr, false);
-                if (!j.is_object() || looks->seen[i] || j.value("digest", "") != want) return;
+                if (!j.is_object() || looks->seen[i] || j.value("digest", "") != want)
+                    return;
                 looks->seen[i] = loop_.unix_now();
                 --looks->missing;
             });
@@ -201,7 +227,8 @@
     std::map<std::string, std::uint64_t> all;
     auto done = std::make_shared<std::optional<std::string>>();
     ask(no, "/v1/metrics", [done](const std::string& body) { *done = body; });
-    while (!*done) loop_.run_once(true);
+    while (!*done)
+        loop_.run_once(true);
     for (std::size_t at = 0; at < (*done)->size();) {
         const std::size_t end = std::min((*done)->find('\n', at), (*done)->size());
         const std::string line = (*done)->substr(at, end - at);
@@ -214,7 +241,8 @@
 
 std::uint64_t Crowd::sum(const std::string& figure) {
     std::uint64_t n = 0;
-    for (const std::size_t no : all_running()) n += figures(no)[figure];
+    for (const std::size_t no : all_running())
+        n += figures(no)[figure];
     return n;
 }
 
--- a/tools/fault_injection/crowd.hpp
+++ b/tools/fault_injection/crowd.hpp
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
+#include "fault_injection/relay.hpp"
 #include "membership/membership_table.hpp"
 #include "net/http_client.hpp"
 #include "net/loop.hpp"
-#include "fault_injection/relay.hpp"
 
 namespace cressledge::fault_injection {
 
@@ -26,9 +26,10 @@
     int probe_ms = 250;
     std::string more;  // further lines of the section `fleet`, each indented
     // The rest of each operator's file: all but `listen`, `inventory` and `fleet`.
-    std::string general = "cores: 1\nstop_ms: 2500\nconnections: 16\nadmission: {descriptors: 256}\n"
-                          "routing: {probes: false, watch_ms: 0}\nclasses:\n"
-                          "  - {name: trail-sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\n";
+    std::string general =
+        "cores: 1\nstop_ms: 2500\nconnections: 16\nadmission: {descriptors: 256}\n"
+        "routing: {probes: false, watch_ms: 0}\nclasses:\n"
+        "  - {name: trail-sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\n";
     std::string servers = "name,address,protocol,group\nnone,127.0.0.1:9,http,g\n";  // the inventory
     bool doors = false;  // each process has a front at a port that is known (door)
     std::uint64_t seed = 1;
@@ -60,7 +61,8 @@
     // Turns the loop until every process of `whom` says it sees exactly `expected` alive and nobody suspect, or until
     // `bound`. When each was first seen to say so; none: it was not.
     std::vector<std::optional<Timestamp>> until_seen(const std::vector<std::size_t>& whom,
-                                                const std::vector<std::size_t>& expected, Timestamp bound);
+                                                     const std::vector<std::size_t>& expected,
+                                                     Timestamp bound);
     bool agreed(Duration within);  // all that run, of all that run
     std::vector<std::size_t> all_running() const;
     void run(Timestamp until);
--- a/tools/fault_injection/relay.cpp
+++ b/tools/fault_injection/relay.cpp
@@ -21,16 +21,19 @@
     Pipe(Relay& r, std::size_t t) : relay(r), to(t), near(*this), far(*this) {}
     ~Pipe() {
         for (End* e : {&near, &far})
-            if (e->stream != nullptr) std::exchange(e->stream, nullptr)->close();
+            if (e->stream != nullptr)
+                std::exchange(e->stream, nullptr)->close();
     }
     void opened() {
         far_open = true;
-        if (!first.empty()) far.stream->write(first);
+        if (!first.empty())
+            far.stream->write(first);
         first.clear();
     }
     void came(End& from, std::string_view bytes) {
         if (&from == &far) {
-            if (near.stream == nullptr || !near.stream->write(bytes)) relay.end(no);
+            if (near.stream == nullptr || !near.stream->write(bytes))
+                relay.end(no);
             return;
         }
         if (far_open) {
@@ -38,10 +41,13 @@
             return;
         }
         first.append(bytes);
-        if (far.stream != nullptr || first.size() < gossip::frame_header_bytes) return;
+        if (far.stream != nullptr || first.size() < gossip::frame_header_bytes)
+            return;
         const std::size_t n = gossip::decode_frame_length(first);
-        if (first.size() < n + gossip::frame_header_bytes) return;
-        const auto m = membership::decode(std::string_view(first).substr(gossip::frame_header_bytes, n), relay.fleet_, membership::max_exchange_bytes);
+        if (first.size() < n + gossip::frame_header_bytes)
+            return;
+        const auto m = membership::decode(std::string_view(first).substr(gossip::frame_header_bytes, n),
+                                          relay.fleet_, membership::max_exchange_bytes);
         const auto* who = std::get_if<membership::Message>(&m);
         const auto sender = who == nullptr ? relay.numbers_.end() : relay.numbers_.find(who->sender.id);
         const bool through = sender != relay.numbers_.end() && relay.cuts_.count({sender->second, to}) == 0 &&
@@ -51,8 +57,10 @@
             return relay.end(no);
         }
         ++relay.counts_.connections;
-        far.stream = net::Stream::connect(relay.loop_.uv(), gossip::to_address(relay.processes_[to]->own), far);
-        if (far.stream == nullptr) relay.end(no);
+        far.stream =
+            net::Stream::connect(relay.loop_.uv(), gossip::to_address(relay.processes_[to]->own), far);
+        if (far.stream == nullptr)
+            relay.end(no);
     }
 
     Relay& relay;
@@ -67,7 +75,8 @@
     : loop_(loop), timers_(timers), fleet_(std::move(fleet)), random_(seed) {}
 
 Relay::~Relay() {
-    for (base::TimerQueue::Handle h : delayed_) timers_.cancel(h);
+    for (base::TimerQueue::Handle h : delayed_)
+        timers_.cancel(h);
 }
 
 membership::Endpoint Relay::add(const std::string& id, const membership::Endpoint& own, std::uint32_t ip) {
@@ -93,13 +102,18 @@
 void Relay::harm(const std::string& from, const std::string& to, const Harm& one) {
     harms_[{number(from), number(to)}] = one;
 }
-void Relay::cut(const std::string& from, const std::string& to) { cuts_.insert({number(from), number(to)}); }
+void Relay::cut(const std::string& from, const std::string& to) {
+    cuts_.insert({number(from), number(to)});
+}
 void Relay::part(const std::set<std::string>& some) {
     for (std::size_t a = 0; a < processes_.size(); ++a)
         for (std::size_t b = 0; b < processes_.size(); ++b)
-            if (some.count(processes_[a]->id) != some.count(processes_[b]->id)) cuts_.insert({a, b});
+            if (some.count(processes_[a]->id) != some.count(processes_[b]->id))
+                cuts_.insert({a, b});
+}
+void Relay::heal() {
+    cuts_.clear();
 }
-void Relay::heal() { cuts_.clear(); }
 
 void Relay::heard(std::size_t to, std::string_view bytes, const net::Address& from) {
     const auto sender = owners_.find(gossip::to_endpoint(from));
@@ -126,7 +140,9 @@
             pass(link.first, to, std::string(bytes));
             continue;
         }
-        const Duration delay = h.least + Duration(static_cast<std::int64_t>(chance() * static_cast<double>((h.most - h.least).count())));
+        const Duration delay =
+            h.least +
+            Duration(static_cast<std::int64_t>(chance() * static_cast<double>((h.most - h.least).count())));
         auto handle = std::make_shared<base::TimerQueue::Handle>(0);
         *handle = timers_.schedule(loop_.unix_now() + delay, [this, link, handle, b = std::string(bytes)] {
             delayed_.erase(*handle);
@@ -146,9 +162,12 @@
     Pipe* pipe = made.get();
     pipe->no = pipes_.add(std::move(made));
     pipe->near.stream = net::Stream::accept(*processes_[to]->listener, pipe->near);
-    if (pipe->near.stream == nullptr) pipes_.erase(pipe->no);
+    if (pipe->near.stream == nullptr)
+        pipes_.erase(pipe->no);
 }
 
-void Relay::end(base::SlotId no) { pipes_.erase(no); }
+void Relay::end(base::SlotId no) {
+    pipes_.erase(no);
+}
 
 }  // namespace cressledge::fault_injection
--- a/tools/fault_injection/relay.hpp
+++ b/tools/fault_injection/relay.hpp
@@ -7,16 +7,15 @@
 
 #include <map>
 #include <memory>
+#include <pcg_random.hpp>
 #include <set>
 #include <string>
 #include <vector>
 
-#include <pcg_random.hpp>
-
 #include "base/slot_map.hpp"
 #include "membership/message.hpp"
-#include "net/udp_socket.hpp"
 #include "net/loop.hpp"
+#include "net/udp_socket.hpp"
 
 namespace cressledge::fault_injection {
 
--- a/tools/fault_injection/wire.cpp
+++ b/tools/fault_injection/wire.cpp
@@ -16,10 +16,12 @@
         End& other() { return &pair.near == this ? pair.far : pair.near; }
         void on_open() override {
             open = true;
-            if (!held.empty()) stream->write(std::exchange(held, {}));
+            if (!held.empty())
+                stream->write(std::exchange(held, {}));
         }
         void on_bytes(std::string_view b) override {
-            if (pair.wire.cut_) return;  // lost
+            if (pair.wire.cut_)
+                return;  // lost
             End& o = other();
             if (o.open && o.stream != nullptr)
                 o.stream->write(b);
@@ -28,21 +30,26 @@
         }
         void on_end(bool) override {
             stream = nullptr;
-            if (!pair.wire.cut_) pair.end();
+            if (!pair.wire.cut_)
+                pair.end();
         }
     };
     Pair(Wire& w) : wire(w), near(*this), far(*this) {}
     ~Pair() {
         for (End* e : {&near, &far})
-            if (e->stream != nullptr) std::exchange(e->stream, nullptr)->close();
+            if (e->stream != nullptr)
+                std::exchange(e->stream, nullptr)->close();
     }
     void end() {
-        if (std::exchange(over, true)) return;
+        if (std::exchange(over, true))
+            return;
         wire.over_.push_back(no);
-        if (wire.sweep_ != 0) return;
+        if (wire.sweep_ != 0)
+            return;
         wire.sweep_ = wire.timers_.schedule(base::Timestamp(0), [w = &wire] {
             w->sweep_ = 0;
-            for (const base::SlotId gone : std::exchange(w->over_, {})) w->pairs_.erase(gone);
+            for (const base::SlotId gone : std::exchange(w->over_, {}))
+                w->pairs_.erase(gone);
         });
     }
     Wire& wire;
@@ -52,32 +59,43 @@
 };
 
 Wire::Wire(net::Loop& loop, base::TimerQueue& timers, const net::Address& to, std::uint64_t seed)
-    : loop_(loop), timers_(timers), to_(to), random_(seed, 29),
+    : loop_(loop),
+      timers_(timers),
+      to_(to),
+      random_(seed, 29),
       listener_(loop.uv(), *net::Address::parse("127.0.0.1:0"), [this] { take(); }) {}
 
-Wire::~Wire() { timers_.cancel(sweep_); }
+Wire::~Wire() {
+    timers_.cancel(sweep_);
+}
 
 void Wire::take() {
     auto made = std::make_unique<Pair>(*this);
     Pair& p = *made;
     p.near.stream = net::Stream::accept(listener_, p.near);
-    if (p.near.stream == nullptr) return;
+    if (p.near.stream == nullptr)
+        return;
     p.near.open = true;
     p.no = pairs_.add(std::move(made));
     const bool lost = random_() < loss_ * 4294967296.0;
     harmed_ += cut_ || lost ? 1 : 0;
-    if (cut_) return;  // it hangs
-    if (lost) return p.end();
+    if (cut_)
+        return;  // it hangs
+    if (lost)
+        return p.end();
     ++passed_;
     p.far.stream = net::Stream::connect(loop_.uv(), to_, p.far);
-    if (p.far.stream == nullptr) p.end();
+    if (p.far.stream == nullptr)
+        p.end();
 }
 
 void Wire::cut(bool on) {
     cut_ = on;
-    if (on) return;
+    if (on)
+        return;
     // What hung is broken off: its caller asks again.
-    for (const base::SlotId no : pairs_.ids()) pairs_.find(no)->end();
+    for (const base::SlotId no : pairs_.ids())
+        pairs_.find(no)->end();
 }
 
 }  // namespace cressledge::fault_injection
--- a/tools/fault_injection/wire.hpp
+++ b/tools/fault_injection/wire.hpp
@@ -4,10 +4,9 @@
 
 #include <map>
 #include <memory>
-#include <vector>
-#include <string>
-
 #include <pcg_random.hpp>
+#include <string>
+#include <vector>
 
 #include "base/slot_map.hpp"
 #include "net/loop.hpp"
--- a/tools/load_generator/arrivals.hpp
+++ b/tools/load_generator/arrivals.hpp
@@ -3,11 +3,10 @@
 #pragma once
 
 #include <cmath>
+#include <pcg_random.hpp>
 #include <string>
 #include <vector>
 
-#include <pcg_random.hpp>
-
 #include "base/timer_queue.hpp"
 
 namespace cressledge::load_generator {
@@ -27,19 +26,22 @@
 public:
     Arrivals(double rate_s, unsigned run, std::vector<Kind> kinds, std::uint64_t seed)
         : rate_(rate_s), run_(run), kinds_(std::move(kinds)), random_(seed, 11) {
-        for (const Kind& k : kinds_) shares_ += k.share;
+        for (const Kind& k : kinds_)
+            shares_ += k.share;
     }
     void rate(double rate_s) { rate_ = rate_s; }
     double rate() const { return rate_; }
     // The moment of the next run after one at `after`; at least a microsecond later.
     Timestamp next(Timestamp after) {
-        return after + Duration(std::max<std::int64_t>(1, std::llround(-std::log(uniform()) * run_ / rate_ * 1e6)));
+        return after +
+               Duration(std::max<std::int64_t>(1, std::llround(-std::log(uniform()) * run_ / rate_ * 1e6)));
     }
     unsigned run() const { return run_; }
     std::size_t kind() {  // of one request
         double at = uniform() * shares_;
         for (std::size_t k = 0; k + 1 < kinds_.size(); ++k)
-            if ((at -= kinds_[k].share) < 0.0) return k;
+            if ((at -= kinds_[k].share) < 0.0)
+                return k;
         return kinds_.size() - 1;
     }
     std::uint32_t pick(std::uint32_t n) { return random_(n); }
--- a/tools/load_generator/driver.cpp
+++ b/tools/load_generator/driver.cpp
@@ -15,8 +15,10 @@
 }
 
 End end_of(unsigned status) {
-    if (status >= 200 && status < 300) return End::ok;
-    if (status == 503 || status == 429) return End::refused;
+    if (status >= 200 && status < 300)
+        return End::ok;
+    if (status == 503 || status == 429)
+        return End::refused;
     return status == 504 ? End::out_of_time : End::failed;
 }
 
@@ -38,31 +40,38 @@
     }
     ~Connection() override {
         driver_.timers_.cancel(rest);
-        if (stream != nullptr) std::exchange(stream, nullptr)->close();
+        if (stream != nullptr)
+            std::exchange(stream, nullptr)->close();
     }
     void ask(const std::string& text) {
         request = text;
-        if (open && !stream->write(request)) on_end(false);
+        if (open && !stream->write(request))
+            on_end(false);
     }
     void on_open() override {
         open = true;
-        if (busy) stream->write(request);
+        if (busy)
+            stream->write(request);
     }
     void on_bytes(std::string_view bytes) override {
-        if (!busy) return driver_.drop(no);
+        if (!busy)
+            return driver_.drop(no);
         http_parser_execute(&parser_, &hooks_, bytes.data(), bytes.size());
         if (whole) {
             whole = false;
             http_parser_pause(&parser_, 0);
             return driver_.ended(*this, end_of(parser_.status_code));
         }
-        if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK) on_end(false);
+        if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK)
+            on_end(false);
     }
     void on_end(bool) override {
-        if (stream != nullptr) stream->close();
+        if (stream != nullptr)
+            stream->close();
         stream = nullptr;
         stays = false;
-        if (busy) return driver_.ended(*this, End::lost);
+        if (busy)
+            return driver_.ended(*this, End::lost);
         driver_.drop(no);
     }
 
@@ -84,7 +93,11 @@
 };
 
 Driver::Driver(net::Loop& loop, base::TimerQueue& timers, Arrivals arrivals, std::size_t most)
-    : loop_(loop), timers_(timers), arrivals_(std::move(arrivals)), most_(most), records_(arrivals_.kinds().size()) {}
+    : loop_(loop),
+      timers_(timers),
+      arrivals_(std::move(arrivals)),
+      most_(most),
+      records_(arrivals_.kinds().size()) {}
 
 Driver::~Driver() {
     timers_.cancel(next_);
@@ -107,19 +120,24 @@
 }
 Record Driver::total() const {
     Record all;
-    for (const Record& r : records_) all.add(r);
+    for (const Record& r : records_)
+        all.add(r);
     return all;
 }
 
 void Driver::come() {
     for (const Timestamp now = loop_.unix_now(); on_ && due_ <= now; due_ = arrivals_.next(due_))
-        for (unsigned k = 0; k < arrivals_.run(); ++k) send(due_);
-    if (on_) next_ = timers_.schedule(due_, [this] { come(); });
+        for (unsigned k = 0; k < arrivals_.run(); ++k)
+            send(due_);
+    if (on_)
+        next_ = timers_.schedule(due_, [this] { come(); });
 }
 
 void Driver::send(Timestamp due) {
-    if (doors_.empty()) return;
-    const std::size_t kind = arrivals_.kind(), where = arrivals_.pick(static_cast<std::uint32_t>(doors_.size()));
+    if (doors_.empty())
+        return;
+    const std::size_t kind = arrivals_.kind(),
+                      where = arrivals_.pick(static_cast<std::uint32_t>(doors_.size()));
     const net::Address& door = doors_[where];
     Connection* c = nullptr;
     // The one used last is the least likely to have been closed.
@@ -144,38 +162,46 @@
     ++waiting_;
     ++sent_;
     const std::string body = "r" + std::to_string(++serial_);
-    const std::string text = "POST /v1/" + arrivals_.kinds()[kind].name + " HTTP/1.1\r\nHost: map\r\nContent-Length: " +
-                             std::to_string(body.size()) + "\r\n\r\n" + body;
+    const std::string text = "POST /v1/" + arrivals_.kinds()[kind].name +
+                             " HTTP/1.1\r\nHost: map\r\nContent-Length: " + std::to_string(body.size()) +
+                             "\r\n\r\n" + body;
     if (c->stream == nullptr) {
         c->request = text;
         c->stream = net::Stream::connect(loop_.uv(), door, *c);
-        if (c->stream == nullptr) ended(*c, End::lost);
+        if (c->stream == nullptr)
+            ended(*c, End::lost);
         return;
     }
     c->ask(text);
 }
 
 void Driver::ended(Connection& c, End end) {
-    if (!c.busy) return;
+    if (!c.busy)
+        return;
     c.busy = false;
     --waiting_;
     const Duration took = loop_.unix_now() - c.due;
     if (c.due >= counted_from_) {
         records_[c.kind].add(end, took);
-        if (on_end) on_end(c.kind, c.door_no, end, took);
+        if (on_end)
+            on_end(c.kind, c.door_no, end, took);
     }
-    if (!c.stays || c.stream == nullptr) return drop(c.no);
+    if (!c.stays || c.stream == nullptr)
+        return drop(c.no);
     idle_[key(c.door)].push_back(c.no);
     c.rest = timers_.schedule(loop_.unix_now() + rests_for, [this, no = c.no] { drop(no); });
 }
 
 void Driver::drop(base::SlotId no) {
-    if (Connection* c = connections_.find(no); c != nullptr) std::erase(idle_[key(c->door)], no);
+    if (Connection* c = connections_.find(no); c != nullptr)
+        std::erase(idle_[key(c->door)], no);
     over_.push_back(no);
-    if (sweep_ != 0) return;
+    if (sweep_ != 0)
+        return;
     sweep_ = timers_.schedule(Timestamp(0), [this] {
         sweep_ = 0;
-        for (const base::SlotId over : std::exchange(over_, {})) connections_.erase(over);
+        for (const base::SlotId over : std::exchange(over_, {}))
+            connections_.erase(over);
     });
 }
 
--- a/tools/load_generator/record.hpp
+++ b/tools/load_generator/record.hpp
@@ -24,9 +24,11 @@
 
 private:
     using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
-    using Histogram = decltype(boost::histogram::make_histogram_with(std::vector<std::uint64_t>(), std::declval<Axis>()));
+    using Histogram =
+        decltype(boost::histogram::make_histogram_with(std::vector<std::uint64_t>(), std::declval<Axis>()));
     static Histogram empty() {
-        return boost::histogram::make_histogram_with(std::vector<std::uint64_t>(), Axis(698, 0.1, 100'000.0, "ms"));
+        return boost::histogram::make_histogram_with(std::vector<std::uint64_t>(),
+                                                     Axis(698, 0.1, 100'000.0, "ms"));
     }
     Histogram took_ = empty();
     std::uint64_t counts_[5] = {};
