--- a/bench/load_balancing_bench.cpp
+++ b/bench/load_balancing_bench.cpp
@@ -18,7 +18,7 @@
     by.build(capacities);
     upstream_health::Random random(1);
     std::vector<std::uint32_t> asked;
-    std::vector<std::pair<HostId, load_balancing::LoadReport>> answers;
+    std::vector<load_balancing::ProbeAnswer> answers;
     for (auto _ : state) {
         by.sample(random, 5, asked);
         answers.clear();
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -15,8 +15,7 @@
 
 }  // namespace
 
-void collect_class_metrics(const request::RequestManager& server,
-                           std::vector<std::pair<std::string, std::uint64_t>>& out) {
+void collect_class_metrics(const request::RequestManager& server, base::Metrics& out) {
     const auto& by_class = server.counts_by_class();
     const auto add_class = [&](const std::string& name, const request::RequestManager::ClassCounts& n) {
         const std::string at = "node.responses." + name + '.';
@@ -33,8 +32,7 @@
     out.emplace_back("node.active", server.unanswered_count());
 }
 
-void collect_latency_metrics(const request::RequestManager& server,
-                             std::vector<std::pair<std::string, std::uint64_t>>& out) {
+void collect_latency_metrics(const request::RequestManager& server, base::Metrics& out) {
     for (const auto& [name, counts] : server.counts_by_class()) {
         out.emplace_back("node.responses." + name + ".late", counts.served_late);
         for (std::size_t i = 0; i < base::LatencyHistogram::bucket_count; ++i)
@@ -208,7 +206,7 @@
             return connection.reply("200 OK", "ready\n");
         return connection.reply("503 Service Unavailable", "not ready\n");
     }
-    std::vector<std::pair<std::string, std::uint64_t>> metrics;
+    base::Metrics metrics;
     source_.collect_metrics(metrics);
     std::string body;
     for (const auto& [name, value] : metrics)
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -10,6 +10,7 @@
 #include <utility>
 #include <vector>
 
+#include "base/metric.hpp"
 #include "base/slot_map.hpp"
 #include "base/timer_queue.hpp"
 #include "connection_admission/file_descriptor_budget.hpp"
@@ -24,7 +25,7 @@
     virtual ~AdminSource() = default;
     virtual bool is_ready() = 0;  // this process can serve
     // Names and values as of now; names are words of letters, digits, dots, dashes and underscores.
-    virtual void collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) = 0;
+    virtual void collect_metrics(base::Metrics& out) = 0;
     // The view of the fleet as JSON, without its members where `brief` (the query `?brief`); none: there is none.
     virtual std::optional<std::string> membership_json(bool /*brief*/) { return std::nullopt; }
     // A call of the source's own, with its body; none: there is no such call.
@@ -39,12 +40,10 @@
 };
 
 // The figures of the core: answers and tries of each class, and what is open.
-void collect_class_metrics(const request::RequestManager& server,
-                           std::vector<std::pair<std::string, std::uint64_t>>& out);
+void collect_class_metrics(const request::RequestManager& server, base::Metrics& out);
 // And how long the served took: `node.responses.CLASS.late`, and `node.took.CLASS.US` for each bin that has any, US being
 // its upper end in microseconds (request::Times).
-void collect_latency_metrics(const request::RequestManager& server,
-                             std::vector<std::pair<std::string, std::uint64_t>>& out);
+void collect_latency_metrics(const request::RequestManager& server, base::Metrics& out);
 
 class AdminServer {
 public:
--- a/src/frontend/shutdown_coordinator.cpp
+++ b/src/frontend/shutdown_coordinator.cpp
@@ -31,8 +31,7 @@
     });
 }
 
-void ShutdownCoordinator::collect_connection_metrics(
-    std::vector<std::pair<std::string, std::uint64_t>>& out) const {
+void ShutdownCoordinator::collect_connection_metrics(base::Metrics& out) const {
     static constexpr std::pair<const char*, std::uint64_t ClosedConnectionCounts::*> counters[] = {
         {"malformed", &ClosedConnectionCounts::malformed_requests},
         {"overdue", &ClosedConnectionCounts::request_timeouts},
--- a/src/frontend/shutdown_coordinator.hpp
+++ b/src/frontend/shutdown_coordinator.hpp
@@ -7,6 +7,7 @@
 #include <utility>
 #include <vector>
 
+#include "base/metric.hpp"
 #include "frontend/frontend.hpp"
 
 namespace cressledge::frontend {
@@ -24,7 +25,7 @@
     }
     void start_graceful_shutdown();
     // What ended connections, over all fronts: `node.connections.X`.
-    void collect_connection_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) const;
+    void collect_connection_metrics(base::Metrics& out) const;
 
 private:
     void advance_drain();
--- a/src/gossip/gossip_node.cpp
+++ b/src/gossip/gossip_node.cpp
@@ -300,7 +300,7 @@
            (bytes_by_second.size() - 1);
 }
 
-void GossipNode::append_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) {
+void GossipNode::append_metrics(base::Metrics& out) {
     const base::Timestamp now = loop_.unix_now();
     const auto add = [&out](const char* name, std::uint64_t n) {
         out.emplace_back(std::string("fleet.") + name, n);
--- a/src/gossip/gossip_node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -11,6 +11,7 @@
 #include <utility>
 #include <vector>
 
+#include "base/metric.hpp"
 #include "base/slot_map.hpp"
 #include "connection_admission/file_descriptor_budget.hpp"
 #include "gossip/transport.hpp"
@@ -50,7 +51,7 @@
     }
     void leave();
     const membership::MembershipTable& membership() const { return *membership_; }
-    void append_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out);
+    void append_metrics(base::Metrics& out);
     std::string status_json(bool brief);  // JSON: self, digest, counts, and unless brief the members
 
 private:
--- a/src/load_balancing/load_probes.cpp
+++ b/src/load_balancing/load_probes.cpp
@@ -83,12 +83,12 @@
     return calls_per_probe_ * static_cast<double>(probe_times_.size());
 }
 
-HostId least_loaded(const std::vector<std::pair<HostId, LoadReport>>& answers) {
+HostId least_loaded(const std::vector<ProbeAnswer>& answers) {
     const auto least = std::min_element(answers.begin(), answers.end(), [](const auto& a, const auto& b) {
-        const double x = a.second.utilization(1.0), y = b.second.utilization(1.0);
-        return x != y ? x < y : a.second.latency_s < b.second.latency_s;
+        const double x = a.load.utilization(1.0), y = b.load.utilization(1.0);
+        return x != y ? x < y : a.load.latency_s < b.load.latency_s;
     });
-    return least == answers.end() ? no_host : least->first;
+    return least == answers.end() ? no_host : least->host_id;
 }
 
 void WeightedSampler::build(const std::vector<double>& weights) {
--- a/src/load_balancing/load_probes.hpp
+++ b/src/load_balancing/load_probes.hpp
@@ -93,8 +93,15 @@
     std::deque<Timestamp> probe_times_;
 };
 
-// Of a call's own probes: the least share with this call in it, then the least latency, then the first. nobody: none.
-HostId least_loaded(const std::vector<std::pair<HostId, LoadReport>>& answers);
+/// What a host answered to a load probe.
+struct ProbeAnswer {
+    HostId host_id = no_host;
+    LoadReport load;
+};
+
+/// Of a call's own probes: the host with the lowest utilization, this call included, then the lowest latency, then the
+/// first one. `no_host` without an answer.
+HostId least_loaded(const std::vector<ProbeAnswer>& answers);
 
 // Servers by chance in proportion to their capacity: those of 4 are asked four times as often as those of 1, which
 // keeps what each is offered in step with what it can do. Alias method (Vose, 1991): O(1) a draw, O(n) to make.
--- a/src/platform/platform_node.cpp
+++ b/src/platform/platform_node.cpp
@@ -85,7 +85,7 @@
     return request_manager_.started() && !request_manager_.draining();
 }
 
-void PlatformNode::collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) {
+void PlatformNode::collect_metrics(base::Metrics& out) {
     admin::collect_class_metrics(request_manager_, out);
     shutdown_coordinator_.collect_connection_metrics(out);
     out.emplace_back("node.config_applied", configurations_applied_);
--- a/src/platform/platform_node.hpp
+++ b/src/platform/platform_node.hpp
@@ -4,6 +4,7 @@
 #include <optional>
 
 #include "admin/admin_server.hpp"
+#include "base/metric.hpp"
 #include "config/node.hpp"
 #include "frontend/connection_admitter.hpp"
 #include "frontend/shutdown_coordinator.hpp"
@@ -25,7 +26,7 @@
     std::size_t generation_count() const { return request_manager_.generation_count(); }
     int admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
     bool is_ready() override;
-    void collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) override;
+    void collect_metrics(base::Metrics& out) override;
 
 private:
     const config::NodeConfig config_;  // as at the start
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -223,8 +223,7 @@
 }
 
 // Each is told and has answered, or has not by its time: the next look shows what became of it.
-void RolloutController::send_spec_updates(
-    const std::vector<std::pair<std::string, supervisor::ProcessSpec>>& set) {
+void RolloutController::send_spec_updates(const std::vector<ProcessAssignment>& set) {
     const base::Timestamp by = loop_.unix_now() + request_timeout;
     for (const auto& [id, spec] : set) {
         const std::string body =
@@ -259,10 +258,10 @@
         if (!state_machine_) {
             // Every supervisor has to be there at the beginning: whom it does not know of, a roll cannot change.
             std::set<std::size_t> here;
-            std::vector<std::pair<std::string, supervisor::ProcessSpec>> fleet;
+            std::vector<ProcessAssignment> fleet;
             for (const auto& [id, l] : observations_)
                 if (l.is_reachable && has_lease_[process_locations_[id].supervisor_index])
-                    fleet.emplace_back(id, l.active_spec),
+                    fleet.push_back({id, l.active_spec}),
                         here.insert(process_locations_[id].supervisor_index);
             if (here.size() < supervisor_addresses_.size()) {
                 if (!any || loop_.unix_now() - started_at_ > base::Duration(10'000'000)) {
--- a/src/rollout/rollout_controller.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -41,7 +41,7 @@
     bool update_leases(bool held);
     void release_leases();
     void save_state();
-    void send_spec_updates(const std::vector<std::pair<std::string, supervisor::ProcessSpec>>& set);
+    void send_spec_updates(const std::vector<ProcessAssignment>& set);
     void sleep_until(base::Timestamp until);
 
     net::Loop& loop_;
--- a/src/rollout/rollout_state_machine.cpp
+++ b/src/rollout/rollout_state_machine.cpp
@@ -99,8 +99,7 @@
     return text;
 }
 
-RolloutStateMachine::RolloutStateMachine(const RolloutPlan& plan,
-                                         const std::vector<std::pair<std::string, ProcessSpec>>& fleet)
+RolloutStateMachine::RolloutStateMachine(const RolloutPlan& plan, const std::vector<ProcessAssignment>& fleet)
     : plan_(plan) {
     state_.name = plan.name;
     state_.plan_digest = compute_plan_digest(plan);
@@ -228,7 +227,7 @@
     if (const auto asked = last_update_requests_.find(m.id);
         asked != last_update_requests_.end() && now - asked->second < update_retry_interval)
         return;
-    actions.spec_updates.emplace_back(m.id, spec);
+    actions.spec_updates.push_back({m.id, spec});
 }
 
 void RolloutStateMachine::step_updating(Timestamp now, const Observations& observations,
--- a/src/rollout/rollout_state_machine.hpp
+++ b/src/rollout/rollout_state_machine.hpp
@@ -94,9 +94,15 @@
     ClassMetrics canary, baseline;  // all classes
 };
 
+/// A process of the fleet and the program and settings that it has, or is to have.
+struct ProcessAssignment {
+    std::string process_id;
+    ProcessSpec spec;
+};
+
 struct RolloutActions {
     bool must_save_state = false;  // State has to last before anything else
-    std::vector<std::pair<std::string, ProcessSpec>> spec_updates;
+    std::vector<ProcessAssignment> spec_updates;
     std::vector<std::string> log_lines;  // for the log, as JSON
     bool is_finished = false;
 };
@@ -104,8 +110,7 @@
 class RolloutStateMachine {
 public:
     // A new one, of processes with the specs they have now; or one that goes on from its state.
-    RolloutStateMachine(const RolloutPlan& plan,
-                        const std::vector<std::pair<std::string, ProcessSpec>>& fleet);
+    RolloutStateMachine(const RolloutPlan& plan, const std::vector<ProcessAssignment>& fleet);
     RolloutStateMachine(const RolloutPlan& plan,
                         RolloutState state);  // throws std::runtime_error where the state is of another plan
 
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -394,7 +394,7 @@
                        [](const auto& p) { return p->lifecycle.serving_generation() != 0; });
 }
 
-void Supervisor::collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) {
+void Supervisor::collect_metrics(base::Metrics& out) {
     for (const auto& p : processes_) {
         out.emplace_back("supervise." + p->settings.id + ".starts", p->lifecycle.start_count());
         out.emplace_back("supervise." + p->settings.id + ".crashes", p->lifecycle.crash_count());
--- a/src/supervisor/supervisor.hpp
+++ b/src/supervisor/supervisor.hpp
@@ -15,6 +15,7 @@
 #include <vector>
 
 #include "admin/admin_server.hpp"
+#include "base/metric.hpp"
 #include "connection_admission/file_descriptor_budget.hpp"
 #include "net/http_client.hpp"
 #include "net/loop.hpp"
@@ -49,7 +50,7 @@
     std::string status_json();  // GET /v1/processes
 
     bool is_ready() override;
-    void collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) override;
+    void collect_metrics(base::Metrics& out) override;
     std::optional<Reply> handle_request(const std::string& method, const std::string& path,
                                         const std::string& body) override;
 
--- a/src/upstream/executor.cpp
+++ b/src/upstream/executor.cpp
@@ -86,7 +86,7 @@
     // Of its own probes: when it goes whoever has answered, how many are out, and who has said what.
     base::TimerQueue::Handle probe_timer = 0;
     std::size_t outstanding_probes = 0;
-    std::vector<std::pair<HostId, load_balancing::LoadReport>> probed_loads;
+    std::vector<load_balancing::ProbeAnswer> probed_loads;
     bool completed = false, needs_new_connection = false;  // fresh: not on a kept connection
 };
 
@@ -474,7 +474,7 @@
     --job.outstanding_probes;
     if (reply != nullptr && reply->load)
         if (const auto load = balancer_.effective_load(clock_.unix_now(), server, *reply->load))
-            job.probed_loads.emplace_back(server, *load);
+            job.probed_loads.push_back({server, *load});
     // The last one may be the one that hangs: all but one are enough.
     if (job.outstanding_probes <= 1 && (job.outstanding_probes == 0 || !job.probed_loads.empty()))
         dispatch_to_best_probed(job);
--- a/src/upstream/gateway.cpp
+++ b/src/upstream/gateway.cpp
@@ -225,7 +225,7 @@
     gossip_node_.reset();
 }
 
-void UpstreamGateway::collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) {
+void UpstreamGateway::collect_metrics(base::Metrics& out) {
     admin::collect_class_metrics(request_manager_, out);
     admin::collect_latency_metrics(request_manager_, out);
     shutdown_coordinator_.collect_connection_metrics(out);
--- a/src/upstream/gateway.hpp
+++ b/src/upstream/gateway.hpp
@@ -2,6 +2,7 @@
 #pragma once
 
 #include "admin/admin_server.hpp"
+#include "base/metric.hpp"
 #include "config/operator.hpp"
 #include "frontend/connection_admitter.hpp"
 #include "frontend/request_fields.hpp"
@@ -55,7 +56,7 @@
     int admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
     gossip::GossipNode* gossip_node() { return gossip_node_.get(); }  // null: no view of a fleet is kept
     bool is_ready() override { return request_manager_.started() && !request_manager_.draining(); }
-    void collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) override;
+    void collect_metrics(base::Metrics& out) override;
     std::optional<std::string> membership_json(bool brief) override;
 
 private:
--- a/tests/cressledge/admin_server_test.cpp
+++ b/tests/cressledge/admin_server_test.cpp
@@ -12,7 +12,7 @@
     bool ready_to_serve = false;
     std::uint64_t served_count = 0;
     bool is_ready() override { return ready_to_serve; }
-    void collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) override {
+    void collect_metrics(cressledge::base::Metrics& out) override {
         out.emplace_back("node.responses.map-order.ok", served_count);
         out.emplace_back("node.active", 2);
     }
--- a/tests/cressledge/gossip_test.cpp
+++ b/tests/cressledge/gossip_test.cpp
@@ -52,7 +52,7 @@
         return there == n;
     }
     std::uint64_t figure(gossip::GossipNode& n, const std::string& name) {
-        std::vector<std::pair<std::string, std::uint64_t>> all;
+        cressledge::base::Metrics all;
         n.append_metrics(all);
         for (const auto& [what, value] : all)
             if (what == "fleet." + name)
@@ -185,9 +185,7 @@
     struct Told final : admin::AdminSource {
         gossip::GossipNode* node = nullptr;
         bool is_ready() override { return true; }
-        void collect_metrics(std::vector<std::pair<std::string, std::uint64_t>>& out) override {
-            node->append_metrics(out);
-        }
+        void collect_metrics(cressledge::base::Metrics& out) override { node->append_metrics(out); }
         std::optional<std::string> membership_json(bool brief) override {
             if (node == nullptr)
                 return std::nullopt;
--- a/tests/cressledge/rollout_test.cpp
+++ b/tests/cressledge/rollout_test.cpp
@@ -67,11 +67,11 @@
     int saves = 0;
     std::vector<std::string> lines;
     explicit Town(std::size_t n, const rollout::RolloutPlan& p = plan()) {
-        std::vector<std::pair<std::string, ProcessSpec>> fleet;
+        std::vector<cressledge::rollout::ProcessAssignment> fleet;
         for (std::size_t i = 0; i < n; ++i)
             specs["p" + std::to_string(i)] = {"old", ""};
         for (const auto& [id, spec] : specs)
-            fleet.emplace_back(id, spec);
+            fleet.push_back({id, spec});
         roll.emplace(p, fleet);
     }
     Observations looks() {
--- a/tools/emulator/roll.cpp
+++ b/tools/emulator/roll.cpp
@@ -32,7 +32,7 @@
 class Run {
 public:
     explicit Run(const RollCase& c) : c_(c), random_(c.seed, 23) {
-        std::vector<std::pair<std::string, rollout::ProcessSpec>> fleet;
+        std::vector<rollout::ProcessAssignment> fleet;
         for (std::size_t i = 0; i < c.processes; ++i) {
             Process p;
             p.speed = std::exp(std::normal_distribution<>(0.0, c.machines)(random_));
@@ -41,7 +41,7 @@
             processes_.push_back(p);
             ids_.push_back("p" + std::to_string(i));
             numbers_[ids_.back()] = i;
-            fleet.emplace_back(ids_.back(), p.spec);
+            fleet.push_back({ids_.back(), p.spec});
         }
         rollout::RolloutPlan plan = c.plan;
         plan.target_spec = {"new", ""};
--- a/tools/emulator/spread.cpp
+++ b/tools/emulator/spread.cpp
@@ -26,7 +26,7 @@
     std::int64_t born = 0, sent = 0;
     bool probes_only = false, out = false;  // out: a server has it
     std::vector<HostId> tried;
-    std::vector<std::pair<HostId, LoadReport>> answers;  // of its own probes
+    std::vector<load_balancing::ProbeAnswer> answers;  // of its own probes
 };
 
 struct Balancing {  // one process
@@ -224,7 +224,7 @@
         Call* c = find(no);
         if (c == nullptr)
             return;
-        std::erase_if(c->answers, [this](const auto& a) { return gone_[a.first]; });
+        std::erase_if(c->answers, [this](const auto& a) { return gone_[a.host_id]; });
         for (auto& [server, load] : c->answers)
             load = s_.expected ? servers_[server].probed(Timestamp(now_)) : servers_[server].load();
         put(now_ + s_.round_trip.count() / 2, What::choose, no);
@@ -240,10 +240,10 @@
                     b.balancer->on_load_report(Timestamp(now_), server, load);
             return release(no);
         }
-        std::vector<std::pair<HostId, LoadReport>> said;
+        std::vector<load_balancing::ProbeAnswer> said;
         for (const auto& [server, load] : c->answers)
             if (const auto weighed = b.balancer->effective_load(Timestamp(now_), server, load))
-                said.emplace_back(server, *weighed);
+                said.push_back({server, *weighed});
         const HostId best = load_balancing::least_loaded(said);
         send(no, best != upstream_health::no_host ? best
                                                   : b.balancer->pick(Timestamp(now_), 0, c->tried, random_));
