--- a/bench/calls.py
+++ b/bench/calls.py
@@ -1,13 +1,14 @@
 #!/usr/bin/env python3
 """Counts the system calls of one map server on the platform: idle, then under a known number of requests.
 
-Use: bench/calls.py build/cressledge [--idle 60] [--requests 2000] [--callers 4] [--work 0.002] [--preload LIB.so]
-
-Starts stand-ins of the engine, the records service and the directory on loopback, the program on the platform set-up
-under `strace -f -c`, waits `--idle` seconds, sends `--requests` reads over `--callers` kept connections, and prints the
-calls of each phase by name: the standing rate a second, and the cost a request. --preload puts a library of one's
-own into the node (it gets CLOCKS_OUT, a file to write to at exit), for what strace cannot see, such as clock reads.
-Bounded in count and time.
+Use: bench/calls.py build/cressledge [--idle 60] [--requests 2000] [--callers 4] [--work 0.002] [--preload
+LIB.so]
+
+Starts stand-ins of the engine, the records service and the directory on loopback, the program on the
+platform set-up under `strace -f -c`, waits `--idle` seconds, sends `--requests` reads over `--callers`
+kept connections, and prints the calls of each phase by name: the standing rate a second, and the cost a
+request. --preload puts a library of one's own into the node (it gets CLOCKS_OUT, a file to write to at
+exit), for what strace cannot see, such as clock reads. Bounded in count and time.
 """
 import argparse
 import asyncio
@@ -89,7 +90,8 @@
         body = b"x" * 64
         head = (
             "POST /v1/trail-sheet HTTP/1.1\r\nHost: app.svc\r\nTrace-Id: %016x\r\nAccepted-At-Ms: %d\r\n"
-            "Client-No: %d\r\nReserve-Kb: 10\r\nStanding: 0.5\r\nLookup-Key: %016x\r\nContent-Length: %d\r\n\r\n"
+            "Client-No: %d\r\nReserve-Kb: 10\r\nStanding: 0.5\r\nLookup-Key: %016x\r\n"
+            "Content-Length: %d\r\n\r\n"
             % (rng.getrandbits(64), int(time.time() * 1000), number, rng.getrandbits(64), len(body))
         )
         writer.write(head.encode() + body)
@@ -129,10 +131,17 @@
     folder = tempfile.mkdtemp()
     port = 20000 + os.getpid() % 20000
     config = {
-        "name": "n1", "seed": "7", "stop_ms": 3000, "listen": "127.0.0.1:%d" % port,
-        "engine": engine, "records": recs, "lookup": lookup,
-        "settings": {"classes": [{"name": "trail-sheet", "effect": "free", "deadline": 4000, "target": 2000}],
-                     "domain": {"cores": 4, "memory-kb": 80000}},
+        "name": "n1",
+        "seed": "7",
+        "stop_ms": 3000,
+        "listen": "127.0.0.1:%d" % port,
+        "engine": engine,
+        "records": recs,
+        "lookup": lookup,
+        "settings": {
+            "classes": [{"name": "trail-sheet", "effect": "free", "deadline": 4000, "target": 2000}],
+            "domain": {"cores": 4, "memory-kb": 80000},
+        },
     }
     with open(os.path.join(folder, "node.json"), "w") as f:
         json.dump(config, f)
@@ -152,15 +161,20 @@
             except OSError:
                 await asyncio.sleep(0.05)
         await asyncio.sleep(1.0)  # engine attached, first report made
-        tracer = subprocess.Popen(["strace", "-f", "-c", "-o", trace, "-p", str(node.pid)],
-                                  stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+        tracer = subprocess.Popen(
+            ["strace", "-f", "-c", "-o", trace, "-p", str(node.pid)],
+            stdout=subprocess.DEVNULL,
+            stderr=subprocess.DEVNULL,
+        )
         await asyncio.sleep(0.5)  # attached
         start = time.monotonic()
         await asyncio.sleep(idle)
         answers = {}
         if requests:
             each = requests // args.callers
-            await asyncio.wait_for(asyncio.gather(*(caller(port, each, n, answers) for n in range(args.callers))), 120)
+            await asyncio.wait_for(
+                asyncio.gather(*(caller(port, each, n, answers) for n in range(args.callers))), 120
+            )
         seconds = time.monotonic() - start
         node.send_signal(signal.SIGINT)
         try:
--- a/bench/flood.py
+++ b/bench/flood.py
@@ -1,10 +1,12 @@
 #!/usr/bin/env python3
-"""Rehearses floods against a built cressledge: 5,000 connections from one loopback address, beside a caller on another.
+"""Rehearses floods against a built cressledge: 5,000 connections from one loopback address, beside a
+caller on another.
 
 Use: bench/flood.py build/cressledge [--plain]     (--plain: no admission section, for versions before it)
 
-Starts a stand-in server and the program, measures the other caller in a quiet run and then in each mode of the
-flood, in one run, and prints a table. Everything stays on loopback, is bounded in count and time, and ends by itself.
+Starts a stand-in server and the program, measures the other caller in a quiet run and then in each mode of
+the flood, in one run, and prints a table. Everything stays on loopback, is bounded in count and time, and
+ends by itself.
 """
 import multiprocessing
 import os
@@ -25,7 +27,12 @@
 
 
 def scgi(kind, body):
-    fields = [("CONTENT_LENGTH", str(len(body))), ("SCGI", "1"), ("REQUEST_METHOD", "POST"), ("REQUEST_URI", "/v1/" + kind)]
+    fields = [
+        ("CONTENT_LENGTH", str(len(body))),
+        ("SCGI", "1"),
+        ("REQUEST_METHOD", "POST"),
+        ("REQUEST_URI", "/v1/" + kind),
+    ]
     head = "".join(k + "\0" + v + "\0" for k, v in fields).encode()
     return str(len(head)).encode() + b":" + head + b"," + body
 
@@ -38,13 +45,17 @@
                 got += connection.recv(4096)
             time.sleep(WORK[got.rpartition(b",")[2]])
             connection.sendall(b"Status: 200 OK\r\nContent-Length: 3\r\n\r\nmap")
+
     while True:
         connection, _ = listener.accept()
         threading.Thread(target=serve, args=(connection,), daemon=True).start()
 
 
 def flood(port, mode, done):
-    """Opens FLOOD connections, up to AT_ONCE at a time; silent ones are kept, the others finish or are closed."""
+    """Opens FLOOD connections, up to AT_ONCE at a time.
+
+    Silent ones are kept, the others finish or are closed.
+    """
     request, selector, opened, live = scgi("route-profile", b"flood."), selectors.DefaultSelector(), 0, {}
     start = time.monotonic()
     end = start + LONGEST
@@ -100,8 +111,10 @@
 def listed(port):
     """ASKS requests, one every EVERY seconds whatever became of the last, as its users come."""
     results, threads = [None] * ASKS, []
+
     def one(i):
         results[i] = ask(port)
+
     for i in range(ASKS):
         threads.append(threading.Thread(target=one, args=(i,)))
         threads[-1].start()
@@ -121,12 +134,16 @@
         f.write("name,address,protocol,group\nup,127.0.0.1:%d,scgi,maps\n" % server.getsockname()[1])
     path = os.path.join(folder, "o.yaml")
     with open(path, "w") as f:
-        f.write("listen: {scgi: 127.0.0.1:%d}\ninventory: servers.csv\ncores: 8\nconnections: 256\nclasses:\n"
-                "  - {name: trail-sheet, effect: safe, worth: 1, target_ms: 2900, deadline_ms: 8800}\n"
-                "  - {name: route-profile, effect: safe, worth: 2, target_ms: 1500, deadline_ms: 3500}\n" % port)
+        f.write(
+            "listen: {scgi: 127.0.0.1:%d}\ninventory: servers.csv\ncores: 8\nconnections: 256\nclasses:\n"
+            "  - {name: trail-sheet, effect: safe, worth: 1, target_ms: 2900, deadline_ms: 8800}\n"
+            "  - {name: route-profile, effect: safe, worth: 2, target_ms: 1500, deadline_ms: 3500}\n" % port
+        )
         if not plain:
-            f.write("admission:\n  open: 64\n  in_hand: 4\n  rate: {per_second: 200, burst: 100}\n  groups:\n"
-                    "    - {name: front-ends, networks: [%s], reserve: {connections: 32}}\n" % LISTED)
+            f.write(
+                "admission:\n  open: 64\n  in_hand: 4\n  rate: {per_second: 200, burst: 100}\n  groups:\n"
+                "    - {name: front-ends, networks: [%s], reserve: {connections: 32}}\n" % LISTED
+            )
     with open(os.path.join(folder, "log"), "w") as log:
         program = subprocess.Popen([binary, "serve", "--operator", path], stderr=log)
     try:
@@ -157,7 +174,10 @@
         with tempfile.TemporaryDirectory() as folder:
             good, median, opened = run(binary, plain, mode, folder)
         quiet = quiet or median
-        print("%-7s %5d  %4d/%d  %9.1f  %.2f" % (mode, opened, good, ASKS, median * 1000, median / quiet), flush=True)
+        print(
+            "%-7s %5d  %4d/%d  %9.1f  %.2f" % (mode, opened, good, ASKS, median * 1000, median / quiet),
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/bench/kill.py
+++ b/bench/kill.py
@@ -3,8 +3,9 @@
 
 Use: bench/kill.py build/cressledge [TIMES]
 
-Each life saves what it learned ten times a second. After each SIGKILL the kept state has to be whole: the one before or a
-later one, by its time of saving and its completions; and the next life has to take it, or start cleanly cold.
+Each life saves what it learned ten times a second. After each SIGKILL the kept state has to be whole: the
+one before or a later one, by its time of saving and its completions; and the next life has to take it, or
+start cleanly cold.
 """
 import asyncio
 import json
@@ -25,17 +26,24 @@
     counts = {"cold": 0, "whole": 0, "log cut": 0}
     with tempfile.TemporaryDirectory() as folder:
         with open(os.path.join(folder, "s.csv"), "w") as f:
-            f.write("name,address,protocol,group\nup,127.0.0.1:%d,http,maps\n" % server.sockets[0].getsockname()[1])
+            f.write(
+                "name,address,protocol,group\nup,127.0.0.1:%d,http,maps\n"
+                % server.sockets[0].getsockname()[1]
+            )
         path, state = os.path.join(folder, "o.yaml"), os.path.join(folder, "state")
         with open(path, "w") as f:
-            f.write("listen: {http: 127.0.0.1:%d}\ninventory: s.csv\ncores: 4\nclasses:\n"
-                    "  - {name: trail-sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\n"
-                    "learning: {folder: state, node: n1, period_s: 0.1}\n" % port)
+            f.write(
+                "listen: {http: 127.0.0.1:%d}\ninventory: s.csv\ncores: 4\nclasses:\n"
+                "  - {name: trail-sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\n"
+                "learning: {folder: state, node: n1, period_s: 0.1}\n" % port
+            )
 
         async def ask():
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(b"POST /v1/trail-sheet HTTP/1.1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx")
+                writer.write(
+                    b"POST /v1/trail-sheet HTTP/1.1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx"
+                )
                 await reader.read()
                 writer.close()
             except OSError:
@@ -60,8 +68,11 @@
                 sys.exit("life %d started cold though state was kept" % life)
             if not os.path.isdir(state):
                 continue
-            shown = json.loads(subprocess.run([binary, "state", "show", state, "--json"], check=True,
-                                              capture_output=True, text=True).stdout)
+            shown = json.loads(
+                subprocess.run(
+                    [binary, "state", "show", state, "--json"], check=True, capture_output=True, text=True
+                ).stdout
+            )
             now = (shown["generation"], shown["state"].get("about", {}).get("saved_ms", 0))
             if now < last:
                 sys.exit("life %d left %s after %s" % (life, now, last))
@@ -71,8 +82,10 @@
             counts["log cut"] += bool(shown["refused"])
             last = now
     server.close()
-    print("%d kills: %d states whole, %d lives before the first, %d with the end of a log cut; generation %d"
-          % (times, counts["whole"], counts["cold"], counts["log cut"], last[0]))
+    print(
+        "%d kills: %d states whole, %d lives before the first, %d with the end of a log cut; generation %d"
+        % (times, counts["whole"], counts["cold"], counts["log cut"], last[0])
+    )
 
 
 asyncio.run(main())
--- a/bench/plot_report.py
+++ b/bench/plot_report.py
@@ -1,5 +1,6 @@
 #!/usr/bin/python3
-"""Draws reports of cressledge_lab: load of each server over time, the busiest over the mean, and the figures side by side.
+"""Draws reports of cressledge_lab: load of each server over time, the busiest over the mean, and the
+figures side by side.
 
 Use: bench/plot_report.py OUT.png REPORT.json [REPORT.json ...]
 
@@ -29,8 +30,16 @@
         at = [s["at_s"] for s in stretches]
         shares = np.array([s["shares"] for s in stretches]).T
         order = np.argsort(np.array(r["places"]), kind="stable")
-        heat = axes[0][col].imshow(shares[order], aspect="auto", origin="lower", vmin=0.0, vmax=min(2.0, top), cmap="viridis",
-                                   extent=(at[0], at[-1] + 0.25, 0, len(shares)), interpolation="nearest")
+        heat = axes[0][col].imshow(
+            shares[order],
+            aspect="auto",
+            origin="lower",
+            vmin=0.0,
+            vmax=min(2.0, top),
+            cmap="viridis",
+            extent=(at[0], at[-1] + 0.25, 0, len(shares)),
+            interpolation="nearest",
+        )
         axes[0][col].set_title("%s\n%s, %s" % (r["experiment"], r["policy"], r["how"]), fontsize=10)
         axes[0][col].set_ylabel("server, smallest first")
         fig.colorbar(heat, ax=axes[0][col], label="calls in hand / places")
@@ -42,11 +51,21 @@
         axes[1][col].legend(fontsize=8)
         figures = r["figures"]
         names = [("p50_ms", "p50"), ("p95_ms", "p95"), ("p99_ms", "p99"), ("p999_ms", "p99.9")]
-        bars = axes[2][col].bar([label for _, label in names], [figures[k] for k, _ in names], color="tab:blue")
+        bars = axes[2][col].bar(
+            [label for _, label in names], [figures[k] for k, _ in names], color="tab:blue"
+        )
         axes[2][col].bar_label(bars, fmt="%.0f", fontsize=8)
         axes[2][col].set_ylabel("answer, ms")
-        axes[2][col].set_title("worst p99 %.3f, idle %.2f%%, cv %.3f, errors %.2f%%" % (
-            figures["worst_p99"], 100.0 * figures["idle"], figures["variation"], 100.0 * figures["errors"]), fontsize=9)
+        axes[2][col].set_title(
+            "worst p99 %.3f, idle %.2f%%, cv %.3f, errors %.2f%%"
+            % (
+                figures["worst_p99"],
+                100.0 * figures["idle"],
+                figures["variation"],
+                100.0 * figures["errors"],
+            ),
+            fontsize=9,
+        )
     fig.savefig(out, dpi=80)
 
 
--- a/bench/plot_roll.py
+++ b/bench/plot_roll.py
@@ -1,5 +1,6 @@
 #!/usr/bin/python3
-"""Draws the report of a roll: errors, refusals, late answers and the 99th percentile of both groups over time, by stage.
+"""Draws the report of a roll: errors, refusals, late answers and the 99th percentile of both groups over
+time, by stage.
 
 Use: bench/plot_roll.py OUT.png REPORT.json
 
@@ -25,7 +26,7 @@
     for group, colour in (("unchanged", "tab:blue"), ("changed", "tab:orange")):
         at, lines = [], {"errors": [], "shed": [], "late": [], "p99_ms": []}
         for i in range(0, len(samples), STEP):
-            some = [s[group] for s in samples[i:i + STEP]]
+            some = [s[group] for s in samples[i : i + STEP]]
             n = sum(g["ok"] + g["shed"] + g["errors"] for g in some)
             if n == 0:
                 continue
@@ -33,14 +34,22 @@
             for name in ("errors", "shed", "late"):
                 lines[name].append(100.0 * sum(g[name] for g in some) / n)
             lines["p99_ms"].append(max(g["p99_ms"] for g in some))
-        for axis, (name, label) in zip(axes, (("errors", "errors, %"), ("shed", "refused, %"), ("late", "late, %"), ("p99_ms", "p99, ms"))):
+        for axis, (name, label) in zip(
+            axes,
+            (("errors", "errors, %"), ("shed", "refused, %"), ("late", "late, %"), ("p99_ms", "p99, ms")),
+        ):
             axis.plot(at, lines[name], color=colour, label=group)
             axis.set_ylabel(label)
     for stage in report["stages"]:
         for axis in axes:
             axis.axvline((stage["began_us"] - start) / 1e6, color="grey", linestyle=":")
-        axes[0].text((stage["began_us"] - start) / 1e6, axes[0].get_ylim()[1], " %d changed: %s" % (stage["changed"], stage["verdict"]),
-                     fontsize=8, va="top")
+        axes[0].text(
+            (stage["began_us"] - start) / 1e6,
+            axes[0].get_ylim()[1],
+            " %d changed: %s" % (stage["changed"], stage["verdict"]),
+            fontsize=8,
+            va="top",
+        )
     axes[0].set_title("%s: %s %s" % (report["roll"], report["phase"], report["why"]), fontsize=9)
     axes[0].legend(fontsize=8, loc="center left")
     axes[-1].set_xlabel("s")
--- a/bench/ready.py
+++ b/bench/ready.py
@@ -1,14 +1,15 @@
 #!/usr/bin/env python3
-"""Restarts map servers under load and measures how soon each says it is ready, and whether it can serve then.
+"""Restarts map servers under load and measures how soon each says it is ready, and whether it can serve
+then.
 
 Use: bench/ready.py build/cressledge [--restarts 50] [--nodes 5] [--rate 400]
 
-Stand-ins of the engine (a new one for each life, up after 0 to 2 s), the records service and the directory on loopback;
-`--nodes` programs on the platform set-up run at a time, on whatever cores there are, and callers send `--rate` requests a
-second to them, also while they are down. Each in turn is ended, by SIGKILL and by SIGTERM alternately, and started again
-at its address. Time counts from the start of the process to the first yes of GET /v1/readyz; the engine's own delay is
-taken off for a second column. At the yes one request is sent on a connection of its own: it has to be served. Bounded in
-count and time.
+Stand-ins of the engine (a new one for each life, up after 0 to 2 s), the records service and the directory
+on loopback; `--nodes` programs on the platform set-up run at a time, on whatever cores there are, and
+callers send `--rate` requests a second to them, also while they are down. Each in turn is ended, by
+SIGKILL and by SIGTERM alternately, and started again at its address. Time counts from the start of the
+process to the first yes of GET /v1/readyz; the engine's own delay is taken off for a second column. At the
+yes one request is sent on a connection of its own: it has to be served. Bounded in count and time.
 """
 import argparse
 import asyncio
@@ -23,7 +24,7 @@
 import time
 
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
-from calls import Engine, directory, records  # the stand-ins
+from calls import Engine, directory, records  # noqa: E402 (found beside this file)
 
 HOST = "127.0.0.1"
 
@@ -55,8 +56,12 @@
 
 
 def post(dice):
-    return ("POST /v1/read HTTP/1.1\r\nConnection: close\r\nTrace-Id: %016x\r\nAccepted-At-Ms: %d\r\nClient-No: 1\r\n"
-            "Reserve-Kb: 10\r\nStanding: 0.5\r\nContent-Length: 1\r\n\r\nx" % (dice.getrandbits(64), time.time() * 1000)).encode()
+    return (
+        "POST /v1/read HTTP/1.1\r\nConnection: close\r\nTrace-Id: %016x\r\n"
+        "Accepted-At-Ms: %d\r\nClient-No: 1\r\n"
+        "Reserve-Kb: 10\r\nStanding: 0.5\r\nContent-Length: 1\r\n\r\nx"
+        % (dice.getrandbits(64), time.time() * 1000)
+    ).encode()
 
 
 class Node:
@@ -66,25 +71,45 @@
         self.path = os.path.join(folder, "n%d.json" % number)
         self.log = open(os.path.join(folder, "n%d.log" % number), "w")
         with open(self.path, "w") as f:
-            json.dump({"name": "n%d" % number, "seed": "7", "stop_ms": 1500, "listen": "%s:%d" % (HOST, self.port),
-                       "control": "%s:%d" % (HOST, self.control), "engine": "%s:%d" % (HOST, self.engine_port),
-                       "records": recs, "lookup": lookup,
-                       "settings": {"classes": [{"name": "read", "effect": "free", "deadline": 4000, "target": 2000}],
-                                    "domain": {"cores": 4, "memory-kb": 80000}}}, f)
+            json.dump(
+                {
+                    "name": "n%d" % number,
+                    "seed": "7",
+                    "stop_ms": 1500,
+                    "listen": "%s:%d" % (HOST, self.port),
+                    "control": "%s:%d" % (HOST, self.control),
+                    "engine": "%s:%d" % (HOST, self.engine_port),
+                    "records": recs,
+                    "lookup": lookup,
+                    "settings": {
+                        "classes": [{"name": "read", "effect": "free", "deadline": 4000, "target": 2000}],
+                        "domain": {"cores": 4, "memory-kb": 80000},
+                    },
+                },
+                f,
+            )
 
     async def start(self, delay):
         if self.engine is not None:
             self.engine.close()
         began = time.monotonic()
-        self.engine = await asyncio.start_server(LateEngine(0.002, began + delay).serve, HOST, self.engine_port)
-        self.process = subprocess.Popen([self.binary], env=dict(os.environ, NODE_CONFIG=self.path), stdout=subprocess.DEVNULL,
-                                        stderr=self.log)
+        self.engine = await asyncio.start_server(
+            LateEngine(0.002, began + delay).serve, HOST, self.engine_port
+        )
+        self.process = subprocess.Popen(
+            [self.binary],
+            env=dict(os.environ, NODE_CONFIG=self.path),
+            stdout=subprocess.DEVNULL,
+            stderr=self.log,
+        )
         return began
 
     async def ready(self, began):
         while time.monotonic() - began < 30.0:
             try:
-                if (await http(self.control, b"GET /v1/readyz HTTP/1.1\r\nHost: n\r\n\r\n", 1.0)).startswith(b"HTTP/1.1 200"):
+                if (await http(self.control, b"GET /v1/readyz HTTP/1.1\r\nHost: n\r\n\r\n", 1.0)).startswith(
+                    b"HTTP/1.1 200"
+                ):
                     return time.monotonic() - began
             except (OSError, asyncio.TimeoutError):
                 pass
@@ -151,9 +176,14 @@
                     n.process.wait()
     for name, all_ in (("from the start", took), ("beyond the engine's own delay", beyond)):
         all_.sort()
-        print("%-32s median %.3f s, nine in ten %.3f s, worst %.3f s" % (name, all_[len(all_) // 2], all_[len(all_) * 9 // 10 - 1], all_[-1]))
-    print("%d restarts: %d within 10 s, %d over 30 s; served at the first yes: %d" %
-          (len(took), sum(t <= 10 for t in took), sum(t > 30 for t in took), served))
+        print(
+            "%-32s median %.3f s, nine in ten %.3f s, worst %.3f s"
+            % (name, all_[len(all_) // 2], all_[len(all_) * 9 // 10 - 1], all_[-1])
+        )
+    print(
+        "%d restarts: %d within 10 s, %d over 30 s; served at the first yes: %d"
+        % (len(took), sum(t <= 10 for t in took), sum(t > 30 for t in took), served)
+    )
     print("answers meanwhile: %s" % dict(sorted(counts.items())))
 
 
--- a/bench/restart.py
+++ b/bench/restart.py
@@ -1,11 +1,13 @@
 #!/usr/bin/env python3
-"""Rehearses a restart: the first 10 s of a cold start against one with restored knowledge, right and wrong by 4 times.
+"""Rehearses a restart: the first 10 s of a cold start against one with restored knowledge, right and wrong
+by 4 times.
 
 Use: bench/restart.py build/cressledge [REPEATS]
 
-Stand-ins of four cores work for each of four programs at the same moment, under the same requests at about 120% of what
-the cores do. Knowledge comes from earlier lives: one on the same stand-in, one on a stand-in four times slower, one on
-one four times faster. Prints served worth (of the worth asked for) and refusals. Loopback only; ends by itself.
+Stand-ins of four cores work for each of four programs at the same moment, under the same requests at about
+120% of what the cores do. Knowledge comes from earlier lives: one on the same stand-in, one on a stand-in
+four times slower, one on one four times faster. Prints served worth (of the worth asked for) and refusals.
+Loopback only; ends by itself.
 """
 import asyncio
 import os
@@ -50,13 +52,19 @@
     server = await asyncio.start_server(StandIn(factor).serve, "127.0.0.1", 0)
     port, name = free_port(), "%s-%s-%d" % (state or "cold", factor, seed)
     with open(os.path.join(folder, name + ".csv"), "w") as f:
-        f.write("name,address,protocol,group\nup,127.0.0.1:%d,http,maps\n" % server.sockets[0].getsockname()[1])
+        f.write(
+            "name,address,protocol,group\nup,127.0.0.1:%d,http,maps\n" % server.sockets[0].getsockname()[1]
+        )
     path = os.path.join(folder, name + ".yaml")
     with open(path, "w") as f:
-        f.write("listen: {http: 127.0.0.1:%d}\ninventory: %s.csv\ncores: %d\nclasses:\n" % (port, name, CORES))
+        f.write(
+            "listen: {http: 127.0.0.1:%d}\ninventory: %s.csv\ncores: %d\nclasses:\n" % (port, name, CORES)
+        )
         for kind, (_, worth, target) in KINDS.items():
-            f.write("  - {name: %s, effect: safe, worth: %d, late_worth: 0.2, target_ms: %d, deadline_ms: %d}\n"
-                    % (kind, worth, target * 1000, target * 3000))
+            f.write(
+                "  - {name: %s, effect: safe, worth: %d, late_worth: 0.2, target_ms: %d, deadline_ms: %d}\n"
+                % (kind, worth, target * 1000, target * 3000)
+            )
         if state:
             f.write("learning: {folder: %s, node: n1, period_s: 1}\n" % state)
     log = open(os.path.join(folder, name + ".log"), "w")
@@ -70,7 +78,9 @@
         from_ = asyncio.get_running_loop().time()
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(("POST /v1/%s HTTP/1.1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx" % kind).encode())
+            writer.write(
+                ("POST /v1/%s HTTP/1.1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx" % kind).encode()
+            )
             answer = await asyncio.wait_for(reader.read(), 20)
             writer.close()
         except (OSError, asyncio.TimeoutError):
@@ -108,21 +118,36 @@
 
 async def main():
     binary, repeats = sys.argv[1], int(sys.argv[2]) if len(sys.argv) > 2 else 3
-    rows = {"cold": (None, []), "restored": ("right", []), "4x too dear": ("slow", []), "4x too cheap": ("fast", [])}
+    rows = {
+        "cold": (None, []),
+        "restored": ("right", []),
+        "4x too dear": ("slow", []),
+        "4x too cheap": ("fast", []),
+    }
     for seed in range(1, repeats + 1):
         with tempfile.TemporaryDirectory() as folder:
-            await asyncio.gather(*(life(binary, folder, s, f, WARM, 100 + seed)
-                                   for s, f in (("right", 1.0), ("slow", 4.0), ("fast", 0.25))))
+            await asyncio.gather(
+                *(
+                    life(binary, folder, s, f, WARM, 100 + seed)
+                    for s, f in (("right", 1.0), ("slow", 4.0), ("fast", 0.25))
+                )
+            )
             for s in ("right", "slow", "fast"):  # each life is told its state by a name of its own
                 os.rename(os.path.join(folder, s), os.path.join(folder, s + "-kept"))
-            done = await asyncio.gather(*(life(binary, folder, state and state + "-kept", 1.0, SECONDS, seed)
-                                          for state, _ in rows.values()))
+            done = await asyncio.gather(
+                *(
+                    life(binary, folder, state and state + "-kept", 1.0, SECONDS, seed)
+                    for state, _ in rows.values()
+                )
+            )
             for (_, all_), got in zip(rows.values(), done):
                 all_.append(got)
     print("start         served worth  refused  requests   (first %d s, %d repeats)" % (SECONDS, repeats))
     for name, (_, all_) in rows.items():
         total = {k: sum(g[k] for g in all_) for k in all_[0]}
-        print("%-13s %11.3f  %7d  %8d" % (name, total["worth"] / total["asked"], total["refused"], total["all"]))
+        print(
+            "%-13s %11.3f  %7d  %8d" % (name, total["worth"] / total["asked"], total["refused"], total["all"])
+        )
 
 
 if __name__ == "__main__":
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,5 +1,6 @@
 #!/usr/bin/env python3
-"""A toy SCGI map server: draws for a moment, then answers with what it was asked. For trying cressledge only."""
+"""A toy SCGI map server: draws for a moment, then answers with what it was asked. For trying cressledge
+only."""
 import socketserver
 import time
 
--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -9,12 +9,16 @@
 bad() {
     err=$("$@" 2>&1 >/dev/null) && { echo "accepted: $*"; exit 1; }
     [ -z "$("$@" 2>/dev/null)" ] || { echo "half a sentence on standard output: $*"; exit 1; }
-    [ -n "$err" ] && [ "$(printf '%s\n' "$err" | wc -l)" -eq 1 ] || { echo "not one line: $err"; exit 1; }
+    if [ -z "$err" ] || [ "$(printf '%s\n' "$err" | wc -l)" -ne 1 ]; then
+        echo "not one line: $err"
+        exit 1
+    fi
 }
 "$1" inventory show "$root/deploy/inventory.yaml" --json | grep -q '"weight": 1.0' || { echo "no inventory shown"; exit 1; }
 "$1" inventory diff "$root/deploy/inventory.yaml" "$root/example/servers.csv" | grep -q '^+1 (toy) -3 (' || { echo "no diff"; exit 1; }
 folder=$(mktemp -d)
-"$1" state reset "$folder" >/dev/null && "$1" state show "$folder" --json | grep -q '"entries": 0' || { echo "no state"; exit 1; }
+"$1" state reset "$folder" >/dev/null || { echo "no state"; exit 1; }
+"$1" state show "$folder" --json | grep -q '"entries": 0' || { echo "no state"; exit 1; }
 rm -r "$folder"
 bad "$1"
 bad "$1" dance
