--- a/bench/gossip_fuzz.cpp
+++ b/bench/gossip_fuzz.cpp
@@ -1,9 +1,9 @@
-// The entry of a coverage-guided fuzzer (libFuzzer) for what comes in at the gossip port: decoded, taken in by a view as
-// datagram and as full exchange, and told again. Whatever comes, nothing crashes, nothing outgrows its bound, and what
+// The entry of a coverage-guided fuzzer (libFuzzer) for what comes in at the gossip port: decoded, applied to a membership table as
+// a datagram and as a full exchange, and encoded again. Whatever comes, nothing crashes, nothing outgrows its bound, and what
 // is not well formed changes nothing.
 //
-//   clang++ -std=c++20 -O1 -g -fsanitize=fuzzer,address,undefined -Isrc bench/fleet_fuzz.cpp src/fleet/*.cpp -o build-plain/fleet_fuzz
-//   build-plain/fleet_fuzz -runs=1000000 -max_len=1500 -seed=1
+//   clang++ -std=c++20 -O1 -g -fsanitize=fuzzer,address,undefined -Isrc bench/gossip_fuzz.cpp src/membership/*.cpp -o build-plain/gossip_fuzz
+//   build-plain/gossip_fuzz -runs=1000000 -max_len=1500 -seed=1
 #include <cstdint>
 #include <cstdlib>
 #include <memory>
@@ -19,16 +19,16 @@
         std::abort();
 }
 
-struct Town {
-    membership::Names names;
-    membership::Rules rules;
+struct FuzzedMember {
+    membership::MemberIndexTable member_indices;
+    membership::MembershipSettings settings;
     base::Timestamp now{1'000'000'000};
-    std::unique_ptr<membership::View> view;
-    Town() {
-        rules.most_members = 50;
-        view = std::make_unique<membership::View>(names, false, rules,
-                                                  membership::Self{"me", {0x7F000001U, 7946}, 100},
-                                                  std::vector<membership::Place>{}, 1, now);
+    std::unique_ptr<membership::MembershipTable> table;
+    FuzzedMember() {
+        settings.max_members = 50;
+        table = std::make_unique<membership::MembershipTable>(
+            member_indices, false, settings, membership::LocalMember{"me", {0x7F000001U, 7946}, 100},
+            std::vector<membership::Endpoint>{}, 1, now);
     }
 };
 
@@ -38,30 +38,30 @@
 }
 
 void feed(std::string_view bytes, bool whole_state) {
-    static Town town;
-    const auto what = membership::decode(bytes, "maps",
-                                         whole_state ? membership::most_exchange : membership::most_datagram);
-    const std::size_t before = town.view->live();
+    static FuzzedMember target;
+    const auto what = membership::decode(
+        bytes, "maps", whole_state ? membership::max_exchange_bytes : membership::max_datagram_bytes);
+    const std::size_t before = target.table->live_count();
     const auto* m = std::get_if<membership::Message>(&what);
     if (m == nullptr)
-        return must(town.view->live() == before);
+        return must(target.table->live_count() == before);
     // What was read says the same when it is told again.
     if (m->updates.size() < 20) {
         const auto again =
-            membership::decode(membership::encode(*m, "maps"), "maps", membership::most_exchange);
+            membership::decode(membership::encode(*m, "maps"), "maps", membership::max_exchange_bytes);
         must(std::holds_alternative<membership::Message>(again) &&
              std::get<membership::Message>(again) == *m);
     }
-    membership::View::Out out;
+    membership::Effects effects;
     if (whole_state)
-        town.view->merge(town.now, *m, out);
+        target.table->merge_full_state(target.now, *m, effects);
     else
-        town.view->received(town.now, *m, {0x7F000002U, 7946}, out);
-    town.now += base::Duration(10'000);
-    town.view->tick(town.now, out);
-    for (const auto& s : out.sends)
-        must(membership::encode(s.message, "maps").size() <= membership::most_datagram);
-    must(town.view->live() <= town.rules.most_members);
+        target.table->on_message(target.now, *m, {0x7F000002U, 7946}, effects);
+    target.now += base::Duration(10'000);
+    target.table->tick(target.now, effects);
+    for (const auto& s : effects.messages)
+        must(membership::encode(s.message, "maps").size() <= membership::max_datagram_bytes);
+    must(target.table->live_count() <= target.settings.max_members);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/lint.sh
@@ -0,0 +1,31 @@
+#!/usr/bin/env bash
+# Formatters and linters over every file, the size of the decision module, and the order of modules.
+set -euo pipefail
+cd "$(dirname "$0")/.."
+mapfile -t cpp < <(git ls-files '*.cpp' '*.hpp')
+mapfile -t shell < <(git ls-files '*.sh' .ci/run)
+mapfile -t python < <(git ls-files '*.py')
+clang-format --dry-run -Werror "${cpp[@]}"
+shellcheck "${shell[@]}"
+black --quiet --check "${python[@]}"
+flake8 "${python[@]}"
+python3 tests/module_order.py
+
+# The files that deploy/balancer.toml names as the decision module: their size, and the length of their lines.
+mapfile -t policy < <(grep -E '^policy = ' deploy/balancer.toml | grep -oE '"[^"]+"' | tr -d '"')
+lines=$(cat "${policy[@]}" | grep -c '[^[:space:]]')
+[ "$lines" -le 1010 ] || { echo "the decision module has $lines lines, 1010 at most"; exit 1; }
+for file in src/policy/*.cpp src/policy/*.hpp; do
+    case " ${policy[*]} " in
+    *" $file "*) ;;
+    *) [ "$file" = src/policy/admission_controller.hpp ] || { echo "$file is not named in deploy/balancer.toml"; exit 1; } ;;
+    esac
+done
+if awk 'length($0) > 110 { print FILENAME ": line " FNR " is too long"; bad = 1 } END { exit !bad }' "${policy[@]}"; then
+    exit 1
+fi
+
+cmake -S . -B build-lint -DCMAKE_BUILD_TYPE=Release -DCRESSLEDGE_TESTS=ON -DCRESSLEDGE_BENCH=ON \
+    -DCMAKE_EXPORT_COMPILE_COMMANDS=ON >/dev/null
+mapfile -t units < <(git ls-files '*.cpp' | grep -vE '^tests/consumer/')
+printf '%s\n' "${units[@]}" | xargs -P "$(nproc)" -n 2 clang-tidy -p build-lint --quiet
