--- a/bench/connection_limiter_bench.cpp
+++ b/bench/connection_limiter_bench.cpp
@@ -1,5 +1,5 @@
 // What a decision of the gate costs, by how many sources it has seen: build with -DCRESSLEDGE_BENCH=ON and run
-// build/gate_bench. The table is full, so that each accept also chooses who makes room.
+// build/connection_limiter_bench. The table is full, so that each accept also chooses who makes room.
 #include <benchmark/benchmark.h>
 
 #include <random>
--- a/bench/load_balancing_sim.cpp
+++ b/bench/load_balancing_sim.cpp
@@ -1,7 +1,7 @@
 // Simulates a fleet of servers under the real decision code of src/membership and src/routing, on a scripted clock.
 // Half of the servers run at 0.6 of the speed, one in twenty is a black hole, a rolling deploy restarts a tenth; with
 // "fail", every server fails from the middle on. Prints one table. Seeded: the same numbers on every machine.
-// Use: fleet_sim [SECONDS]
+// Use: load_balancing_sim [SECONDS]
 #include <algorithm>
 #include <chrono>
 #include <cmath>
--- a/bench/load_spread_sim.cpp
+++ b/bench/load_spread_sim.cpp
@@ -1,7 +1,7 @@
 // How evenly each rule of choice spreads the load of many processes over many servers of capacities 1, 2 and 4, in one
 // table. Bounded; the same numbers on every machine for one seed.
 //
-//   spread_sim [--processes 300] [--servers 300] [--slots 16] [--seconds 10] [--load 80,95]
+//   load_spread_sim [--processes 300] [--servers 300] [--slots 16] [--seconds 10] [--load 80,95]
 //              [--trouble none|slow|fails|burst|cold|restart|crowd|dead]
 #include <cstdio>
 #include <cxxopts.hpp>
@@ -40,7 +40,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    cxxopts::Options options("spread_sim", "even load from partial views");
+    cxxopts::Options options("load_spread_sim", "even load from partial views");
     options.add_options()("processes", "balancing processes",
                           cxxopts::value<std::size_t>()->default_value("300"))(
         "servers", "servers", cxxopts::value<std::size_t>()->default_value("300"))(
@@ -92,7 +92,7 @@
             }
         }
     } catch (const std::exception& e) {
-        std::fprintf(stderr, "spread_sim: %s\n", e.what());
+        std::fprintf(stderr, "load_spread_sim: %s\n", e.what());
         return 2;
     }
     return 0;
--- a/bench/membership_rig.cpp
+++ b/bench/membership_rig.cpp
@@ -1,7 +1,7 @@
 // Many real processes of the program on loopback with the relay between them: how long their views take to agree when
 // parts fail. Bounded in count and time; everything it starts it ends. A line of JSON for each figure.
 //
-//   fleet_rig join|kill|leave|loss|partition|pause|replace|bytes [--processes 200] [--program build/cressledge]
+//   membership_rig join|kill|leave|loss|partition|pause|replace|bytes [--processes 200] [--program build/cressledge]
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -231,7 +231,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    cxxopts::Options options("fleet_rig", "many processes, with faults between them");
+    cxxopts::Options options("membership_rig", "many processes, with faults between them");
     options.add_options()(
         "what", "join, kill, leave, loss, partition, pause, replace, bytes; several may follow each other",
         cxxopts::value<std::vector<std::string>>())("n,processes", "how many",
@@ -282,7 +282,7 @@
         if (!keep)
             std::filesystem::remove_all(plan.folder);
     } catch (const std::exception& e) {
-        std::fprintf(stderr, "fleet_rig: %s\n", e.what());
+        std::fprintf(stderr, "membership_rig: %s\n", e.what());
         return 2;
     }
     return 0;
--- a/bench/rollout_rig.cpp
+++ b/bench/rollout_rig.cpp
@@ -1,7 +1,7 @@
 // Rolls with real processes on loopback under steady load. Bounded in count and time; everything it starts it ends. A
 // line of JSON for each.
 //
-//   roll_rig good|settings|tail|errors|crash|refusals|never|noise|cut|kills [--processes 20] [--program build/cressledge]
+//   rollout_rig good|settings|tail|errors|crash|refusals|never|noise|cut|kills [--processes 20] [--program build/cressledge]
 //            [--faulty build-plain/cressledge_faulty]
 #include <spdlog/spdlog.h>
 
@@ -122,7 +122,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    cxxopts::Options options("roll_rig", "rolls with real processes");
+    cxxopts::Options options("rollout_rig", "rolls with real processes");
     options.add_options()("what",
                           "good, settings, tail, errors, crash, refusals, never, noise, cut, kills; several "
                           "may follow each other",
@@ -184,7 +184,7 @@
         if (!keep)
             std::filesystem::remove_all(scene.folder);
     } catch (const std::exception& e) {
-        std::fprintf(stderr, "roll_rig: %s\n", e.what());
+        std::fprintf(stderr, "rollout_rig: %s\n", e.what());
         return 2;
     }
     return 0;
--- a/bench/rollout_sim.cpp
+++ b/bench/rollout_sim.cpp
@@ -1,6 +1,6 @@
 // Emulated rolls of 300 processes with noisy figures: how often a good change is stopped and a bad one let through.
 //
-//   roll_sim [--rolls 1000] [--processes 300] [--jobs 4] [--case good|noisy|tail|errors|crash|refusals|slower|all]
+//   rollout_sim [--rolls 1000] [--processes 300] [--jobs 4] [--case good|noisy|tail|errors|crash|refusals|slower|all]
 #include <cstdio>
 #include <cxxopts.hpp>
 #include <future>
@@ -25,7 +25,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    cxxopts::Options options("roll_sim", "emulated rolls");
+    cxxopts::Options options("rollout_sim", "emulated rolls");
     options.add_options()("rolls", "of each case", cxxopts::value<std::uint64_t>()->default_value("1000"))(
         "processes", "", cxxopts::value<std::size_t>()->default_value("300"))(
         "jobs", "at a time", cxxopts::value<unsigned>()->default_value("4"))(
@@ -79,7 +79,7 @@
             std::fflush(stdout);
         }
     } catch (const std::exception& e) {
-        std::fprintf(stderr, "roll_sim: %s\n", e.what());
+        std::fprintf(stderr, "rollout_sim: %s\n", e.what());
         return 2;
     }
     return 0;
