--- a/src/connection_admission/address_hash.hpp
+++ b/src/connection_admission/address_hash.hpp
@@ -1,4 +1,4 @@
-// The hash of an address: xxhash with a seed, so that nobody can choose addresses that fall together.
+// The hash of an address.
 #pragma once
 
 #define XXH_INLINE_ALL
@@ -8,8 +8,9 @@
 
 namespace cressledge::connection_admission {
 
-inline std::uint64_t hash_address(const IpAddress& ip, std::uint64_t seed) {
-    const std::uint64_t words[2] = {ip.high, ip.low};
+/// XXH3 with a secret seed: guards against clients that choose addresses with the same hash.
+inline std::uint64_t hash_address(const IpAddress& address, std::uint64_t seed) {
+    const std::uint64_t words[2] = {address.high, address.low};
     return XXH3_64bits_withSeed(words, sizeof words, seed);
 }
 
--- /dev/null
+++ b/src/connection_admission/connection_registry_invariants.cpp
@@ -0,0 +1,81 @@
+// The self-check of ConnectionRegistry, for tests.
+#include <algorithm>
+#include <stdexcept>
+#include <string>
+
+#include "connection_admission/connection_registry.hpp"
+
+namespace cressledge::connection_admission {
+namespace {
+
+void require(bool holds, const char* what) {
+    if (!holds)
+        throw std::logic_error(std::string("connection registry: ") + what);
+}
+
+}  // namespace
+
+void ConnectionRegistry::check_invariants() const {
+    const std::vector<GroupCounts> counts_by_group = check_slots();
+    check_groups(counts_by_group);
+    check_sources(counts_by_group);
+}
+
+std::vector<ConnectionRegistry::GroupCounts> ConnectionRegistry::check_slots() const {
+    std::size_t open_connections = 0;
+    std::size_t rejected_connections = 0;
+    std::vector<GroupCounts> counts_by_group(groups_.size());
+    for (const ConnectionSlot& slot : slots_.slots()) {
+        if (slot.state == SlotState::free)
+            continue;
+        const bool is_in_flight = slot.state == SlotState::request_in_flight;
+        require(!slot.counts_as_in_flight || is_in_flight || slot.state == SlotState::closing,
+                "a request is counted as in flight and is not");
+        require(!is_in_flight || slot.counts_as_in_flight, "a request in flight is not counted");
+        if (slot.state == SlotState::rejected) {
+            ++rejected_connections;
+            continue;
+        }
+        ++open_connections;
+        GroupCounts& counts = counts_by_group[slot.source.group_index];
+        ++counts.open_connections;
+        counts.in_flight_requests += slot.counts_as_in_flight ? 1 : 0;
+    }
+    require(open_connections == open_connections_, "the number of open connections is wrong");
+    require(rejected_connections == rejection_slots_in_use_, "the number of rejection slots is wrong");
+    return counts_by_group;
+}
+
+void ConnectionRegistry::check_groups(const std::vector<GroupCounts>& counts_by_group) const {
+    std::size_t shared_requests = 0;
+    for (std::size_t g = 0; g < groups_.size(); ++g) {
+        const GroupCounts& counts = counts_by_group[g];
+        require(counts.open_connections == groups_[g].open_connections,
+                "a group's number of open connections is wrong");
+        require(counts.in_flight_requests == groups_[g].in_flight_requests,
+                "a group's number of requests in flight is wrong");
+        const std::uint32_t within_reserve =
+            std::min(counts.in_flight_requests, groups_[g].reserved_requests);
+        shared_requests += counts.in_flight_requests - within_reserve;
+    }
+    require(shared_requests == shared_in_flight_requests_, "the number of shared requests is wrong");
+}
+
+void ConnectionRegistry::check_sources(const std::vector<GroupCounts>& counts_by_group) const {
+    std::size_t connections = 0;
+    std::size_t source_requests = 0;
+    for (const SourceTable* table : {&sources_.unlisted(), &sources_.listed()}) {
+        for (const Source& source : table->entries()) {
+            connections += source.open_connections + source.rejection_slots;
+            source_requests += source.in_flight_requests;
+        }
+    }
+    std::size_t group_requests = 0;
+    for (const GroupCounts& counts : counts_by_group)
+        group_requests += counts.in_flight_requests;
+    require(connections == open_connections_ + rejection_slots_in_use_,
+            "the sources' numbers of connections are wrong");
+    require(source_requests == group_requests, "the sources' numbers of requests in flight are wrong");
+}
+
+}  // namespace cressledge::connection_admission
--- /dev/null
+++ b/src/connection_admission/eviction_selector.cpp
@@ -0,0 +1,85 @@
+#include "connection_admission/eviction_selector.hpp"
+
+#include <cstddef>
+
+namespace cressledge::connection_admission {
+namespace {
+
+/// A client that sends a request usually does so sooner after it has connected.
+constexpr Duration request_arrival_grace{250'000};
+/// Slots looked at in each list: bounds the cost of a choice.
+constexpr std::size_t max_scanned_slots = 16;
+
+/// Whether one source has far more connections open than another: more than twice as many and some.
+bool has_far_more_connections(const Source& source, const Source& other) {
+    constexpr std::uint32_t factor = 2;
+    constexpr std::uint32_t margin = 8;
+    return source.open_connections > factor * other.open_connections + margin;
+}
+
+}  // namespace
+
+SlotIndex EvictionSelector::select(Timestamp now, const Source* newcomer) const {
+    const Timestamp grace_ago = now - request_arrival_grace;
+    // Clients that have been slower with their request than usual.
+    SlotIndex slot = find_slot_of_heaviest_source(SlotState::awaiting_request, grace_ago, nullptr);
+    // Clients that have had time to read their last response.
+    if (slot == no_slot)
+        slot = find_slot_of_heaviest_source(SlotState::closing, grace_ago, nullptr);
+    if (slot == no_slot && newcomer != nullptr)
+        slot = find_slot_of_heaviest_source(SlotState::awaiting_request, now, newcomer);
+    if (slot == no_slot)
+        slot = find_slot_of_heaviest_source(SlotState::idle, now, nullptr);
+    if (slot == no_slot)
+        slot = find_slot_of_heaviest_source(SlotState::awaiting_request, now, nullptr);
+    return slot;
+}
+
+SlotIndex EvictionSelector::select_from_source(Timestamp now, const SourceRef& source) const {
+    SlotIndex index = slots_.oldest(source.group_index, SlotState::awaiting_request);
+    for (std::size_t scanned = 0; index != no_slot && scanned < max_scanned_slots; ++scanned) {
+        const ConnectionSlot& slot = slots_[index];
+        if (slot.state_since > now - request_arrival_grace)
+            return no_slot;
+        if (slot.source.source_index == source.source_index)
+            return index;
+        index = slot.next;
+    }
+    return no_slot;
+}
+
+bool EvictionSelector::is_within_reserve(std::uint32_t group_index) const {
+    const ClientGroupUsage& group = groups_[group_index];
+    return group_index != unlisted_group && group.open_connections <= group.reserved_connections;
+}
+
+SlotIndex EvictionSelector::find_slot_of_heaviest_source(SlotState state, Timestamp since_at_most,
+                                                         const Source* newcomer) const {
+    SlotIndex best = no_slot;
+    std::uint32_t most_connections = 0;
+    for (std::uint32_t group = 0; group < groups_.size(); ++group) {
+        if (is_within_reserve(group))
+            continue;
+        SlotIndex index = slots_.oldest(group, state);
+        for (std::size_t scanned = 0; index != no_slot && scanned < max_scanned_slots; ++scanned) {
+            const SlotIndex candidate = index;
+            const ConnectionSlot& slot = slots_[candidate];
+            if (slot.state_since > since_at_most)
+                break;
+            index = slot.next;
+            const Source& source = sources_.at(slot.source);
+            if (newcomer != nullptr && (&source == newcomer || !has_far_more_connections(source, *newcomer)))
+                continue;
+            const bool is_heavier = best == no_slot || source.open_connections > most_connections;
+            const bool is_older = best != no_slot && source.open_connections == most_connections &&
+                                  slot.state_since < slots_[best].state_since;
+            if (!is_heavier && !is_older)
+                continue;
+            best = candidate;
+            most_connections = source.open_connections;
+        }
+    }
+    return best;
+}
+
+}  // namespace cressledge::connection_admission
--- a/src/connection_admission/ip_address.cpp
+++ b/src/connection_admission/ip_address.cpp
@@ -8,6 +8,7 @@
 
 constexpr unsigned v4_mapped_prefix_length = 96;
 
+/// A mask of the first bits of a half address; `prefix_length` is 0 to 64.
 std::uint64_t prefix_mask(unsigned prefix_length) {
     return prefix_length == 0 ? 0 : ~std::uint64_t{0} << (64U - prefix_length);
 }
@@ -15,12 +16,12 @@
 }  // namespace
 
 IpAddress IpAddress::from_v6(const std::array<unsigned char, 16>& bytes) {
-    IpAddress ip;
+    IpAddress address;
     for (std::size_t i = 0; i < 8; ++i) {
-        ip.high = ip.high << 8U | bytes[i];
-        ip.low = ip.low << 8U | bytes[i + 8];
+        address.high = address.high << 8U | bytes[i];
+        address.low = address.low << 8U | bytes[i + 8];
     }
-    return ip;
+    return address;
 }
 
 IpAddress IpAddress::masked(unsigned prefix_length) const {
@@ -52,9 +53,9 @@
 std::string Network::to_string() const {
     if (prefix_length >= 128)
         return base_address.to_string();
-    const bool four = base_address.is_v4() && prefix_length >= v4_mapped_prefix_length;
+    const bool is_v4_network = base_address.is_v4() && prefix_length >= v4_mapped_prefix_length;
     return base_address.to_string() + '/' +
-           std::to_string(four ? prefix_length - v4_mapped_prefix_length : prefix_length);
+           std::to_string(is_v4_network ? prefix_length - v4_mapped_prefix_length : prefix_length);
 }
 
 }  // namespace cressledge::connection_admission
--- a/src/connection_admission/network_group_table.cpp
+++ b/src/connection_admission/network_group_table.cpp
@@ -7,56 +7,75 @@
 #include "connection_admission/address_hash.hpp"
 
 namespace cressledge::connection_admission {
+namespace {
+
 namespace ip = boost::asio::ip;
 
+constexpr unsigned v4_mapped_prefix_length = 96;
+
+}  // namespace
+
 std::optional<Network> parse_network(const std::string& text, std::string& error) {
-    boost::system::error_code bad;
-    const bool whole = text.find('/') == std::string::npos;
-    if (text.find(':') == std::string::npos) {
-        const auto n = ip::make_network_v4(whole ? text + "/32" : text, bad);
-        if (!bad && n.canonical() == n)
-            return Network{IpAddress::from_v4(n.address().to_uint()), 96U + n.prefix_length()};
+    boost::system::error_code parse_error;
+    const bool has_prefix = text.find('/') != std::string::npos;
+    const bool is_v6 = text.find(':') != std::string::npos;
+    if (is_v6) {
+        const auto network = ip::make_network_v6(has_prefix ? text : text + "/128", parse_error);
+        if (!parse_error && network.canonical() == network)
+            return Network{IpAddress::from_v6(network.address().to_bytes()),
+                           static_cast<unsigned>(network.prefix_length())};
     } else {
-        const auto n = ip::make_network_v6(whole ? text + "/128" : text, bad);
-        if (!bad && n.canonical() == n)
-            return Network{IpAddress::from_v6(n.address().to_bytes()),
-                           static_cast<unsigned>(n.prefix_length())};
+        const auto network = ip::make_network_v4(has_prefix ? text : text + "/32", parse_error);
+        if (!parse_error && network.canonical() == network)
+            return Network{IpAddress::from_v4(network.address().to_uint()),
+                           v4_mapped_prefix_length + network.prefix_length()};
     }
-    error = (bad ? "not a network: " : "bits set beyond its prefix: ") + text;
+    error = (parse_error ? "not a network: " : "bits set beyond its prefix: ") + text;
     return std::nullopt;
 }
 
-std::size_t NetworkGroupTable::IpAddressHash::operator()(const IpAddress& ip) const noexcept {
-    return hash_address(ip, 0);
+std::size_t NetworkGroupTable::IpAddressHash::operator()(const IpAddress& address) const noexcept {
+    return hash_address(address, 0);
 }
 
 bool NetworkGroupTable::add(const Network& network, GroupIndex group_index, std::string& error) {
-    for (const NetworkEntry& l : entries_) {
-        const bool same = l.network == network;
-        const bool nested = l.network.contains(network) || network.contains(l.network);
-        if (!same && !(nested && l.group_index == group_index))
-            continue;
-        error = (same ? "a duplicate: " : "overlaps one of its group: ") + network.to_string();
-        if (!same)
-            error += " and " + l.network.to_string();
+    const std::string conflict = find_conflict(network, group_index);
+    if (!conflict.empty()) {
+        error = conflict;
         return false;
     }
     entries_.push_back({network, group_index});
-    auto at = std::find_if(prefix_tables_.begin(), prefix_tables_.end(),
-                           [&](const PrefixTable& l) { return l.prefix_length <= network.prefix_length; });
-    if (at == prefix_tables_.end() || at->prefix_length != network.prefix_length)
-        at = prefix_tables_.insert(at, PrefixTable{network.prefix_length, {}});
-    at->groups_by_base_address.emplace(network.base_address, group_index);
+    prefix_table_of(network.prefix_length).groups_by_base_address.emplace(network.base_address, group_index);
     return true;
 }
 
+std::string NetworkGroupTable::find_conflict(const Network& network, GroupIndex group_index) const {
+    for (const NetworkEntry& entry : entries_) {
+        if (entry.network == network)
+            return "a duplicate: " + network.to_string();
+        const bool overlaps = entry.network.contains(network) || network.contains(entry.network);
+        if (overlaps && entry.group_index == group_index)
+            return "overlaps one of its group: " + network.to_string() + " and " + entry.network.to_string();
+    }
+    return {};
+}
+
+NetworkGroupTable::PrefixTable& NetworkGroupTable::prefix_table_of(unsigned prefix_length) {
+    auto table = std::find_if(prefix_tables_.begin(), prefix_tables_.end(),
+                              [&](const PrefixTable& other) { return other.prefix_length <= prefix_length; });
+    if (table == prefix_tables_.end() || table->prefix_length != prefix_length)
+        table = prefix_tables_.insert(table, PrefixTable{prefix_length, {}});
+    return *table;
+}
+
 NetworkGroupTable::Match NetworkGroupTable::longest_match(const IpAddress& address) const {
-    for (const PrefixTable& l : prefix_tables_) {
-        if (l.prefix_length < 96 && address.is_v4())
-            break;  // what is left are IPv6 networks
-        const auto it = l.groups_by_base_address.find(address.masked(l.prefix_length));
-        if (it != l.groups_by_base_address.end())
-            return {it->second, l.prefix_length};
+    for (const PrefixTable& table : prefix_tables_) {
+        // Only IPv6 networks are left then.
+        if (table.prefix_length < v4_mapped_prefix_length && address.is_v4())
+            break;
+        const auto found = table.groups_by_base_address.find(address.masked(table.prefix_length));
+        if (found != table.groups_by_base_address.end())
+            return {found->second, table.prefix_length};
     }
     return {};
 }
--- a/src/connection_admission/network_group_table.hpp
+++ b/src/connection_admission/network_group_table.hpp
@@ -1,4 +1,4 @@
-// The networks of listed callers, by group.
+// The networks of listed clients, by client group.
 #pragma once
 
 #include <cstddef>
@@ -11,27 +11,34 @@
 
 namespace cressledge::connection_admission {
 
-using GroupIndex = std::size_t;  // 0: not listed; the first group is 1
+/// 0: no group; the first group is 1.
+using GroupIndex = std::size_t;
 
-// 10.0.0.0/8, 2001:db8::/32, or one address. `wrong` says what is not well formed: no network, bits set beyond the
-// prefix.
+/// Reads 10.0.0.0/8, 2001:db8::/32, or one address. Returns nothing and sets `error` if the text is no
+/// network or has bits set beyond its prefix.
 std::optional<Network> parse_network(const std::string& text, std::string& error);
 
 class NetworkGroupTable {
 public:
-    // False: refused, and `wrong` says why. The same network twice, or one inside another of its own group, would say
-    // nothing or hide a mistake; one inside another group's is an exception to it.
+    /// Returns false and sets `error` if the network is listed already, or overlaps with one of its own
+    /// group: the first says nothing, the second probably hides a mistake. A network inside one of another
+    /// group is an exception to it.
     bool add(const Network& network, GroupIndex group_index, std::string& error);
+
     struct Match {
         GroupIndex group_index = 0;
-        unsigned prefix_length = 0;  // of the network that lists it
+        /// Of the network that lists the address.
+        unsigned prefix_length = 0;
     };
-    Match longest_match(const IpAddress& address) const;  // the longest prefix wins
+    /// The group of the longest prefix that contains the address.
+    Match longest_match(const IpAddress& address) const;
+
+    /// The number of networks.
     std::size_t size() const { return entries_.size(); }
 
 private:
     struct IpAddressHash {
-        std::size_t operator()(const IpAddress& ip) const noexcept;
+        std::size_t operator()(const IpAddress& address) const noexcept;
     };
     struct PrefixTable {
         unsigned prefix_length = 0;
@@ -41,8 +48,13 @@
         Network network;
         GroupIndex group_index = 0;
     };
-    std::vector<PrefixTable>
-        prefix_tables_;  // the longest first: a look-up costs one probe for each length in use
+
+    /// Why the network can't be added, or an empty text.
+    std::string find_conflict(const Network& network, GroupIndex group_index) const;
+    PrefixTable& prefix_table_of(unsigned prefix_length);
+
+    /// The longest prefix first. A look-up costs one probe for each prefix length in use.
+    std::vector<PrefixTable> prefix_tables_;
     std::vector<NetworkEntry> entries_;
 };
 
--- a/src/connection_admission/settings.hpp
+++ b/src/connection_admission/settings.hpp
@@ -1,4 +1,4 @@
-// What the operator says about admission. All numbers of 0 mean "no such bound" unless said otherwise.
+// The operator's settings of connection admission. A number of 0 means "no such limit" unless said otherwise.
 #pragma once
 
 #include <cstdint>
@@ -13,30 +13,48 @@
 using base::Duration;
 using base::Timestamp;
 
-struct SourceLimits {  // of one source
-    std::uint32_t max_connections = 0;  // connections at a time
-    std::uint32_t max_in_flight_requests = 0;  // requests at a time
-    double connections_per_second = 0.0, connection_burst = 1.0;  // new connections: a token bucket
+/// Limits of one source.
+struct SourceLimits {
+    /// Open at a time.
+    std::uint32_t max_connections = 0;
+    /// In flight at a time.
+    std::uint32_t max_in_flight_requests = 0;
+    /// Token bucket of new connections: its rate.
+    double connections_per_second = 0.0;
+    /// Token bucket of new connections: its depth.
+    double connection_burst = 1.0;
 };
 
-struct ClientGroup {  // listed callers
+/// Clients listed by their networks, with reserved capacity.
+struct ClientGroup {
     std::string name;
-    SourceLimits source_limits;  // of each source in it: a listed caller may run away as well
-    std::uint32_t reserved_connections = 0, reserved_requests = 0;  // its reserve
+    /// Of each source in the group: a listed client may misbehave as well.
+    SourceLimits source_limits;
+    std::uint32_t reserved_connections = 0;
+    std::uint32_t reserved_requests = 0;
 };
 
 struct Settings {
-    std::uint32_t max_connections = 256;  // open at a time, over all fronts; at least 1
-    std::uint32_t max_in_flight_requests = 0;  // in hand at a time; 0: as many as connections
-    std::uint32_t rejection_slots = 0;  // refused connections that are still read, for an answer with advice
-    SourceLimits unlisted_source_limits;  // of a source that is not listed
-    unsigned v4_prefix_length = 32,
-             v6_prefix_length = 128;  // callers whose addresses begin alike are one source
-    double free_connection_share =
-        0.0;  // of the free room, for one source that is not listed; 0: no such rule
-    std::uint32_t tracked_sources = 4096;  // remembered at a time; at least four times `connections` are
-    Duration max_retry_after{1'000'000};  // the longest advice to stay away
-    std::vector<ClientGroup> groups;  // number n of Networks is groups[n - 1]
+    /// Open at a time over all frontends; at least 1.
+    std::uint32_t max_connections = 256;
+    /// In flight at a time; 0: as many as connections.
+    std::uint32_t max_in_flight_requests = 0;
+    /// Rejected connections that are still read, so that their request gets a response with Retry-After.
+    std::uint32_t rejection_slots = 0;
+    /// Limits of a source that no group lists.
+    SourceLimits unlisted_source_limits;
+    /// IPv4 addresses with the same prefix are one source.
+    unsigned v4_prefix_length = 32;
+    /// IPv6 addresses with the same prefix are one source.
+    unsigned v6_prefix_length = 128;
+    /// One unlisted source may have this share of the connections that are still free; 0: no such rule.
+    double free_connection_share = 0.0;
+    /// Sources remembered at a time; at least four times `max_connections` are.
+    std::uint32_t tracked_sources = 4096;
+    /// The longest Retry-After of a rejection.
+    Duration max_retry_after{1'000'000};
+    /// Group number n of `networks` is groups[n - 1].
+    std::vector<ClientGroup> groups;
     NetworkGroupTable networks;
 };
 
--- /dev/null
+++ b/src/connection_admission/source_registry.cpp
@@ -0,0 +1,24 @@
+#include "connection_admission/source_registry.hpp"
+
+namespace cressledge::connection_admission {
+namespace {
+
+constexpr std::size_t unlisted_to_listed_capacity = 4;
+/// Any odd constant with mixed bits will do: the two tables must not share a seed. This is 2^64 / golden
+/// ratio.
+constexpr std::uint64_t listed_seed_mask = 0x9e3779b97f4a7c15ULL;
+
+}  // namespace
+
+SourceRegistry::SourceRegistry(std::size_t unlisted_capacity, std::uint64_t seed)
+    : unlisted_(unlisted_capacity, seed),
+      listed_(unlisted_.capacity() / unlisted_to_listed_capacity, seed ^ listed_seed_mask) {}
+
+RejectionCounts SourceRegistry::evicted_rejections() const {
+    RejectionCounts sum = unlisted_.evicted_rejections();
+    for (std::size_t r = 0; r < rejection_reason_count; ++r)
+        sum[r] += listed_.evicted_rejections()[r];
+    return sum;
+}
+
+}  // namespace cressledge::connection_admission
--- /dev/null
+++ b/src/connection_admission/source_registry.hpp
@@ -0,0 +1,53 @@
+// The sources of all client groups: listed and unlisted ones in separate tables, so that unlisted sources
+// cannot evict listed ones however many addresses they use.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+
+#include "connection_admission/source_table.hpp"
+
+namespace cressledge::connection_admission {
+
+/// The group of clients that no network lists.
+constexpr std::uint32_t unlisted_group = 0;
+
+/// A source and the group whose limits hold for it.
+struct SourceRef {
+    std::uint32_t group_index = unlisted_group;
+    SourceTable::SourceIndex source_index = 0;
+    bool operator==(const SourceRef&) const = default;
+};
+
+class SourceRegistry {
+public:
+    /// `unlisted_capacity` is rounded up to a power of two; a quarter of it is added for listed sources.
+    SourceRegistry(std::size_t unlisted_capacity, std::uint64_t seed);
+
+    Source& at(const SourceRef& source) { return table(source.group_index).at(source.source_index); }
+    const Source& at(const SourceRef& source) const {
+        return table(source.group_index).at(source.source_index);
+    }
+
+    SourceTable& table(std::uint32_t group_index) {
+        return group_index == unlisted_group ? unlisted_ : listed_;
+    }
+    const SourceTable& table(std::uint32_t group_index) const {
+        return group_index == unlisted_group ? unlisted_ : listed_;
+    }
+
+    const SourceTable& unlisted() const { return unlisted_; }
+    const SourceTable& listed() const { return listed_; }
+
+    /// Sources in both tables.
+    std::size_t size() const { return unlisted_.size() + listed_.size(); }
+    std::size_t memory_bytes() const { return unlisted_.memory_bytes() + listed_.memory_bytes(); }
+    /// Rejections of sources whose entries have been evicted from either table.
+    RejectionCounts evicted_rejections() const;
+
+private:
+    SourceTable unlisted_;
+    SourceTable listed_;
+};
+
+}  // namespace cressledge::connection_admission
--- a/src/connection_admission/source_table.cpp
+++ b/src/connection_admission/source_table.cpp
@@ -2,40 +2,29 @@
 
 #include <algorithm>
 #include <bit>
-#include <cmath>
 #include <numeric>
 #include <tuple>
 
 #include "connection_admission/address_hash.hpp"
 
 namespace cressledge::connection_admission {
+namespace {
 
-const char* to_string(RejectionReason reason) {
-    static constexpr const char* words[rejection_reason_count] = {"rate", "open",    "share",
-                                                                  "full", "in_hand", "requests"};
-    return words[static_cast<std::size_t>(reason)];
-}
+/// The place with the least rank is replaced first: one without rate debt, then one with few rejections, then
+/// the one that has not been seen for longest.
+using EvictionRank = std::tuple<bool, std::uint64_t, Timestamp>;
 
-void TokenBucket::refill(Timestamp now, const SourceLimits& limits) {
-    // Guards against a clock that is set back: without this nothing would be refilled until it has caught up.
-    const Duration elapsed = std::max(Duration(0), now - last_refill_);
-    last_refill_ = now;
-    tokens_ = std::min(limits.connection_burst,
-                       tokens_ + static_cast<double>(elapsed.count()) * 1e-6 * limits.connections_per_second);
+EvictionRank rank_of(const Source& source, const SourceLimits& limits) {
+    const bool has_rate_debt = source.bucket.tokens() < limits.connection_burst;
+    return {has_rate_debt, source.total_rejections(), source.last_seen};
 }
 
-bool TokenBucket::try_acquire(Timestamp now, const SourceLimits& limits, Duration& wait) {
-    if (limits.connections_per_second <= 0.0)
-        return true;
-    refill(now, limits);
-    if (tokens_ >= 1.0) {
-        tokens_ -= 1.0;
-        return true;
-    }
-    wait = Duration(std::llround((1.0 - tokens_) / limits.connections_per_second * 1e6));
-    return false;
+bool holds(const Source& place, const IpAddress& base_address, unsigned prefix_length) {
+    return place.in_use && place.base_address == base_address && place.prefix_length == prefix_length;
 }
 
+}  // namespace
+
 std::uint64_t Source::total_rejections() const {
     return std::accumulate(rejections.begin(), rejections.end(), std::uint64_t{0});
 }
@@ -45,49 +34,57 @@
 
 SourceTable::SourceIndex SourceTable::find_or_insert(Timestamp now, const IpAddress& base_address,
                                                      unsigned prefix_length, const SourceLimits& limits) {
-    const std::size_t sets = capacity() / associativity;
-    const std::size_t first =
-        (hash_address(base_address, seed_ + prefix_length) & (sets - 1)) * associativity;
+    const std::size_t set_count = capacity() / associativity;
+    const std::size_t set = hash_address(base_address, seed_ + prefix_length) & (set_count - 1);
+    const std::size_t place = find_place(now, set * associativity, base_address, prefix_length, limits);
+    Source& source = entries_[place];
+    const bool is_shared_entry_in_use = place == capacity() && source.in_use;
+    if (holds(source, base_address, prefix_length) || is_shared_entry_in_use)
+        source.last_seen = now;
+    else
+        replace(source, now, base_address, prefix_length, limits);
+    return static_cast<SourceIndex>(place);
+}
+
+std::size_t SourceTable::find_place(Timestamp now, std::size_t first, const IpAddress& base_address,
+                                    unsigned prefix_length, const SourceLimits& limits) {
     std::size_t victim = capacity();
-    // Whom to forget: who has nothing open and a full bucket, few refusals, and was not seen for longest.
-    std::tuple<bool, std::uint64_t, Timestamp> victim_rank;
+    EvictionRank victim_rank;
     for (std::size_t i = first; i < first + associativity; ++i) {
-        Source& s = entries_[i];
-        if (s.in_use && s.base_address == base_address && s.prefix_length == prefix_length) {
-            s.last_seen = now;
-            return static_cast<SourceIndex>(i);
-        }
-        if (victim != capacity() && !entries_[victim].in_use)
-            continue;  // there is a free place
-        if (s.open_connections != 0 || s.rejection_slots != 0)
+        Source& candidate = entries_[i];
+        if (holds(candidate, base_address, prefix_length))
+            return i;
+        const bool has_free_place = victim != capacity() && !entries_[victim].in_use;
+        if (has_free_place || candidate.open_connections != 0 || candidate.rejection_slots != 0)
             continue;
-        if (s.in_use && limits.connections_per_second > 0.0)
-            s.bucket.refill(now, limits);
-        const std::tuple rank{s.bucket.tokens() < limits.connection_burst, s.total_rejections(), s.last_seen};
-        if (!s.in_use || victim == capacity() || rank < victim_rank)
-            victim = i, victim_rank = rank;
-    }
-    Source& s = entries_[victim];
-    if (victim == capacity() && s.in_use) {
-        s.last_seen = now;
-        return static_cast<SourceIndex>(victim);
+        if (candidate.in_use && limits.connections_per_second > 0.0)
+            candidate.bucket.refill(now, limits);
+        const EvictionRank rank = rank_of(candidate, limits);
+        if (!candidate.in_use || victim == capacity() || rank < victim_rank) {
+            victim = i;
+            victim_rank = rank;
+        }
     }
+    return victim;
+}
+
+void SourceTable::replace(Source& place, Timestamp now, const IpAddress& base_address, unsigned prefix_length,
+                          const SourceLimits& limits) {
     double tokens = limits.connection_burst;
-    if (s.in_use) {
-        // Guards the rate against addresses that rotate: who takes a place over takes its bucket over too.
-        tokens = std::min(tokens, s.bucket.tokens());
+    if (place.in_use) {
+        // Guards the rate against addresses that rotate: the new source takes over the bucket with the place.
+        tokens = std::min(tokens, place.bucket.tokens());
         for (std::size_t r = 0; r < rejection_reason_count; ++r)
-            evicted_rejections_[r] += s.rejections[r];
+            evicted_rejections_[r] += place.rejections[r];
     } else {
         ++size_;
     }
-    s = Source{};
-    s.in_use = true;
-    s.base_address = base_address;
-    s.prefix_length = prefix_length;
-    s.last_seen = now;
-    s.bucket.reset(now, tokens);
-    return static_cast<SourceIndex>(victim);
+    place = Source{};
+    place.in_use = true;
+    place.base_address = base_address;
+    place.prefix_length = prefix_length;
+    place.last_seen = now;
+    place.bucket.reset(now, tokens);
 }
 
 }  // namespace cressledge::connection_admission
--- a/src/connection_admission/source_table.hpp
+++ b/src/connection_admission/source_table.hpp
@@ -1,5 +1,5 @@
-// What is known of each source, in fixed memory: exact for every source with something open, and for the others
-// until their place is needed.
+// What is known of each source, in fixed memory. Exact for every source with an open connection; the entry of
+// any other source lasts until its place is needed.
 #pragma once
 
 #include <array>
@@ -7,73 +7,80 @@
 #include <cstdint>
 #include <vector>
 
+#include "connection_admission/rejection_reason.hpp"
 #include "connection_admission/settings.hpp"
+#include "connection_admission/token_bucket.hpp"
 
 namespace cressledge::connection_admission {
 
-// Why somebody was turned away. The first four meet a new connection, the last two a request.
-enum class RejectionReason : std::uint8_t {
-    connection_rate,
-    source_connections,
-    source_share,
-    total_connections,
-    source_requests,
-    total_requests
-};
-constexpr std::size_t rejection_reason_count = 6;
-const char* to_string(RejectionReason reason);
-
-using RejectionCounts = std::array<std::uint64_t, rejection_reason_count>;
-
-class TokenBucket {  // new connections: so many a second, and so many at once
-public:
-    // Takes one, if there is one. `wait`: how long until there is.
-    bool try_acquire(Timestamp now, const SourceLimits& limits, Duration& wait);
-    void refill(Timestamp now, const SourceLimits& limits);
-    void reset(Timestamp now, double tokens) { last_refill_ = now, tokens_ = tokens; }
-    double tokens() const { return tokens_; }
-
-private:
-    double tokens_ = 0.0;
-    Timestamp last_refill_{0};
-};
-
+/// One source: a network prefix, or a single address, from which clients connect.
 struct Source {
-    IpAddress base_address;  // masked to its prefix
+    /// Masked to `prefix_length`.
+    IpAddress base_address;
     unsigned prefix_length = 128;
+    /// Whether this place of the table holds a source.
     bool in_use = false;
-    std::uint32_t open_connections = 0, in_flight_requests = 0,
-                  rejection_slots = 0;  // connections, requests, and refused ones still read
+    std::uint32_t open_connections = 0;
+    std::uint32_t in_flight_requests = 0;
+    /// Rejected connections that are still read, for a response with Retry-After.
+    std::uint32_t rejection_slots = 0;
     TokenBucket bucket;
-    Timestamp last_seen{0}, next_log_at{0};
+    Timestamp last_seen{0};
+    /// No line about this source is logged before this time.
+    Timestamp next_log_at{0};
+    /// By RejectionReason. Each saturates at the largest value.
     std::array<std::uint32_t, rejection_reason_count> rejections{};
-    std::uint32_t evicted_connections = 0;  // its connections closed to make room
+    /// Connections of this source that were closed to make room for others.
+    std::uint32_t evicted_connections = 0;
+
+    /// Rejections for any reason.
     std::uint64_t total_rejections() const;
 };
 
+/// A set-associative cache of sources whose memory is allocated once.
+///
+/// Invariant: a source with an open connection or a rejection slot is never evicted from the table.
 class SourceTable {
 public:
-    using SourceIndex = std::uint32_t;  // good for as long as something of the source is open
-    // `room` is rounded up to a power of two; the memory is taken here and never grows.
+    /// A place in the table; valid as long as a connection of its source is open.
+    using SourceIndex = std::uint32_t;
+
+    /// `capacity` is rounded up to a power of two. `seed` keeps clients from choosing addresses that collide.
     SourceTable(std::size_t capacity, std::uint64_t seed);
 
-    // The source's entry; made if it is not known, which may evict one with nothing open. If its whole set has
-    // something open, the entry that such sources share.
+    /// Finds the source or inserts it, which may evict one without open connections. If every source of its
+    /// set has connections open, the result is the one entry that all such sources share.
     SourceIndex find_or_insert(Timestamp now, const IpAddress& base_address, unsigned prefix_length,
                                const SourceLimits& limits);
+
     Source& at(SourceIndex source_index) { return entries_[source_index]; }
     const Source& at(SourceIndex source_index) const { return entries_[source_index]; }
+
+    /// Places without the shared entry.
     std::size_t capacity() const { return entries_.size() - 1; }
+    /// Places in use.
     std::size_t size() const { return size_; }
     std::size_t memory_bytes() const { return entries_.size() * sizeof(Source); }
-    const RejectionCounts& evicted_rejections() const {
-        return evicted_rejections_;
-    }  // of sources that are not known any more
+
+    /// Rejections of sources whose entries have been evicted.
+    const RejectionCounts& evicted_rejections() const { return evicted_rejections_; }
+
+    /// All places, whether in use or not; the last one is the shared entry.
     const std::vector<Source>& entries() const { return entries_; }
 
 private:
+    /// Returns the place of the set starting at `first` that holds this source, or the place that it may
+    /// take, or `capacity()` if there is none. Refills the buckets that it compares.
+    std::size_t find_place(Timestamp now, std::size_t first, const IpAddress& base_address,
+                           unsigned prefix_length, const SourceLimits& limits);
+    void replace(Source& place, Timestamp now, const IpAddress& base_address, unsigned prefix_length,
+                 const SourceLimits& limits);
+
+    /// Places in one set.
     static constexpr std::size_t associativity = 8;
-    std::vector<Source> entries_;  // sets of `ways`; the last entry is shared by those that found no place
+
+    /// The sets, then the entry shared by sources that found no place.
+    std::vector<Source> entries_;
     const std::uint64_t seed_;
     std::size_t size_ = 0;
     RejectionCounts evicted_rejections_{};
