--- a/src/upstream_health/host_set.cpp
+++ b/src/upstream_health/host_set.cpp
@@ -1,153 +1,108 @@
 #include "upstream_health/host_set.hpp"
 
 #include <algorithm>
-#include <unordered_map>
+#include <optional>
+#include <utility>
 
 namespace cressledge::upstream_health {
-namespace {
 
-constexpr double min_smoothing_factor = 0.1, median_smoothing_factor = 0.2;
-constexpr double min_sample_calls = 10.0;  // below, a share of failures or a mean says little
-
-}  // namespace
-
-const char* to_string(HostState state) {
-    static constexpr const char* words[] = {"joining", "ready", "suspect", "ejected", "draining", "gone"};
-    return words[static_cast<std::size_t>(state)];
-}
-
-void HostSet::transition(Timestamp now, HostId host_id, HostState new_state, const char* reason,
-                         std::vector<HostStateChange>& changes) {
-    HostStatus& m = hosts_[host_id];
-    if (m.state == new_state)
-        return;
-    if (m.state == HostState::ejected)
-        --ejected_count_;
-    if (new_state == HostState::ejected)
-        ++ejected_count_;
-    changes.push_back({host_id, m.state, new_state, reason});
-    m.state = new_state;
-    m.state_since = now;
-}
-
-void HostSet::remove_if_drained(Timestamp now, HostId host_id, std::vector<HostStateChange>& changes) {
-    HostStatus& m = hosts_[host_id];
-    if (m.state != HostState::draining || m.calls_in_flight != 0)
-        return;
-    const bool listed = m.inventory_version == inventory_version_;
-    if (listed)
-        return;  // the inventory keeps it, draining
-    transition(now, host_id, HostState::removed, "nothing is in hand", changes);
-    free_ids_.push_back(host_id);
+void HostSet::reconfigure(const HealthSettings& settings) {
+    settings_ = settings;
+    outlier_detector_.reconfigure(settings);
 }
 
 std::vector<HostStateChange> HostSet::update(Timestamp now, const std::vector<HostSpec>& specs,
                                              Random& random) {
-    std::vector<HostStateChange> changes;
-    const bool first = inventory_version_ == 0;
+    Changes changes;
+    const HostState initial_state = inventory_version_ == 0 ? HostState::ready : HostState::warming_up;
+    const IdsByName known = hosts_of_last_inventory();
     ++inventory_version_;
-    std::unordered_map<std::string, HostId> known;
-    for (HostId host_id = 0; host_id < hosts_.size(); ++host_id)
-        if (hosts_[host_id].state != HostState::removed &&
-            hosts_[host_id].inventory_version + 1 == inventory_version_)
-            known[hosts_[host_id].spec.name] = host_id;
     listed_hosts_.clear();
     for (const HostSpec& spec : specs) {
-        const auto it = known.find(spec.name);
-        // Another address is another server, whatever its name: guards against two that swap theirs.
-        const bool is_same_host = it != known.end() && hosts_[it->second].spec.address == spec.address &&
-                                  hosts_[it->second].spec.protocol == spec.protocol;
-        HostId host_id = is_same_host ? it->second : no_host;
-        if (!is_same_host) {
-            if (free_ids_.empty()) {
-                hosts_.emplace_back();
-                host_id = static_cast<HostId>(hosts_.size() - 1);
-            } else {
-                host_id = free_ids_.back();
-                free_ids_.pop_back();
-            }
-            hosts_[host_id] = HostStatus{};
-            hosts_[host_id].next_health_check =
-                now +
-                Duration(random(static_cast<std::uint32_t>(settings_.health_check_interval.count()) + 1U));
-        }
-        HostStatus& m = hosts_[host_id];
-        m.spec = spec;
-        m.inventory_version = inventory_version_;
-        if (m.state == HostState::removed)
-            transition(now, host_id, first ? HostState::ready : HostState::warming_up, "in the inventory",
-                       changes);
-        if (spec.drain_requested)
-            transition(now, host_id, HostState::draining, "drained by the inventory", changes);
-        if (!spec.drain_requested && m.state == HostState::draining)
-            transition(now, host_id, HostState::warming_up, "no longer drained", changes);
+        const HostId host_id = find_or_add(now, spec, known, random);
+        apply_spec(now, host_id, spec, initial_state, changes);
         listed_hosts_.push_back(host_id);
     }
-    for (HostId host_id = 0; host_id < hosts_.size(); ++host_id) {
-        if (hosts_[host_id].state == HostState::removed ||
-            hosts_[host_id].inventory_version == inventory_version_)
-            continue;
-        transition(now, host_id, HostState::draining, "not in the inventory", changes);
-        remove_if_drained(now, host_id, changes);
-    }
+    drain_unlisted(now, changes);
     update_panic_mode();
     return changes;
 }
 
-void HostSet::eject(Timestamp now, HostId host_id, const char* reason,
-                    std::vector<HostStateChange>& changes) {
-    HostStatus& m = hosts_[host_id];
-    if (m.state == HostState::ejected || m.state == HostState::draining || m.state == HostState::removed)
-        return;
-    // Guards against ejecting a fleet whose common dependency is what fails. One may always go, of two or more.
-    const auto most =
-        std::max<double>(1.0, settings_.max_ejected_fraction * static_cast<double>(listed_hosts_.size()));
-    if (listed_hosts_.size() < 2 || static_cast<double>(ejected_count_ + 1) > most) {
-        if (m.state != HostState::suspect)
-            transition(now, host_id, HostState::suspect, reason, changes);
-        return;
+HostSet::IdsByName HostSet::hosts_of_last_inventory() const {
+    IdsByName known;
+    for (HostId host_id = 0; host_id < hosts_.size(); ++host_id) {
+        const HostStatus& host = hosts_[host_id];
+        if (host.state != HostState::removed && host.inventory_version == inventory_version_)
+            known[host.spec.name] = host_id;
     }
-    ++m.consecutive_ejections;
-    Duration length = settings_.base_ejection_time;
-    for (std::uint32_t i = 1; i < m.consecutive_ejections && length < settings_.max_ejection_time; ++i)
-        length *= 2;
-    m.ejected_until = now + std::min(length, settings_.max_ejection_time);
-    transition(now, host_id, HostState::ejected, reason, changes);
-    update_panic_mode();
+    return known;
+}
+
+HostId HostSet::find_or_add(Timestamp now, const HostSpec& spec, const IdsByName& known, Random& random) {
+    const auto it = known.find(spec.name);
+    // Another address is another host, whatever its name: guards against two that swap their addresses.
+    const bool is_same_host = it != known.end() && hosts_[it->second].spec.address == spec.address &&
+                              hosts_[it->second].spec.protocol == spec.protocol;
+    if (is_same_host)
+        return it->second;
+    const HostId host_id = allocate_id();
+    hosts_[host_id] = HostStatus{};
+    const auto interval = static_cast<std::uint32_t>(settings_.health_check_interval.count());
+    hosts_[host_id].next_health_check = now + Duration(random(interval + 1U));
+    return host_id;
+}
+
+HostId HostSet::allocate_id() {
+    if (free_ids_.empty()) {
+        hosts_.emplace_back();
+        return static_cast<HostId>(hosts_.size() - 1);
+    }
+    const HostId host_id = free_ids_.back();
+    free_ids_.pop_back();
+    return host_id;
 }
 
-void HostSet::evaluate(Timestamp now, HostId host_id, std::vector<HostStateChange>& changes) {
-    HostStatus& m = hosts_[host_id];
-    if (m.consecutive_failures >= settings_.eject_after_failures)
-        return eject(now, host_id, "failures in a row", changes);
-    if (m.sample_calls >= min_sample_calls && m.failure_rate > settings_.max_failure_rate)
-        return eject(now, host_id, "most calls fail", changes);
-    if (m.consecutive_failures >= settings_.suspect_after_failures &&
-        (m.state == HostState::ready || m.state == HostState::warming_up))
-        transition(now, host_id, HostState::suspect, "failures", changes);
-    if (m.consecutive_failures == 0 && m.state == HostState::suspect) {
-        transition(now, host_id, HostState::warming_up, "calls go well again",
-                   changes);  // through slow start: no herd on its return
+void HostSet::apply_spec(Timestamp now, HostId host_id, const HostSpec& spec, HostState initial_state,
+                         Changes& changes) {
+    HostStatus& host = hosts_[host_id];
+    host.spec = spec;
+    host.inventory_version = inventory_version_;
+    if (host.state == HostState::removed)
+        transition(now, host_id, initial_state, "in the inventory", changes);
+    if (spec.drain_requested)
+        transition(now, host_id, HostState::draining, "drained by the inventory", changes);
+    if (!spec.drain_requested && host.state == HostState::draining)
+        transition(now, host_id, HostState::warming_up, "no longer drained", changes);
+}
+
+void HostSet::drain_unlisted(Timestamp now, Changes& changes) {
+    for (HostId host_id = 0; host_id < hosts_.size(); ++host_id) {
+        const HostStatus& host = hosts_[host_id];
+        if (host.state == HostState::removed || host.inventory_version == inventory_version_)
+            continue;
+        transition(now, host_id, HostState::draining, "not in the inventory", changes);
+        remove_if_drained(now, host_id, changes);
     }
 }
 
+void HostSet::remove_if_drained(Timestamp now, HostId host_id, Changes& changes) {
+    const HostStatus& host = hosts_[host_id];
+    const bool is_listed = host.inventory_version == inventory_version_;
+    if (host.state != HostState::draining || host.calls_in_flight != 0 || is_listed)
+        return;
+    transition(now, host_id, HostState::removed, "nothing is in hand", changes);
+    free_ids_.push_back(host_id);
+}
+
 std::vector<HostStateChange> HostSet::on_call_finished(Timestamp now, HostId host_id, CallResult result,
                                                        Duration latency) {
-    std::vector<HostStateChange> changes;
-    HostStatus& m = hosts_[host_id];
-    if (m.calls_in_flight > 0)
-        --m.calls_in_flight;
-    const bool good = result == CallResult::ok;
-    m.sample_calls = std::min(m.sample_calls + 1.0, 1e6);
-    const double g = std::max(min_smoothing_factor, 1.0 / m.sample_calls);
-    m.failure_rate += g * ((good ? 0.0 : 1.0) - m.failure_rate);
-    m.consecutive_failures = good ? 0 : m.consecutive_failures + 1;
-    if (good) {
-        const double seconds = static_cast<double>(latency.count()) * 1e-6;
-        m.mean_latency_s += (m.mean_latency_s <= 0.0 ? 1.0 : g) * (seconds - m.mean_latency_s);
-        if (m.state == HostState::ready)
-            m.consecutive_ejections = 0;
-    }
+    Changes changes;
+    HostStatus& host = hosts_[host_id];
+    if (host.calls_in_flight > 0)
+        --host.calls_in_flight;
+    OutlierDetector::record_call(host, result, latency);
+    if (result == CallResult::ok && host.state == HostState::ready)
+        host.consecutive_ejections = 0;
     evaluate(now, host_id, changes);
     remove_if_drained(now, host_id, changes);
     if (!changes.empty())
@@ -156,24 +111,24 @@
 }
 
 std::vector<HostStateChange> HostSet::on_call_cancelled(Timestamp now, HostId host_id) {
-    std::vector<HostStateChange> changes;
-    HostStatus& m = hosts_[host_id];
-    if (m.calls_in_flight > 0)
-        --m.calls_in_flight;
+    Changes changes;
+    HostStatus& host = hosts_[host_id];
+    if (host.calls_in_flight > 0)
+        --host.calls_in_flight;
     remove_if_drained(now, host_id, changes);
     return changes;
 }
 
 std::vector<HostStateChange> HostSet::on_health_check(Timestamp now, HostId host_id, CallResult result) {
-    std::vector<HostStateChange> changes;
-    HostStatus& m = hosts_[host_id];
-    if (m.state == HostState::removed)
+    Changes changes;
+    HostStatus& host = hosts_[host_id];
+    if (host.state == HostState::removed)
         return changes;
     if (result != CallResult::ok) {
-        ++m.consecutive_failures;
+        ++host.consecutive_failures;
         evaluate(now, host_id, changes);
-    } else if (m.state == HostState::suspect) {
-        m.consecutive_failures = 0;
+    } else if (host.state == HostState::suspect) {
+        host.consecutive_failures = 0;
         evaluate(now, host_id, changes);
     }
     if (!changes.empty())
@@ -181,85 +136,144 @@
     return changes;
 }
 
-std::vector<HostStateChange> HostSet::tick(Timestamp now) {
-    std::vector<HostStateChange> changes;
-    std::vector<double> times;
-    for (const HostId no : listed_hosts_) {
-        HostStatus& m = hosts_[no];
-        if (m.state == HostState::ejected && now >= m.ejected_until) {
-            m.consecutive_failures =
-                settings_.suspect_after_failures;  // one more failure in a row is not forgiven for long
-            m.failure_rate = 0.0;
-            m.sample_calls = 0.0;
-            m.mean_latency_s = 0.0;
-            transition(now, no, HostState::suspect, "its time is over", changes);
-        }
-        if (m.state == HostState::warming_up && now - m.state_since >= settings_.slow_start_time)
-            transition(now, no, HostState::ready, "slow start is over", changes);
-        if (m.state == HostState::ready && m.mean_latency_s > 0.0)
-            times.push_back(m.mean_latency_s);
+void HostSet::transition(Timestamp now, HostId host_id, HostState new_state, const char* reason,
+                         Changes& changes) {
+    HostStatus& host = hosts_[host_id];
+    if (host.state == new_state)
+        return;
+    if (host.state == HostState::ejected)
+        --ejected_count_;
+    if (new_state == HostState::ejected)
+        ++ejected_count_;
+    changes.push_back({host_id, host.state, new_state, reason});
+    host.state = new_state;
+    host.state_since = now;
+}
+
+void HostSet::evaluate(Timestamp now, HostId host_id, Changes& changes) {
+    const HostState state = hosts_[host_id].state;
+    switch (outlier_detector_.verdict(hosts_[host_id])) {
+        case HealthVerdict::too_many_consecutive_failures:
+            return eject(now, host_id, "failures in a row", changes);
+        case HealthVerdict::failure_rate_too_high:
+            return eject(now, host_id, "most calls fail", changes);
+        case HealthVerdict::failing:
+            if (state == HostState::ready || state == HostState::warming_up)
+                transition(now, host_id, HostState::suspect, "failures", changes);
+            return;
+        case HealthVerdict::succeeding:
+            // Through slow start: all processes would send to it at once otherwise.
+            if (state == HostState::suspect)
+                transition(now, host_id, HostState::warming_up, "calls go well again", changes);
+            return;
+        case HealthVerdict::inconclusive:
+            return;
     }
-    if (!times.empty()) {
-        const auto middle = times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2);
-        std::nth_element(times.begin(), middle, times.end());
-        typical_latency_s_ +=
-            (typical_latency_s_ <= 0.0 ? 1.0 : median_smoothing_factor) * (*middle - typical_latency_s_);
-        if (times.size() >= 4)  // of fewer the median is one of those it judges
-            for (const HostId no : listed_hosts_) {
-                const HostStatus& m = hosts_[no];
-                if (m.state == HostState::ready && m.sample_calls >= min_sample_calls &&
-                    m.mean_latency_s > settings_.max_latency_ratio * *middle)
-                    eject(now, no, "far slower than its peers", changes);
-            }
+}
+
+void HostSet::eject(Timestamp now, HostId host_id, const char* reason, Changes& changes) {
+    HostStatus& host = hosts_[host_id];
+    if (host.state == HostState::ejected || host.state == HostState::draining ||
+        host.state == HostState::removed)
+        return;
+    // Guards against ejecting all hosts when what fails is a dependency that they share.
+    if (!outlier_detector_.can_eject(listed_hosts_.size(), ejected_count_)) {
+        transition(now, host_id, HostState::suspect, reason, changes);
+        return;
     }
+    ++host.consecutive_ejections;
+    host.ejected_until = now + outlier_detector_.ejection_time(host.consecutive_ejections);
+    transition(now, host_id, HostState::ejected, reason, changes);
+    update_panic_mode();
+}
+
+std::vector<HostStateChange> HostSet::tick(Timestamp now) {
+    Changes changes;
+    for (const HostId host_id : listed_hosts_)
+        end_expired_state(now, host_id, changes);
+    eject_slow_hosts(now, changes);
     update_panic_mode();
     return changes;
 }
 
+void HostSet::end_expired_state(Timestamp now, HostId host_id, Changes& changes) {
+    HostStatus& host = hosts_[host_id];
+    if (host.state == HostState::ejected && now >= host.ejected_until) {
+        // Some more failures in a row eject it again: its past is not forgiven at once.
+        host.consecutive_failures = settings_.suspect_after_failures;
+        host.failure_rate = 0.0;
+        host.sample_calls = 0.0;
+        host.mean_latency_s = 0.0;
+        transition(now, host_id, HostState::suspect, "its time is over", changes);
+    }
+    if (host.state == HostState::warming_up && now - host.state_since >= settings_.slow_start_time)
+        transition(now, host_id, HostState::ready, "slow start is over", changes);
+}
+
+void HostSet::eject_slow_hosts(Timestamp now, Changes& changes) {
+    std::vector<double> latencies_s;
+    for (const HostId host_id : listed_hosts_) {
+        const HostStatus& host = hosts_[host_id];
+        if (host.state == HostState::ready && host.mean_latency_s > 0.0)
+            latencies_s.push_back(host.mean_latency_s);
+    }
+    const std::optional<double> limit_s = outlier_detector_.update_latency_limit_s(std::move(latencies_s));
+    if (!limit_s)
+        return;
+    for (const HostId host_id : listed_hosts_) {
+        const HostStatus& host = hosts_[host_id];
+        if (host.state == HostState::ready && OutlierDetector::is_slow(host, *limit_s))
+            eject(now, host_id, "far slower than its peers", changes);
+    }
+}
+
 std::vector<HostId> HostSet::take_due_health_checks(Timestamp now, Random& random) {
     std::vector<HostId> due;
-    const auto every = static_cast<std::uint32_t>(settings_.health_check_interval.count());
-    for (const HostId no : listed_hosts_) {
-        HostStatus& m = hosts_[no];
-        if (m.state == HostState::draining || now < m.next_health_check)
+    const auto interval = static_cast<std::uint32_t>(settings_.health_check_interval.count());
+    for (const HostId host_id : listed_hosts_) {
+        HostStatus& host = hosts_[host_id];
+        if (host.state == HostState::draining || now < host.next_health_check)
             continue;
-        m.next_health_check = now + settings_.health_check_interval + Duration(random(every + 1U));
-        // Those that carry calls are judged by them.
-        if (m.state != HostState::ready || m.sample_calls == 0.0)
-            due.push_back(no);
+        host.next_health_check = now + settings_.health_check_interval + Duration(random(interval + 1U));
+        // Hosts that carry calls are judged by them.
+        if (host.state != HostState::ready || host.sample_calls == 0.0)
+            due.push_back(host_id);
     }
     return due;
 }
 
 void HostSet::update_panic_mode() {
-    std::size_t usable_now = 0, in_all = 0;
-    for (const HostId no : listed_hosts_) {
-        const HostStatus& m = hosts_[no];
-        if (m.state == HostState::draining)
+    std::size_t usable_count = 0;
+    std::size_t host_count = 0;
+    for (const HostId host_id : listed_hosts_) {
+        const HostState state = hosts_[host_id].state;
+        if (state == HostState::draining)
             continue;
-        ++in_all;
-        usable_now += m.state == HostState::ready || m.state == HostState::warming_up ? 1 : 0;
+        ++host_count;
+        if (state == HostState::ready || state == HostState::warming_up)
+            ++usable_count;
     }
-    in_panic_mode_ = in_all > 0 && static_cast<double>(usable_now) <
-                                       settings_.panic_threshold * static_cast<double>(in_all);
+    const double min_usable = settings_.panic_threshold * static_cast<double>(host_count);
+    in_panic_mode_ = host_count > 0 && static_cast<double>(usable_count) < min_usable;
 }
 
 bool HostSet::is_usable(HostId host_id) const {
-    const HostState s = hosts_[host_id].state;
-    return s != HostState::removed && s != HostState::draining && (in_panic_mode_ || s != HostState::ejected);
+    const HostState state = hosts_[host_id].state;
+    return state != HostState::removed && state != HostState::draining &&
+           (in_panic_mode_ || state != HostState::ejected);
 }
 
 double HostSet::traffic_fraction(Timestamp now, HostId host_id) const {
-    const HostStatus& m = hosts_[host_id];
+    const HostStatus& host = hosts_[host_id];
     if (!is_usable(host_id))
         return 0.0;
-    if (in_panic_mode_ || m.state == HostState::ready)
+    if (in_panic_mode_ || host.state == HostState::ready)
         return 1.0;
-    if (m.state == HostState::suspect)
+    if (host.state == HostState::suspect)
         return settings_.min_traffic_fraction;
-    const double part = static_cast<double>((now - m.state_since).count()) /
-                        static_cast<double>(settings_.slow_start_time.count());
-    return std::clamp(part, settings_.min_traffic_fraction, 1.0);
+    const double warm_up_progress = static_cast<double>((now - host.state_since).count()) /
+                                    static_cast<double>(settings_.slow_start_time.count());
+    return std::clamp(warm_up_progress, settings_.min_traffic_fraction, 1.0);
 }
 
 }  // namespace cressledge::upstream_health
--- a/src/upstream_health/host_set.hpp
+++ b/src/upstream_health/host_set.hpp
@@ -1,121 +1,95 @@
-// The servers of an inventory and the state of each, as calls and probes find it. No I/O; time and randomness are
-// arguments.
+// The hosts of an inventory and the health state of each, as calls and health checks find it. It owns the states and the
+// ids; which host gets a call is decided by `load_balancing::Balancer`, and the calls and checks themselves are made by
+// the upstream executor. No I/O; time and randomness are arguments.
 //
-// joining  -> ready     its slow start is over
-// ready    -> suspect   some failures in a row: it gets a trickle
-// suspect  -> ready     calls went well again
-// any      -> ejected   an outlier; for a time that doubles with each ejection in a row
-// ejected  -> suspect   that time is over
-// any      -> draining  it has left the inventory: what is in hand ends
-// draining -> gone      nothing is in hand
+// warming_up -> ready       its slow start is over
+// ready      -> suspect     some failures in a row: it gets little traffic
+// suspect    -> warming_up  calls succeed again
+// any        -> ejected     an outlier; for a time that doubles with each consecutive ejection
+// ejected    -> suspect     that time is over
+// any        -> draining    it has left the inventory, or is marked so there: calls in flight end
+// draining   -> removed     it has left the inventory and no calls are in flight
 //
-// Invariants: at most max_ejected of those in the inventory are ejected; a draining server gets nothing new; the number
-// of a server is its own until it is gone.
+// Invariants: at most `max_ejected_fraction` of the hosts in the inventory are ejected (one always may be, of two or
+// more); a draining host gets no new calls; the id of a host is its own until it is removed.
 #pragma once
 
 #include <cstdint>
-#include <pcg_random.hpp>
 #include <string>
+#include <unordered_map>
 #include <vector>
 
-#include "base/timer_queue.hpp"
+#include "upstream_health/health_settings.hpp"
+#include "upstream_health/host.hpp"
+#include "upstream_health/outlier_detector.hpp"
 
 namespace cressledge::upstream_health {
 
-using base::Duration;
-using base::Timestamp;
-using Random = pcg32;
-using HostId = std::uint32_t;
-constexpr HostId no_host = ~HostId{0};
-
-enum class HostState : std::uint8_t { warming_up, ready, suspect, ejected, draining, removed };
-const char* to_string(HostState state);
-
-enum class CallResult : std::uint8_t { ok, error, connection_refused, timeout };  // of a call or probe
-
-struct HostSpec {  // as the inventory has it
-    std::string name, address, protocol, data_centre, machine_model;  // place: its data centre
-    double weight = 1.0;
-    bool drain_requested = false;  // kept in the inventory, and gets nothing new
-    bool operator==(const HostSpec&) const = default;
-};
-
-struct HealthSettings {
-    std::uint32_t suspect_after_failures = 2, eject_after_failures = 5;  // failures in a row
-    double max_failure_rate = 0.5;  // share of calls, smoothed
-    double max_latency_ratio = 3.0;  // times the median of its peers
-    double max_ejected_fraction = 0.3;  // share of the inventory
-    double panic_threshold = 0.5;  // usable share
-    Duration base_ejection_time{5'000'000}, max_ejection_time{60'000'000};
-    Duration slow_start_time{10'000'000};
-    Duration health_check_interval{2'000'000};  // and as much again at random
-    double min_traffic_fraction = 0.05;  // of its share, for a suspect; where slow start begins
-};
-
-struct HostStatus {
-    HostSpec spec;
-    HostState state = HostState::removed;
-    Timestamp state_since{0};
-    std::uint32_t consecutive_failures = 0;  // in a row
-    std::uint32_t consecutive_ejections = 0;  // in a row
-    std::uint32_t calls_in_flight = 0;
-    double failure_rate = 0.0, mean_latency_s = 0.0;  // smoothed: share of failures, time of a good call
-    double sample_calls = 0.0;  // behind them
-    Timestamp ejected_until{0}, next_health_check{0};  // of an ejection; of the next probe
-    std::uint64_t inventory_version = 0;  // of the inventory that brought it
-};
-
-struct HostStateChange {  // for the log
-    HostId host_id = no_host;
-    HostState old_state = HostState::removed, new_state = HostState::removed;
-    const char* reason = "";
-};
-
+/// Functions that return changes: whoever keeps data about hosts, such as a Balancer, has to be told of them.
 class HostSet {
 public:
-    explicit HostSet(HealthSettings settings = {}) : settings_(settings) {}
+    explicit HostSet(HealthSettings settings = {}) : settings_(settings), outlier_detector_(settings) {}
+
+    /// Takes effect with the next event; states stay.
+    void reconfigure(const HealthSettings& settings);
 
-    void reconfigure(const HealthSettings& settings) {
-        settings_ = settings;
-    }  // from the next call or look on
-    // The inventory as it is now. Known names keep their numbers, unless their address changed: then the old one
-    // drains and a new one joins. At the very first all are ready, as nobody else is there to carry the load.
+    /// Takes the inventory as it is now. Known names keep their ids unless address or protocol changed: then the old
+    /// host drains and a new one warms up. With the very first inventory all are ready, as nobody else can take calls.
     std::vector<HostStateChange> update(Timestamp now, const std::vector<HostSpec>& specs, Random& random);
+
     void on_call_started(HostId host_id) { ++hosts_[host_id].calls_in_flight; }
     std::vector<HostStateChange> on_call_finished(Timestamp now, HostId host_id, CallResult result,
                                                   Duration latency);
-    std::vector<HostStateChange> on_call_cancelled(
-        Timestamp now, HostId host_id);  // a call that nobody waits for any more: it tells nothing
+    /// The caller no longer waits: says nothing of the host's health.
+    std::vector<HostStateChange> on_call_cancelled(Timestamp now, HostId host_id);
     std::vector<HostStateChange> on_health_check(Timestamp now, HostId host_id, CallResult result);
-    std::vector<HostStateChange> tick(Timestamp now);  // once a second or so
-    std::vector<HostId> take_due_health_checks(Timestamp now, Random& random);  // to be probed now
+    /// Ends ejections and slow starts and compares latencies; to be called about once a second.
+    std::vector<HostStateChange> tick(Timestamp now);
+    /// Hosts to check now; sets the time of their next check.
+    std::vector<HostId> take_due_health_checks(Timestamp now, Random& random);
 
-    // Its part of what a ready server of its weight gets, 0 to 1. In panic, 1 for all that are in the inventory.
+    /// Fraction, 0 to 1, of what a ready host of the same weight gets. In panic mode 1 for all that are usable.
     double traffic_fraction(Timestamp now, HostId host_id) const;
     bool is_usable(HostId host_id) const;
+    /// Too few hosts are ready or warming up: ejected ones are used as well.
     bool in_panic_mode() const { return in_panic_mode_; }
     const HostStatus& at(HostId host_id) const { return hosts_[host_id]; }
+    /// All ids are below it.
     std::size_t slot_count() const { return hosts_.size(); }
-    const std::vector<HostId>& listed_hosts() const { return listed_hosts_; }  // those in the inventory
+    /// Hosts in the inventory, in its order; the draining ones among them.
+    const std::vector<HostId>& listed_hosts() const { return listed_hosts_; }
+    /// Counts the inventories taken; 0: none yet.
     std::uint64_t inventory_version() const { return inventory_version_; }
-    // Typical time of a good call over the fleet, seconds; for those that have shown none.
-    double typical_latency_s() const { return typical_latency_s_ > 0.0 ? typical_latency_s_ : 0.1; }
+    /// Smoothed median latency of a successful call over all hosts, seconds.
+    double typical_latency_s() const { return outlier_detector_.typical_latency_s(); }
 
 private:
-    void transition(Timestamp now, HostId host_id, HostState new_state, const char* reason,
-                    std::vector<HostStateChange>& changes);
-    void evaluate(Timestamp now, HostId host_id, std::vector<HostStateChange>& changes);
-    void eject(Timestamp now, HostId host_id, const char* reason, std::vector<HostStateChange>& changes);
+    using Changes = std::vector<HostStateChange>;
+    using IdsByName = std::unordered_map<std::string, HostId>;
+
+    IdsByName hosts_of_last_inventory() const;
+    HostId find_or_add(Timestamp now, const HostSpec& spec, const IdsByName& known, Random& random);
+    HostId allocate_id();
+    void apply_spec(Timestamp now, HostId host_id, const HostSpec& spec, HostState initial_state,
+                    Changes& changes);
+    void drain_unlisted(Timestamp now, Changes& changes);
+    void remove_if_drained(Timestamp now, HostId host_id, Changes& changes);
+
+    void transition(Timestamp now, HostId host_id, HostState new_state, const char* reason, Changes& changes);
+    void evaluate(Timestamp now, HostId host_id, Changes& changes);
+    void eject(Timestamp now, HostId host_id, const char* reason, Changes& changes);
+    void end_expired_state(Timestamp now, HostId host_id, Changes& changes);
+    void eject_slow_hosts(Timestamp now, Changes& changes);
     void update_panic_mode();
-    void remove_if_drained(Timestamp now, HostId host_id, std::vector<HostStateChange>& changes);
 
     HealthSettings settings_;
+    OutlierDetector outlier_detector_;
     std::vector<HostStatus> hosts_;
-    std::vector<HostId> listed_hosts_, free_ids_;
+    std::vector<HostId> listed_hosts_;
+    std::vector<HostId> free_ids_;
     std::size_t ejected_count_ = 0;
     std::uint64_t inventory_version_ = 0;
     bool in_panic_mode_ = false;
-    double typical_latency_s_ = 0.0;
 };
 
 }  // namespace cressledge::upstream_health
