--- a/src/load_balancing/balancer.hpp
+++ b/src/load_balancing/balancer.hpp
@@ -1,130 +1,132 @@
-// Which server a call goes to. No I/O; membership says who may, time and randomness are arguments.
+// Which host a call goes to. `HostSet` says which hosts are usable; the calls themselves, and the load probes, are made
+// by the upstream executor. No I/O; time and randomness are arguments.
+//
+// Invariants: no call goes to a host that is not usable, has been tried for the same request, or is at its bound of calls
+// in flight; a host in slow start gets no call beyond this process's share, whatever the policy.
 #pragma once
 
 #include <cstdint>
-#include <functional>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
+#include "load_balancing/balancer_settings.hpp"
+#include "load_balancing/candidate_set.hpp"
 #include "load_balancing/load_probes.hpp"
 #include "load_balancing/maglev.hpp"
+#include "load_balancing/peak_latency.hpp"
 #include "load_balancing/slow_start.hpp"
+#include "load_balancing/subset.hpp"
 #include "upstream_health/host_set.hpp"
 
 namespace cressledge::load_balancing {
 
-using base::Duration;
-using base::Timestamp;
-using upstream_health::HostId;
 using upstream_health::HostSet;
-using upstream_health::no_host;
-using upstream_health::Random;
-
-enum class BalancingPolicy : std::uint8_t {
-    least_in_flight,  // as it was before this module: over all servers, in turn
-    round_robin,  // weighted, smooth
-    power_of_two_choices,  // of two at random, the one that costs less by peak EWMA times calls in hand
-    probe_pool,  // by what servers have just said of themselves (load_balancing::ProbePool); two choices while too few have
-    probe_first,  // of those that a call's own probes found, the least loaded (load_balancing::best); two choices where none answers
-};
-
-struct BalancerSettings {
-    BalancingPolicy policy = BalancingPolicy::power_of_two_choices;
-    std::string local_data_centre;  // this process's data centre; empty: there is none
-    double spillover_calls_per_weight =
-        1.5;  // calls in hand for each unit of weight, over which other places are used as well
-    Duration peak_decay_time{10'000'000};  // of a peak
-    std::uint32_t max_calls_in_flight = 0;  // of one server; 0: no such bound
-    std::size_t subset_size = 0;  // servers that this process uses; 0: all
-    std::string node_name;  // this process's name, for its subset
-    load_balancing::LoadProbeSettings probing;
-    double bounded_load_factor = 1.25;  // times the mean, for a key's own server
-    SlowStartSettings slow_start;  // of a cold server, over the whole fleet
-};
 
 class Balancer {
 public:
+    /// `hosts` has to outlive the balancer.
     Balancer(HostSet& hosts, BalancerSettings settings)
         : hosts_(hosts),
           settings_(std::move(settings)),
           probe_pool_(settings_.probing, 0),
           slow_start_(settings_.slow_start) {}
 
-    void refresh();  // the inventory or a state has changed
-    void reconfigure(
-        BalancerSettings settings);  // from the next choice on; what was learned of servers stays
-    // nobody: there is none that may, and has not been `tried`. `key` 0: none.
+    /// To be called when the inventory or the state of a host has changed.
+    void refresh();
+    /// Takes effect with the next choice; what was learned of hosts stays.
+    void reconfigure(BalancerSettings settings);
+
+    /// The host for a call: none of `tried_hosts`, and a deprioritized one only if there is no other. `key`: affinity
+    /// key of the request; 0: none. `no_host` if no host is eligible.
     HostId pick(Timestamp now, std::uint64_t key, const std::vector<HostId>& tried_hosts, Random& random);
+
     void on_call_started(Timestamp now, HostId host_id);
+    /// To be called before `HostSet::on_call_finished`.
     void on_call_finished(Timestamp now, HostId host_id, upstream_health::CallResult result,
                           Duration latency);
+    /// To be called before `HostSet::on_call_cancelled`.
     void on_call_cancelled(Timestamp now, HostId host_id, Duration elapsed);
-    // What a server's word on its load is worth here: less in its slow start; none: it may not be chosen by it.
-    std::optional<load_balancing::LoadReport> effective_load(Timestamp now, HostId host_id,
-                                                             load_balancing::LoadReport load) const;
-    // What a server says of its load, in an answer or to a probe.
-    void on_load_report(Timestamp now, HostId host_id, const load_balancing::LoadReport& load);
-    // Whom to ask for its load beside one more call, or before it: by chance, by weight. None with other policies.
+
+    /// A load report as it counts here: with less capacity during slow start; none if the host may not be chosen by it.
+    std::optional<LoadReport> effective_load(Timestamp now, HostId host_id, LoadReport load) const;
+    /// Takes the load report of an answer or a probe.
+    void on_load_report(Timestamp now, HostId host_id, const LoadReport& load);
+    /// Hosts to probe for their load beside one more call, or before it: random ones, by weight. None under a policy
+    /// without probes.
     void pick_probe_targets(Random& random, std::vector<HostId>& targets);
-    // The live processes of the fleet, this one with them: subsets and the calls to a cold server are shared out among
-    // them evenly. Empty: each process chooses by its own name alone. Told again now and then: it says who lives.
+
+    /// The live processes of the fleet, this one among them: subsets and the calls to hosts in slow start are shared out
+    /// among them. Empty: none is known. To be told again regularly, as it says who lives.
     void update_peers(Timestamp now, std::vector<std::string> names);
-    void deprioritize(HostId host_id, Timestamp until);  // others first until then
+
+    /// Has other hosts chosen first until then.
+    void deprioritize(HostId host_id, Timestamp until);
     bool is_deprioritized(Timestamp now, HostId host_id) const {
-        return loads_[host_id].deprioritized_until > now;
+        return host_loads_[host_id].deprioritized_until > now;
     }
+
+    /// Cost of one more call to the host: expected seconds times calls in flight over its share of the traffic.
     double cost(Timestamp now, HostId host_id) const;
-    const std::vector<HostId>& candidates() const { return usable_hosts_; }
+    /// Hosts that this process uses now.
+    const std::vector<HostId>& candidates() const { return candidates_.usable(); }
     bool probes_before_call() const { return settings_.policy == BalancingPolicy::probe_first; }
 
 private:
+    /// What this process knows of a host from its own calls.
     struct HostLoad {
-        double peak_latency_s = 0.0;  // seconds
-        Timestamp peak_updated_at{0};
-        double in_flight_start_sum_s = 0.0;  // sum of the starts of what is in hand, seconds since the epoch
+        PeakLatency latency;
         Timestamp deprioritized_until{0};
-        double round_robin_credit = 0.0;  // weighted round robin's
+        double round_robin_credit = 0.0;
     };
-    bool is_eligible(Timestamp now, HostId host_id, const std::vector<HostId>& tried_hosts,
-                     bool include_deprioritized) const;
+    enum class Deprioritized : std::uint8_t { exclude, include };
+    /// What one choice goes by.
+    struct Selection {
+        Timestamp now;
+        std::uint64_t key;
+        const std::vector<HostId>& tried_hosts;
+        Deprioritized deprioritized;
+    };
+
+    HostId choose(const Selection& selection, Random& random);
+    HostId pick_least_in_flight(const Selection& selection);
+    HostId pick_round_robin(const Selection& selection);
+    HostId pick_by_key(const Selection& selection);
+    HostId pick_from_probe_pool(const Selection& selection);
+    HostId pick_of_two(const Selection& selection, const std::vector<HostId>& hosts, Random& random) const;
+    HostId pick_cheapest(const Selection& selection, const std::vector<HostId>& hosts,
+                         std::size_t start) const;
+    bool is_eligible(const Selection& selection, HostId host_id) const;
+
+    std::vector<HostId> own_subset(const std::vector<HostId>& active_hosts);
+    std::vector<std::string> names_of(const std::vector<HostId>& hosts) const;
+    void rebuild_maglev();
+    void rebuild_probe_sampler();
+    void update_slow_starts(Random& random);
     void release_call(Timestamp now, HostId host_id, Duration elapsed);
-    HostId choose(Timestamp now, std::uint64_t key, const std::vector<HostId>& tried_hosts, Random& random,
-                  bool include_deprioritized);
-    HostId pick_least_in_flight(Timestamp now, const std::vector<HostId>& tried_hosts,
-                                bool include_deprioritized);
-    HostId pick_round_robin(Timestamp now, const std::vector<HostId>& tried_hosts,
-                            bool include_deprioritized);
-    HostId pick_of_two(Timestamp now, const std::vector<HostId>& candidates,
-                       const std::vector<HostId>& tried_hosts, Random& random,
-                       bool include_deprioritized) const;
-    HostId pick_by_key(Timestamp now, std::uint64_t key, const std::vector<HostId>& tried_hosts,
-                       bool include_deprioritized);
-    const std::vector<HostId>& preferred_hosts() const;
-    void update_slow_starts(Random& random);  // those that began or ended with the last refresh()
     bool sends_load_probes() const {
         return settings_.policy == BalancingPolicy::probe_pool || probes_before_call();
     }
-    const std::vector<std::uint32_t>& own_subset(const std::vector<std::string>& names);
 
     HostSet& hosts_;
     BalancerSettings settings_;
-    std::vector<HostLoad> loads_;
-    std::vector<HostId> usable_hosts_, local_hosts_;  // those that may be used: everywhere, and here
-    double local_weight_ = 0.0;
-    std::uint64_t local_in_flight_ = 0, in_flight_ = 0;
-    std::vector<bool> is_local_;
+    /// By host id.
+    std::vector<HostLoad> host_loads_;
+    CandidateSet candidates_;
+    SubsetSelector subset_selector_;
+    /// Of the candidates; built again when a key asks for it.
     MaglevTable maglev_;
-    bool maglev_stale_ = true;  // the table is of an earlier set; it is made when a key asks for it
+    bool is_maglev_stale_ = true;
+    /// Where the next scan by least calls in flight begins.
     std::size_t scan_start_ = 0;
-    load_balancing::ProbePool probe_pool_;
-    load_balancing::WeightedSampler probe_sampler_;  // of all_
+    ProbePool probe_pool_;
+    /// Over the candidates, by weight.
+    WeightedSampler probe_sampler_;
     std::vector<std::uint32_t> sampled_;
-    std::vector<std::string> peer_names_,
-        subset_input_;  // parted_: the servers that part_ is of; empty: none
-    std::vector<std::uint32_t> own_subset_;
     SlowStartLimiter slow_start_;
-    bool slow_starts_stale_ = false;
+    /// States have changed since slow starts were last begun and finished.
+    bool are_slow_starts_stale_ = false;
 };
 
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/load_probes.cpp
+++ b/src/load_balancing/load_probes.cpp
@@ -2,77 +2,101 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
 namespace cressledge::load_balancing {
+namespace {
+
+/// A choice among fewer answers is none.
+constexpr std::size_t min_pool_size = 2;
+
+/// Utilization with the call that is to be placed.
+double utilization_with_call(const LoadReport& load) {
+    return load.utilization(1.0);
+}
+
+}  // namespace
 
 unsigned ProbePool::take_due_probes() {
     probe_credit_ += settings_.probes_per_call;
-    const double whole = std::floor(probe_credit_);
-    probe_credit_ -= whole;
-    return static_cast<unsigned>(whole);
+    const double whole_probes = std::floor(probe_credit_);
+    probe_credit_ -= whole_probes;
+    return static_cast<unsigned>(whole_probes);
 }
 
-// Equation 1 of the paper: as often as it takes for the pool not to run dry.
+// Equation 1 of the paper: an answer is used as often as it takes for the pool not to run dry.
 double ProbePool::max_uses() const {
-    const double n = static_cast<double>(std::max<std::size_t>(host_count_, 1));
-    const double m = std::min(static_cast<double>(settings_.pool_size), n);
-    const double fresh = (1.0 - m / n) * settings_.probes_per_call - settings_.removals_per_call;
-    if (fresh <= 0.0)
+    const double host_count = static_cast<double>(std::max<std::size_t>(host_count_, 1));
+    const double pool_size = std::min(static_cast<double>(settings_.pool_size), host_count);
+    const double new_answers_per_call =
+        (1.0 - pool_size / host_count) * settings_.probes_per_call - settings_.removals_per_call;
+    if (new_answers_per_call <= 0.0)
         return static_cast<double>(settings_.pool_size);
-    return std::max(1.0, (1.0 + settings_.min_pool_growth) / fresh);
+    return std::max(1.0, (1.0 + settings_.min_pool_growth) / new_answers_per_call);
 }
 
 void ProbePool::add(Timestamp now, HostId host_id, const LoadReport& load) {
-    remove(host_id);  // the later word of one server counts
+    remove(host_id);
     if (pool_.size() >= settings_.pool_size)
         pool_.erase(pool_.begin());
     pool_.push_back({host_id, load, now, 0});
 }
 
 void ProbePool::remove(HostId host_id) {
-    std::erase_if(pool_, [host_id](const PooledReport& a) { return a.host_id == host_id; });
+    std::erase_if(pool_, [host_id](const PooledReport& report) { return report.host_id == host_id; });
 }
 
 void ProbePool::remove_oldest_or_worst() {
     if (pool_.empty())
         return;
-    auto gone = pool_.begin();  // the oldest
+    auto removed = pool_.begin();
     if (!std::exchange(remove_oldest_next_, !remove_oldest_next_))
-        gone = std::max_element(pool_.begin(), pool_.end(), [](const PooledReport& a, const PooledReport& b) {
-            return a.load.utilization() < b.load.utilization();
-        });
-    pool_.erase(gone);
+        removed =
+            std::max_element(pool_.begin(), pool_.end(), [](const PooledReport& a, const PooledReport& b) {
+                return a.load.utilization() < b.load.utilization();
+            });
+    pool_.erase(removed);
+}
+
+double ProbePool::hot_utilization() const {
+    std::vector<double> utilizations;
+    utilizations.reserve(pool_.size());
+    for (const PooledReport& report : pool_)
+        utilizations.push_back(report.load.utilization());
+    const double rank = settings_.hot_quantile * static_cast<double>(utilizations.size() - 1);
+    const auto quantile = utilizations.begin() + static_cast<std::ptrdiff_t>(rank);
+    std::nth_element(utilizations.begin(), quantile, utilizations.end());
+    return *quantile;
+}
+
+// Hot-cold lexicographic: the lowest latency among the cold, and the lowest load only where all are hot.
+ProbePool::Pool::iterator ProbePool::best_report() {
+    const auto is_better = [hot = hot_utilization()](const PooledReport& a, const PooledReport& b) {
+        const bool a_is_cold = a.load.utilization() < hot;
+        const bool b_is_cold = b.load.utilization() < hot;
+        if (a_is_cold != b_is_cold)
+            return a_is_cold;
+        if (a_is_cold && a.load.latency_s != b.load.latency_s)
+            return a.load.latency_s < b.load.latency_s;
+        return utilization_with_call(a.load) < utilization_with_call(b.load);
+    };
+    return std::min_element(pool_.begin(), pool_.end(), is_better);
 }
 
 HostId ProbePool::pick(Timestamp now, const std::function<bool(HostId)>& is_eligible) {
-    std::erase_if(pool_, [&](const PooledReport& a) {
-        return now - a.received_at > settings_.max_age || !is_eligible(a.host_id);
+    std::erase_if(pool_, [&](const PooledReport& report) {
+        return now - report.received_at > settings_.max_age || !is_eligible(report.host_id);
     });
-    if (pool_.size() < 2)
+    if (pool_.size() < min_pool_size)
         return no_host;
-    std::vector<double> shares;
-    for (const PooledReport& a : pool_)
-        shares.push_back(a.load.utilization());
-    const auto at = shares.begin() + static_cast<std::ptrdiff_t>(settings_.hot_quantile *
-                                                                 static_cast<double>(shares.size() - 1));
-    std::nth_element(shares.begin(), at, shares.end());
-    const double hot = *at;
-    // Hot-cold lexicographic: among the cold the quickest, and only where all are hot the least loaded.
-    const auto better = [hot](const PooledReport& a, const PooledReport& b) {
-        const bool cold_a = a.load.utilization() < hot, cold_b = b.load.utilization() < hot;
-        if (cold_a != cold_b)
-            return cold_a;
-        if (cold_a && a.load.latency_s != b.load.latency_s)
-            return a.load.latency_s < b.load.latency_s;
-        return a.load.utilization(1.0) < b.load.utilization(1.0);
-    };
-    const auto chosen = std::min_element(pool_.begin(), pool_.end(), better);
-    const HostId host_id = chosen->host_id;
-    chosen->load.in_flight += 1.0;  // guards against one server for every call until it is heard again
-    if (++chosen->uses >= max_uses())
-        pool_.erase(chosen);
+    const auto best = best_report();
+    const HostId host_id = best->host_id;
+    // Guards against one host for every call until its next report.
+    best->load.in_flight += 1.0;
+    if (++best->uses >= max_uses())
+        pool_.erase(best);
     for (removal_credit_ += settings_.removals_per_call; removal_credit_ >= 1.0; removal_credit_ -= 1.0)
-        if (pool_.size() > 2)
+        if (pool_.size() > min_pool_size)
             remove_oldest_or_worst();
     return host_id;
 }
@@ -84,60 +108,15 @@
 }
 
 HostId least_loaded(const std::vector<ProbeAnswer>& answers) {
-    const auto least = std::min_element(answers.begin(), answers.end(), [](const auto& a, const auto& b) {
-        const double x = a.load.utilization(1.0), y = b.load.utilization(1.0);
-        return x != y ? x < y : a.load.latency_s < b.load.latency_s;
-    });
-    return least == answers.end() ? no_host : least->host_id;
-}
-
-void WeightedSampler::build(const std::vector<double>& weights) {
-    const std::size_t n = weights.size();
-    acceptance_.assign(n, 1.0);
-    alias_.resize(n);
-    double sum = 0.0;
-    for (const double c : weights)
-        sum += c;
-    std::vector<double> scaled(n);
-    std::vector<std::uint32_t> small, large;
-    for (std::size_t i = 0; i < n; ++i) {
-        scaled[i] = weights[i] * static_cast<double>(n) / sum;
-        alias_[i] = static_cast<std::uint32_t>(i);
-        (scaled[i] < 1.0 ? small : large).push_back(static_cast<std::uint32_t>(i));
-    }
-    while (!small.empty() && !large.empty()) {
-        const std::uint32_t s = small.back(), l = large.back();
-        small.pop_back();
-        acceptance_[s] = scaled[s];
-        alias_[s] = l;
-        scaled[l] -= 1.0 - scaled[s];
-        if (scaled[l] < 1.0) {
-            large.pop_back();
-            small.push_back(l);
-        }
-    }
-}
-
-std::uint32_t WeightedSampler::sample(Random& random) const {
-    // One number gives both: the whole part of it times the size is the place, and what is left the draw there.
-    const std::uint64_t p = std::uint64_t{random()} * acceptance_.size();
-    const auto i = static_cast<std::uint32_t>(p >> 32U);
-    return static_cast<double>(static_cast<std::uint32_t>(p)) * 0x1p-32 < acceptance_[i] ? i : alias_[i];
-}
-
-void WeightedSampler::sample(Random& random, unsigned count, std::vector<std::uint32_t>& sampled) const {
-    sampled.clear();
-    const std::size_t most = std::min<std::size_t>(count, acceptance_.size());
-    const bool few =
-        acceptance_.size() <= 64;  // draws meet each other more often, and a bit for each tells at once
-    std::uint64_t met = 0;
-    for (unsigned tries = 0; sampled.size() < most && tries < 8 * count; ++tries) {
-        const std::uint32_t i = sample(random);
-        if (few ? (met >> i & 1U) != 0 : std::find(sampled.begin(), sampled.end(), i) != sampled.end())
-            continue;
-        met |= std::uint64_t{few} << (i & 63U);
-        sampled.push_back(i);
-    }
+    const auto is_less_loaded = [](const ProbeAnswer& a, const ProbeAnswer& b) {
+        const double a_utilization = utilization_with_call(a.load);
+        const double b_utilization = utilization_with_call(b.load);
+        if (a_utilization != b_utilization)
+            return a_utilization < b_utilization;
+        return a.load.latency_s < b.load.latency_s;
+    };
+    const auto best = std::min_element(answers.begin(), answers.end(), is_less_loaded);
+    return best == answers.end() ? no_host : best->host_id;
 }
 
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/load_probes.hpp
+++ b/src/load_balancing/load_probes.hpp
@@ -1,22 +1,20 @@
-// Which server gets a call, by what a few servers have just said of themselves: probing in the manner of Prequal
-// (Wydrowski, Kleinberg, Rumble, Archer: "Load is not what you should balance", NSDI 2024). HostId I/O; time and randomness
-// are arguments.
+// Choice of a host by what a few hosts have just reported of their load: probing as in Prequal (Wydrowski, Kleinberg,
+// Rumble, Archer: "Load is not what you should balance", NSDI 2024). No I/O; time and randomness are arguments.
 //
-// Two ways to use it. Asynchronous (ProbePool): some probes go out beside each call, their answers wait in a small pool,
-// and the next call takes the best of them; it costs no time, and what is known is a few calls old. Synchronous (best):
-// a call's own probes go out first and it goes where the best answer came from; it costs a round trip, and what is known
-// is as old as half of that.
-//
-// Shares are in flight over capacity: 1 is as much as a server does at once. Latencies are seconds.
+// Two ways to use it. Asynchronous (`ProbePool`): some probes go out beside each call, their answers wait in a small
+// pool, and the next call takes the best of them; it costs no time, and what is known is a few calls old. Synchronous
+// (`least_loaded`): a call's own probes go out before it and it goes where the best answer came from; it costs a round
+// trip, and what is known is as old as half of that.
 #pragma once
 
 #include <algorithm>
 #include <cstdint>
 #include <deque>
 #include <functional>
-#include <utility>
 #include <vector>
 
+#include "load_balancing/load_reports.hpp"
+#include "load_balancing/weighted_sampler.hpp"
 #include "upstream_health/host_set.hpp"
 
 namespace cressledge::load_balancing {
@@ -27,38 +25,44 @@
 using upstream_health::no_host;
 using upstream_health::Random;
 
-struct LoadReport {  // a server's word on itself
-    double in_flight = 0.0;
-    double capacity = 1.0;  // what it does at once, above 0
-    double latency_s = 0.0;  // of late answers at about this load; 0: not said
-    double utilization(double extra_calls = 0.0) const { return (in_flight + extra_calls) / capacity; }
-};
-
 struct LoadProbeSettings {
-    std::size_t pool_size = 16;  // answers kept
-    double probes_per_call = 3.0;  // probes sent for each call
-    double removals_per_call = 1.0;  // answers dropped for each call: the oldest and the worst in turn
+    /// Most answers in the pool.
+    std::size_t pool_size = 16;
+    /// Probes sent for each call.
+    double probes_per_call = 3.0;
+    /// Answers removed from the pool for each call: the oldest and the worst in turn.
+    double removals_per_call = 1.0;
+    /// An older answer is not used.
     Duration max_age{1'000'000};
-    double hot_quantile =
-        0.0;  // quantile of the shares above which a server is hot, and only the load counts; 0: all are
-    double min_pool_growth =
-        1.0;  // delta of the paper's equation 1: the pool grows by so many answers a call at least
+    /// Quantile of the utilizations from which on a host is hot, and only its load counts; 0: all are.
+    double hot_quantile = 0.0;
+    /// Delta in equation 1 of the paper: the pool grows by at least so many answers for each call.
+    double min_pool_growth = 1.0;
 };
 
+/// Answers to probes that wait for a call.
 class ProbePool {
 public:
+    /// `host_count`: hosts that may be probed.
     explicit ProbePool(const LoadProbeSettings& settings, std::size_t host_count)
         : settings_(settings), host_count_(host_count) {}
-    void set_host_count(std::size_t host_count) { host_count_ = host_count; }  // that may be probed
-    void reconfigure(const LoadProbeSettings& settings) {
-        settings_ = settings;
-    }  // what has been heard stays
-    unsigned take_due_probes();  // probes to be sent for one more call; a fraction is carried over
+
+    void set_host_count(std::size_t host_count) { host_count_ = host_count; }
+    /// Takes effect with the next call; answers stay.
+    void reconfigure(const LoadProbeSettings& settings) { settings_ = settings; }
+
+    /// Number of probes to send for one more call; a fraction is carried over to the next.
+    unsigned take_due_probes();
+
+    /// Takes an answer; it replaces an earlier one of the same host, or the oldest of a full pool.
     void add(Timestamp now, HostId host_id, const LoadReport& load);
-    void remove(HostId host_id);  // a probe or call failed: what it said is worth nothing
-    // The best answer, and the call it leads to counted in it. nobody: fewer than two that may are known; the caller
-    // falls back on a choice of its own.
+    /// Drops the answer of a host whose call or probe has failed.
+    void remove(HostId host_id);
+
+    /// Host with the best answer; the call that it will get is counted in that answer. `no_host` if fewer than two
+    /// answers of eligible hosts are known.
     HostId pick(Timestamp now, const std::function<bool(HostId)>& is_eligible);
+
     std::size_t size() const { return pool_.size(); }
 
 private:
@@ -68,23 +72,32 @@
         Timestamp received_at{0};
         unsigned uses = 0;
     };
+    using Pool = std::vector<PooledReport>;
+
     double max_uses() const;
+    double hot_utilization() const;
+    Pool::iterator best_report();
     void remove_oldest_or_worst();
 
     LoadProbeSettings settings_;
     std::size_t host_count_;
-    std::vector<PooledReport> pool_;  // in the order in which they came
-    double probe_credit_ = 0.0, removal_credit_ = 0.0;
+    /// Oldest first.
+    Pool pool_;
+    double probe_credit_ = 0.0;
+    double removal_credit_ = 0.0;
     bool remove_oldest_next_ = true;
 };
 
-// What a server adds to its load when it is probed: the calls that probes of the last moments may still bring. Guards
-// against a herd: of all who probe within one round trip each would find it idle. Counts 1 / `probes` for each.
+/// What a host adds to its reported load when it is probed: the calls that probes of the last moments may still bring.
+/// Without it all who probe within one round trip would find the same host idle and send to it at once. A probe counts
+/// as 1 / `probes_per_call` calls.
 class ExpectedCallEstimator {
 public:
     ExpectedCallEstimator(Duration window, unsigned probes_per_call)
         : window_(window), calls_per_probe_(1.0 / std::max(1U, probes_per_call)) {}
-    double expected_calls(Timestamp now);  // expected now, from the probes before
+
+    /// Calls that probes within the window before `now` may bring.
+    double expected_calls(Timestamp now);
     void on_probe(Timestamp now) { probe_times_.push_back(now); }
 
 private:
@@ -103,19 +116,4 @@
 /// first one. `no_host` without an answer.
 HostId least_loaded(const std::vector<ProbeAnswer>& answers);
 
-// Servers by chance in proportion to their capacity: those of 4 are asked four times as often as those of 1, which
-// keeps what each is offered in step with what it can do. Alias method (Vose, 1991): O(1) a draw, O(n) to make.
-class WeightedSampler {
-public:
-    void build(const std::vector<double>& weights);  // each above 0
-    std::uint32_t sample(Random& random) const;  // not of an empty one
-    // Different ones, into `to`; fewer where there are fewer, or where chance has it so eight times over.
-    void sample(Random& random, unsigned count, std::vector<std::uint32_t>& to) const;
-    bool empty() const { return acceptance_.empty(); }
-
-private:
-    std::vector<double> acceptance_;
-    std::vector<std::uint32_t> alias_;
-};
-
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/maglev.cpp
+++ b/src/load_balancing/maglev.cpp
@@ -4,13 +4,28 @@
 #include <xxhash.h>
 
 #include <algorithm>
-#include <numeric>
+
+#include "load_balancing/name_hash.hpp"
 
 namespace cressledge::load_balancing {
 namespace {
 
-std::uint64_t hash(const std::string& s, std::uint64_t seed) {
-    return XXH3_64bits_withSeed(s.data(), s.size(), seed);
+constexpr std::uint64_t offset_seed = 1;
+constexpr std::uint64_t skip_seed = 2;
+
+/// A host's order of preference over the places of the table.
+struct Permutation {
+    std::uint64_t position;
+    std::uint64_t step;
+};
+
+std::vector<Permutation> permutations_of(const std::vector<std::string>& names, std::size_t size) {
+    std::vector<Permutation> permutations;
+    permutations.reserve(names.size());
+    for (const std::string& name : names)
+        permutations.push_back(
+            {hash_name(name, offset_seed) % size, hash_name(name, skip_seed) % (size - 1) + 1});
+    return permutations;
 }
 
 }  // namespace
@@ -25,19 +40,14 @@
         return;
     constexpr std::uint32_t unset = ~std::uint32_t{0};
     table_.assign(size, unset);
-    struct Permutation {
-        std::uint64_t position, step;
-    };
-    std::vector<Permutation> permutations;
-    for (const std::string& n : names)
-        permutations.push_back({hash(n, 1) % size, hash(n, 2) % (size - 1) + 1});
-    // Each in turn takes the next free place of its own permutation.
+    std::vector<Permutation> permutations = permutations_of(names, size);
+    // Each host in turn takes the next free place of its own permutation.
     for (std::size_t filled = 0; filled < size;) {
         for (std::uint32_t i = 0; i < permutations.size() && filled < size; ++i) {
-            Permutation& w = permutations[i];
-            while (table_[w.position] != unset)
-                w.position = (w.position + w.step) % size;
-            table_[w.position] = i;
+            Permutation& permutation = permutations[i];
+            while (table_[permutation.position] != unset)
+                permutation.position = (permutation.position + permutation.step) % size;
+            table_[permutation.position] = i;
             ++filled;
         }
     }
@@ -48,22 +58,4 @@
     return table_[XXH3_64bits(words, sizeof words) % table_.size()];
 }
 
-std::vector<std::uint32_t> rendezvous_subset(const std::string& node, const std::vector<std::string>& names,
-                                             std::size_t size) {
-    std::vector<std::uint32_t> all(names.size());
-    std::iota(all.begin(), all.end(), 0U);
-    if (size == 0 || size >= names.size())
-        return all;
-    const std::uint64_t seed = hash(node, 3);
-    std::vector<std::uint64_t> rank;
-    for (const std::string& n : names)
-        rank.push_back(hash(n, seed));
-    std::nth_element(
-        all.begin(), all.begin() + static_cast<std::ptrdiff_t>(size), all.end(),
-        [&](auto a, auto b) { return rank[a] != rank[b] ? rank[a] > rank[b] : names[a] < names[b]; });
-    all.resize(size);
-    std::sort(all.begin(), all.end());
-    return all;
-}
-
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/maglev.hpp
+++ b/src/load_balancing/maglev.hpp
@@ -1,5 +1,6 @@
-// Affinity of keys to servers: a look-up table after Maglev (Eisenbud and others, 2016). Even, and a change of the
-// servers moves little more than it must. Names make it, so every process that knows the same names agrees.
+// Affinity of keys to hosts: the lookup table of "Maglev: A Fast and Reliable Software Network Load Balancer"
+// (Eisenbud and others, NSDI 2016). It is even, and a change of the hosts moves few keys beyond those that have to
+// move. It is made from names alone: all processes that know the same names agree.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +12,22 @@
 
 class MaglevTable {
 public:
-    // `size` is a prime well above the number of names.
-    void build(const std::vector<std::string>& names, std::size_t size = 65'537);
-    // The place in `names` of the n-th choice for the key; repeats may come. Not for an empty table.
+    static constexpr std::size_t default_size = 65'537;
+
+    /// `size` is a prime well above the number of names.
+    void build(const std::vector<std::string>& names, std::size_t size = default_size);
+    /// Index in `names` of a choice (counted from 0) for the key; two choices may be the same host. The table must
+    /// not be empty.
     std::uint32_t find(std::uint64_t key, std::uint32_t choice = 0) const;
     bool empty() const { return table_.empty(); }
+    /// Index in `names` for each place of the table.
     const std::vector<std::uint32_t>& table() const { return table_; }
 
 private:
     std::vector<std::uint32_t> table_;
 };
 
-std::uint64_t affinity_key(std::string_view text);  // 0 for the empty one only
-
-// The servers that `node` uses out of `names`, by rendezvous hashing: places in `names`, in order. One that comes or
-// goes changes one place at most.
-std::vector<std::uint32_t> rendezvous_subset(const std::string& node, const std::vector<std::string>& names,
-                                             std::size_t size);
+/// Hash of a lookup key; 0 for the empty one only.
+std::uint64_t affinity_key(std::string_view text);
 
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/slow_start.cpp
+++ b/src/load_balancing/slow_start.cpp
@@ -6,27 +6,33 @@
 #include <algorithm>
 #include <cmath>
 
+#include "load_balancing/seconds.hpp"
+
 namespace cressledge::load_balancing {
 namespace {
 
-constexpr double carry_over_fraction =
-    0.1;  // of a window: how long a call that nobody asked for stays allowed
-double seconds(base::Duration s) {
-    return static_cast<double>(s.count()) * 1e-6;
-}
+/// Fraction of the window for which a call that was not sent stays allowed.
+constexpr double carry_over_fraction = 0.1;
+constexpr double min_warm_up_s = 1e-6;
+constexpr std::uint64_t rounding_seed = 1;
+/// Number of values of 32 random bits.
+constexpr double random_range = 4294967296.0;
 
 }  // namespace
 
+// The integral over time of the allowed fraction: a straight line up to 1 while the host warms up, and 1 after that.
+double SlowStartLimiter::warm_seconds(base::Duration since_announcement) const {
+    const double warm_up_s = std::max(min_warm_up_s, to_seconds(settings_.warm_up_time));
+    const double elapsed_s = std::max(0.0, to_seconds(since_announcement));
+    const double ramp_s = std::min(elapsed_s, warm_up_s);
+    return settings_.initial_fraction * ramp_s +
+           (1.0 - settings_.initial_fraction) * ramp_s * ramp_s / (2.0 * warm_up_s) + (elapsed_s - ramp_s);
+}
+
 double SlowStartLimiter::allowed_calls(base::Timestamp announced_at, base::Timestamp from,
                                        base::Timestamp to) const {
-    const double warm = std::max(1e-6, seconds(settings_.warm_up_time));
-    const auto until =
-        [&](base::Timestamp t) {  // the integral of a line from `from` to 1, and of 1 behind it
-            const double s = std::max(0.0, seconds(t - announced_at)), cold = std::min(s, warm);
-            return settings_.initial_fraction * cold +
-                   (1.0 - settings_.initial_fraction) * cold * cold / (2.0 * warm) + (s - cold);
-        };
-    return settings_.calls_per_s * std::max(0.0, until(to) - until(from));
+    const double warm_s = warm_seconds(to - announced_at) - warm_seconds(from - announced_at);
+    return settings_.calls_per_s * std::max(0.0, warm_s);
 }
 
 void SlowStartLimiter::update_peers(base::Timestamp now, const std::vector<std::string>& names,
@@ -34,30 +40,34 @@
     for (const std::string& name : names)
         peer_last_seen_[name] = now;
     // Guards against two halves of a fleet that do not hear each other, and would each take all of the calls.
-    std::erase_if(peer_last_seen_,
-                  [&](const auto& s) { return s.second + settings_.warm_up_time + settings_.window < now; });
-    own_rank_ =
-        static_cast<std::size_t>(std::distance(peer_last_seen_.begin(), peer_last_seen_.lower_bound(self)));
+    const base::Duration max_silence = settings_.warm_up_time + settings_.window;
+    std::erase_if(peer_last_seen_, [&](const auto& peer) { return peer.second + max_silence < now; });
+    const auto own_place = peer_last_seen_.lower_bound(self);
+    own_rank_ = static_cast<std::size_t>(std::distance(peer_last_seen_.begin(), own_place));
 }
 
 void SlowStartLimiter::begin(upstream_health::HostId host_id, const upstream_health::HostSpec& spec,
                              base::Timestamp announced_at, upstream_health::Random& random) {
     if (ramps_.size() <= host_id)
         ramps_.resize(host_id + std::size_t{1});
-    HostRamp& s = ramps_[host_id];
-    s = {};
-    s.is_active = true;
-    s.announced_at = s.updated_at = announced_at;
-    s.weight = spec.weight;
-    // The remainder. Where all know of each other, their parts of the rounding lie evenly between 0 and 1, from a point
-    // drawn by the server's name: the sum is then rounded once, not once for each. Otherwise each draws his own.
-    constexpr double whole = 4294967296.0;
-    if (knows_peers()) {
-        const auto draw = static_cast<double>(XXH64(spec.name.data(), spec.name.size(), 1) >> 32U) / whole;
-        s.credit = std::fmod(draw + static_cast<double>(own_rank_) / process_count(), 1.0);
-    } else {
-        s.credit = static_cast<double>(random()) / whole;
-    }
+    HostRamp& ramp = ramps_[host_id];
+    ramp = {};
+    ramp.is_active = true;
+    ramp.announced_at = announced_at;
+    ramp.updated_at = announced_at;
+    ramp.weight = spec.weight;
+    ramp.credit = initial_credit(spec.name, random);
+}
+
+// This process's part of the rounding, from 0 to 1. Where all know of each other, their parts lie evenly between 0 and 1,
+// from a point that the host's name gives: the sum is rounded once, not once for each process. Otherwise each draws its
+// own.
+double SlowStartLimiter::initial_credit(const std::string& host_name, upstream_health::Random& random) const {
+    if (!knows_peers())
+        return static_cast<double>(random()) / random_range;
+    const std::uint64_t hash = XXH64(host_name.data(), host_name.size(), rounding_seed);
+    const double offset = static_cast<double>(hash >> 32U) / random_range;
+    return std::fmod(offset + static_cast<double>(own_rank_) / process_count(), 1.0);
 }
 
 void SlowStartLimiter::finish(upstream_health::HostId host_id) {
@@ -70,33 +80,37 @@
            ramps_[host_id].announced_at == announced_at;
 }
 
-double SlowStartLimiter::own_share(const HostRamp& s, base::Timestamp from, base::Timestamp to) const {
-    return s.weight * allowed_calls(s.announced_at, from, to) / process_count();
+double SlowStartLimiter::own_share(const HostRamp& ramp, base::Timestamp from, base::Timestamp to) const {
+    return ramp.weight * allowed_calls(ramp.announced_at, from, to) / process_count();
+}
+
+SlowStartLimiter::HostRamp SlowStartLimiter::advanced_to(base::Timestamp now, const HostRamp& ramp) const {
+    HostRamp advanced = ramp;
+    if (now <= ramp.updated_at)
+        return advanced;
+    advanced.credit += own_share(ramp, ramp.updated_at, now);
+    advanced.updated_at = now;
+    // Calls that were not sent in time are lost: guards against a burst of what many processes have saved up.
+    const double window_us = static_cast<double>(settings_.window.count());
+    const base::Duration carry_over(std::llround(carry_over_fraction * window_us));
+    const double recent_credit = own_share(ramp, now - carry_over, now);
+    advanced.used_calls = std::max(advanced.used_calls, std::floor(advanced.credit - recent_credit));
+    return advanced;
 }
 
-SlowStartLimiter::HostRamp SlowStartLimiter::advanced_to(base::Timestamp now, const HostRamp& s) const {
-    HostRamp c = s;
-    if (now <= s.updated_at)
-        return c;
-    c.credit += own_share(s, s.updated_at, now);
-    c.updated_at = now;
-    // What nobody asked for in time is lost: guards against a burst of what many have saved up.
-    const base::Timestamp old =
-        now -
-        base::Duration(std::llround(carry_over_fraction * static_cast<double>(settings_.window.count())));
-    c.used_calls = std::max(c.used_calls, std::floor(c.credit - own_share(s, old, now)));
-    return c;
+bool SlowStartLimiter::is_limited(upstream_health::HostId host_id) const {
+    return is_enabled() && host_id < ramps_.size() && ramps_[host_id].is_active;
 }
 
 bool SlowStartLimiter::allows(base::Timestamp now, upstream_health::HostId host_id) const {
-    if (!is_enabled() || host_id >= ramps_.size() || !ramps_[host_id].is_active)
+    if (!is_limited(host_id))
         return true;
-    const HostRamp c = advanced_to(now, ramps_[host_id]);
-    return std::floor(c.credit) - c.used_calls >= 1.0;
+    const HostRamp ramp = advanced_to(now, ramps_[host_id]);
+    return std::floor(ramp.credit) - ramp.used_calls >= 1.0;
 }
 
 void SlowStartLimiter::on_call_started(base::Timestamp now, upstream_health::HostId host_id) {
-    if (!is_enabled() || host_id >= ramps_.size() || !ramps_[host_id].is_active)
+    if (!is_limited(host_id))
         return;
     ramps_[host_id] = advanced_to(now, ramps_[host_id]);
     ramps_[host_id].used_calls += 1.0;
--- a/src/load_balancing/slow_start.hpp
+++ b/src/load_balancing/slow_start.hpp
@@ -1,11 +1,12 @@
-// The slow-start ramp of a cold server, held by the fleet and not by each process alone: a server falls under the sum of
-// what all processes send. Each process gives itself its share of the calls that the server is allowed since it was
+// Slow start of a host that warms up, held by the fleet and not by each process alone: what overloads a host is the sum
+// of what all processes send. Each process gives itself its share of the calls that the host is allowed since it was
 // announced. No I/O; time, randomness and what is known of the fleet are arguments.
 //
-// Invariants, over any span of `window` in which N calls are allowed, of P processes that know of each other:
-// - the sum of what they send is at most N, one for the rounding, and a tenth of a window's that nobody had asked for in time
-// - who is lost sight of is counted for as long as a ramp lasts: he may be cut off and go on sending
-// - a process that knows of nobody else counts `peers`, and draws its part of the rounding by itself
+// Invariants, over any span of `window` in which N calls are allowed, where the processes know of each other:
+// - the sum of what they send is at most N, one call for the rounding, and what a tenth of a window allows and was not
+//   used in time;
+// - a process that is lost sight of is counted for as long as a slow start lasts: it may be cut off and go on sending;
+// - a process that knows of no other counts `assumed_processes`, and draws its part of the rounding by itself.
 #pragma once
 
 #include <algorithm>
@@ -19,51 +20,73 @@
 namespace cressledge::load_balancing {
 
 struct SlowStartSettings {
-    double calls_per_s =
-        0.0;  // that a warm server of weight 1 is allowed, from all processes together; 0: no bound
-    double initial_fraction = 0.2;  // of it, at the announcement
-    base::Duration warm_up_time{10'000'000};  // then it is allowed all of it
-    base::Duration window{2'000'000};  // over which a server feels the sum
-    double assumed_processes = 32.0;  // processes that send, where this one knows of no other
+    /// Calls a second that a warm host of weight 1 is allowed, from all processes together; 0: no bound.
+    double calls_per_s = 0.0;
+    /// Fraction of it at the announcement; it grows in a straight line to 1 over the warm-up time.
+    double initial_fraction = 0.2;
+    base::Duration warm_up_time{10'000'000};
+    /// The bound holds for the calls within any such span.
+    base::Duration window{2'000'000};
+    /// Processes counted where this one knows of no other.
+    double assumed_processes = 32.0;
 };
 
+/// This process's share of the calls to each host that warms up.
 class SlowStartLimiter {
 public:
     explicit SlowStartLimiter(SlowStartSettings settings = {}) : settings_(settings) {}
+
     void reconfigure(SlowStartSettings settings) { settings_ = settings; }
     bool is_enabled() const { return settings_.calls_per_s > 0.0; }
 
-    // The live processes by name, this one among them as `self`.
+    /// The live processes of the fleet by name, this one among them as `self`; to be told again regularly.
     void update_peers(base::Timestamp now, const std::vector<std::string>& names, const std::string& self);
-    // A server's ramp begins, or has begun before this process knew of it.
+
+    /// A host's slow start begins, or has begun before this process knew of it.
     void begin(upstream_health::HostId host_id, const upstream_health::HostSpec& spec,
                base::Timestamp announced_at, upstream_health::Random& random);
     void finish(upstream_health::HostId host_id);
+    /// Whether the slow start that was announced then is under way.
     bool is_running(upstream_health::HostId host_id, base::Timestamp announced_at) const;
-    bool allows(base::Timestamp now, upstream_health::HostId host_id) const;  // a call more
+
+    /// Whether this process may send the host one more call; true for a host without slow start.
+    bool allows(base::Timestamp now, upstream_health::HostId host_id) const;
     void on_call_started(base::Timestamp now, upstream_health::HostId host_id);
-    // By all processes, to a server of weight 1: N.
+
+    /// Calls that all processes together may send to a host of weight 1 in the span.
     double allowed_calls(base::Timestamp announced_at, base::Timestamp from, base::Timestamp to) const;
+    /// Processes among which the calls are shared out.
     double process_count() const {
         return knows_peers() ? static_cast<double>(peer_last_seen_.size())
                              : std::max(settings_.assumed_processes, 1.0);
     }
 
 private:
+    /// The slow start of one host, as of `updated_at`.
     struct HostRamp {
         bool is_active = false;
-        base::Timestamp announced_at{0}, updated_at{0};
+        base::Timestamp announced_at{0};
+        base::Timestamp updated_at{0};
         double weight = 1.0;
-        double credit = 0.0;  // this process's share up to `at`, with its part of the rounding
+        /// Calls that this process was allowed since the announcement, with its part of the rounding.
+        double credit = 0.0;
+        /// Calls sent, or no longer allowed because they were not sent in time.
         double used_calls = 0.0;
     };
+
     bool knows_peers() const { return peer_last_seen_.size() > 1; }
-    HostRamp advanced_to(base::Timestamp now, const HostRamp& s) const;
-    double own_share(const HostRamp& s, base::Timestamp from, base::Timestamp to) const;
+    bool is_limited(upstream_health::HostId host_id) const;
+    double initial_credit(const std::string& host_name, upstream_health::Random& random) const;
+    double warm_seconds(base::Duration since_announcement) const;
+    HostRamp advanced_to(base::Timestamp now, const HostRamp& ramp) const;
+    double own_share(const HostRamp& ramp, base::Timestamp from, base::Timestamp to) const;
 
     SlowStartSettings settings_;
-    std::map<std::string, base::Timestamp> peer_last_seen_;  // of each sharer, when it was last known to live
-    std::size_t own_rank_ = 0;  // of this one among them, in an order that all agree on
+    /// When each process was last known to live.
+    std::map<std::string, base::Timestamp> peer_last_seen_;
+    /// Place of this process among them, in an order that all agree on.
+    std::size_t own_rank_ = 0;
+    /// By host id.
     std::vector<HostRamp> ramps_;
 };
 
