--- a/src/net/file_watcher.hpp
+++ b/src/net/file_watcher.hpp
@@ -1,5 +1,5 @@
-// Looks at a file's name from time to time, and tells when what it stands for has changed, come or gone. By its times
-// and sizes, on the thread pool: works where no kernel notice reaches (network folders), and takes no descriptor.
+// Reports changes of a file, by polling its times and its size on libuv's thread pool: this works where the kernel
+// sends no notice (network file systems), and takes no descriptor.
 #pragma once
 
 #include <uv.h>
@@ -9,24 +9,27 @@
 
 namespace cressledge::net {
 
+/// Watches one path. What the path stands for may change, come or go.
 class FileWatcher {
 public:
-    FileWatcher(uv_loop_t* loop, const std::string& path, unsigned every_ms, std::function<void()> changed)
-        : poll_(new uv_fs_poll_t), on_change_(std::move(changed)) {
+    /// Calls `on_change` on the loop, at most once every `interval_ms` milliseconds.
+    FileWatcher(uv_loop_t* loop, const std::string& path, unsigned interval_ms,
+                std::function<void()> on_change)
+        : poll_(new uv_fs_poll_t), on_change_(std::move(on_change)) {
         uv_fs_poll_init(loop, poll_);
         poll_->data = this;
         uv_fs_poll_start(
             poll_,
-            [](uv_fs_poll_t* p, int, const uv_stat_t*, const uv_stat_t*) {
-                if (p->data != nullptr)
-                    static_cast<FileWatcher*>(p->data)->on_change_();
+            [](uv_fs_poll_t* poll, int, const uv_stat_t*, const uv_stat_t*) {
+                if (poll->data != nullptr)
+                    static_cast<FileWatcher*>(poll->data)->on_change_();
             },
-            path.c_str(), every_ms);
+            path.c_str(), interval_ms);
     }
     ~FileWatcher() {
         poll_->data = nullptr;
         uv_close(reinterpret_cast<uv_handle_t*>(poll_),
-                 [](uv_handle_t* h) { delete reinterpret_cast<uv_fs_poll_t*>(h); });
+                 [](uv_handle_t* handle) { delete reinterpret_cast<uv_fs_poll_t*>(handle); });
     }
     FileWatcher(const FileWatcher&) = delete;
     FileWatcher& operator=(const FileWatcher&) = delete;
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,4 +1,5 @@
-// Calls of control addresses: one HTTP/1.1 exchange each, on a connection of its own, answered or given up at a set time.
+// HTTP/1.1 requests to admin addresses: one exchange on a connection of its own, with an absolute deadline. No
+// redirects, no TLS, no connection reuse.
 #pragma once
 
 #include <functional>
@@ -11,30 +12,39 @@
 
 namespace cressledge::net {
 
+/// Sends requests and reports their responses. Requests that are open when it is destroyed are dropped silently.
 class HttpClient {
 public:
     struct Response {
-        int status = 0;  // 0: none came whole by its time
+        /// 0: no complete response came by the deadline.
+        int status = 0;
         std::string body;
     };
-    static constexpr std::size_t max_response_bytes = 4U << 20U;  // bytes; more is given up
+    using ResponseHandler = std::function<void(const Response&)>;
+
+    /// A response with a longer body counts as none.
+    static constexpr std::size_t max_response_bytes = 4U << 20U;
 
     HttpClient(Loop& loop, base::TimerQueue& timers);
     ~HttpClient();
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
-    // `told` hears once, on a later turn of the loop or before this returns; never after this object is gone.
+
+    /// Calls `on_response` once, on a later turn of the loop or before this returns.
     void request(const Address& address, const std::string& method, const std::string& path,
-                 const std::string& body, base::Timestamp deadline,
-                 std::function<void(const Response&)> on_response);
+                 const std::string& body, base::Timestamp deadline, ResponseHandler on_response);
+
+    /// A GET request; see request().
     void get(const Address& address, const std::string& path, base::Timestamp deadline,
-             std::function<void(const Response&)> on_response) {
+             ResponseHandler on_response) {
         request(address, "GET", path, "", deadline, std::move(on_response));
     }
+
     std::size_t requests_in_flight() const { return pending_requests_.size(); }
 
 private:
     class PendingRequest;
+
     Loop& loop_;
     base::TimerQueue& timers_;
     base::SlotMap<PendingRequest> pending_requests_;
--- a/src/net/udp_socket.cpp
+++ b/src/net/udp_socket.cpp
@@ -1,51 +1,61 @@
 #include "net/udp_socket.hpp"
 
 #include <array>
-#include <stdexcept>
-#include <string>
+#include <cstring>
+
+#include "net/socket_error.hpp"
 
 namespace cressledge::net {
 namespace {
 
-// One datagram of any size: guards against one that would be cut and taken for a shorter one.
+// Room for a datagram of any size: one that is cut would pass for a shorter one.
 std::array<char, 65'536> receive_buffer;
 
+void use_receive_buffer(uv_handle_t*, std::size_t, uv_buf_t* buffer) {
+    *buffer = uv_buf_init(receive_buffer.data(), static_cast<unsigned>(receive_buffer.size()));
+}
+
+void close_and_delete(uv_udp_t* socket) {
+    uv_close(reinterpret_cast<uv_handle_t*>(socket),
+             [](uv_handle_t* handle) { delete reinterpret_cast<uv_udp_t*>(handle); });
+}
+
 }  // namespace
 
-UdpSocket::UdpSocket(uv_loop_t* loop, const Address& address, ReceiveHandler told)
-    : handle_(new uv_udp_t), on_receive_(std::move(told)) {
-    int bad = uv_udp_init(loop, handle_);
-    if (bad != 0) {
+UdpSocket::UdpSocket(uv_loop_t* loop, const Address& address, ReceiveHandler on_receive)
+    : handle_(new uv_udp_t), on_receive_(std::move(on_receive)) {
+    int status = uv_udp_init(loop, handle_);
+    if (status != 0) {
         delete handle_;
-        throw std::runtime_error(std::string("no datagram socket: ") + uv_strerror(bad));
+        throw SocketError("no datagram socket", uv_strerror(status));
     }
     handle_->data = this;
-    bad = uv_udp_bind(handle_, reinterpret_cast<const sockaddr*>(&address.raw), 0);
-    if (bad == 0)
-        bad = uv_udp_recv_start(
-            handle_,
-            [](uv_handle_t*, std::size_t, uv_buf_t* b) {
-                *b = uv_buf_init(receive_buffer.data(), static_cast<unsigned>(receive_buffer.size()));
-            },
-            [](uv_udp_t* u, ssize_t n, const uv_buf_t* b, const sockaddr* from, unsigned) {
-                if (n < 0 || from == nullptr || u->data == nullptr)
-                    return;  // nothing more, or an error of the peer's
-                Address a;
-                std::memcpy(&a.raw, from,
-                            from->sa_family == AF_INET6 ? sizeof(sockaddr_in6) : sizeof(sockaddr_in));
-                static_cast<UdpSocket*>(u->data)->on_receive_({b->base, static_cast<std::size_t>(n)}, a);
+    status = uv_udp_bind(handle_, reinterpret_cast<const sockaddr*>(&address.raw), 0);
+    if (status == 0)
+        status = uv_udp_recv_start(
+            handle_, use_receive_buffer,
+            [](uv_udp_t* socket, ssize_t length, const uv_buf_t* buffer, const sockaddr* from, unsigned) {
+                if (socket->data != nullptr)
+                    static_cast<UdpSocket*>(socket->data)->on_received(length, *buffer, from);
             });
-    if (bad == 0)
-        return;
-    uv_close(reinterpret_cast<uv_handle_t*>(handle_),
-             [](uv_handle_t* h) { delete reinterpret_cast<uv_udp_t*>(h); });
-    throw std::runtime_error(std::string("cannot take datagrams: ") + uv_strerror(bad));
+    if (status != 0) {
+        close_and_delete(handle_);
+        throw SocketError("cannot take datagrams", uv_strerror(status));
+    }
 }
 
 UdpSocket::~UdpSocket() {
     handle_->data = nullptr;
-    uv_close(reinterpret_cast<uv_handle_t*>(handle_),
-             [](uv_handle_t* h) { delete reinterpret_cast<uv_udp_t*>(h); });
+    close_and_delete(handle_);
+}
+
+void UdpSocket::on_received(ssize_t length, const uv_buf_t& buffer, const sockaddr* from) {
+    // No address: there is nothing more to read. A negative length: an error of an earlier send.
+    if (length < 0 || from == nullptr)
+        return;
+    Address sender;
+    std::memcpy(&sender.raw, from, from->sa_family == AF_INET6 ? sizeof(sockaddr_in6) : sizeof(sockaddr_in));
+    on_receive_({buffer.base, static_cast<std::size_t>(length)}, sender);
 }
 
 int UdpSocket::port() const {
@@ -53,15 +63,17 @@
     int length = sizeof name;
     if (uv_udp_getsockname(handle_, reinterpret_cast<sockaddr*>(&name), &length) != 0)
         return 0;
-    return ntohs(name.ss_family == AF_INET6 ? reinterpret_cast<sockaddr_in6*>(&name)->sin6_port
-                                            : reinterpret_cast<sockaddr_in*>(&name)->sin_port);
+    if (name.ss_family == AF_INET6)
+        return ntohs(reinterpret_cast<const sockaddr_in6&>(name).sin6_port);
+    return ntohs(reinterpret_cast<const sockaddr_in&>(name).sin_port);
 }
 
 bool UdpSocket::send(const Address& to, std::string_view bytes) {
-    const uv_buf_t b = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
-    const bool sent = uv_udp_try_send(handle_, &b, 1, reinterpret_cast<const sockaddr*>(&to.raw)) >= 0;
-    dropped_datagrams_ += sent ? 0 : 1;
-    return sent;
+    const uv_buf_t buffer = uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
+    const int status = uv_udp_try_send(handle_, &buffer, 1, reinterpret_cast<const sockaddr*>(&to.raw));
+    if (status < 0)
+        ++dropped_datagrams_;
+    return status >= 0;
 }
 
 }  // namespace cressledge::net
--- a/src/net/udp_socket.hpp
+++ b/src/net/udp_socket.hpp
@@ -1,4 +1,5 @@
-// A UDP socket on the loop. What cannot be sent at once is dropped and counted, as the network itself might do.
+// A UDP socket on the event loop. A datagram that the system does not take at once is dropped and counted, as the
+// network itself might drop it.
 #pragma once
 
 #include <uv.h>
@@ -7,23 +8,35 @@
 #include <functional>
 #include <string_view>
 
+#include "net/address.hpp"
 #include "net/stream.hpp"
 
 namespace cressledge::net {
 
+/// A bound UDP socket.
 class UdpSocket {
 public:
-    // `told` hears of each datagram that came, whole. Throws std::runtime_error when the address cannot be bound.
+    /// Receives each datagram, whole. The bytes are valid during the call only.
     using ReceiveHandler = std::function<void(std::string_view bytes, const Address& from)>;
-    UdpSocket(uv_loop_t* loop, const Address& address, ReceiveHandler told);
+
+    /// Throws SocketError when the address cannot be bound.
+    UdpSocket(uv_loop_t* loop, const Address& address, ReceiveHandler on_receive);
     ~UdpSocket();
     UdpSocket(const UdpSocket&) = delete;
     UdpSocket& operator=(const UdpSocket&) = delete;
+
+    /// The local port; 0 when the system does not tell it.
     int port() const;
+
+    /// Returns false when the datagram was dropped.
     bool send(const Address& to, std::string_view bytes);
+
+    /// How many datagrams send() has dropped.
     std::uint64_t dropped_datagrams() const { return dropped_datagrams_; }
 
 private:
+    void on_received(ssize_t length, const uv_buf_t& buffer, const sockaddr* from);
+
     uv_udp_t* handle_;
     ReceiveHandler on_receive_;
     std::uint64_t dropped_datagrams_ = 0;
