--- a/src/platform/directory_reporter.cpp
+++ b/src/platform/directory_reporter.cpp
@@ -5,23 +5,27 @@
 namespace cressledge::platform {
 namespace {
 
-constexpr base::Duration report_interval{800'000};  // an entry lapses 3 s after a report: two may go wrong
-constexpr base::Duration response_timeout{600'000}, retry_delay{150'000};
+/// An entry lapses 3 s after its last report: two reports in a row may fail.
+constexpr base::Duration report_interval{800'000};
+constexpr base::Duration response_timeout{600'000};
+constexpr base::Duration retry_delay{150'000};
+constexpr unsigned http_no_content = 204;
 
 }  // namespace
 
 DirectoryReporter::DirectoryReporter(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
                                      connection_admission::FileDescriptorBudget& descriptors,
-                                     std::string name)
-    : ReconnectingLink(loop, timers, address, descriptors), node_name_(std::move(name)) {}
+                                     std::string node_name)
+    : ReconnectingLink(loop, timers, address, descriptors), node_name_(std::move(node_name)) {}
+
 DirectoryReporter::~DirectoryReporter() {
     timers_.cancel(report_timer_);
 }
 
-void DirectoryReporter::report(bool open) {
-    reported_open_ = open;
-    if (awaiting_response_) {
-        report_outdated_ = true;  // what is on its way says the old state
+void DirectoryReporter::report(Mode mode) {
+    mode_ = mode;
+    if (state_ == State::awaiting_response) {
+        report_outdated_ = true;
         return;
     }
     send_report();
@@ -31,87 +35,96 @@
     if (address == address_)
         return;
     address_ = address;
-    disconnect();
-    connected_ = awaiting_response_ = false;
+    reset_connection();
     send_report();
 }
 
-void DirectoryReporter::schedule_report(base::Timestamp when) {
+void DirectoryReporter::reset_connection() {
+    disconnect();
+    state_ = State::disconnected;
+}
+
+void DirectoryReporter::schedule_report(base::Duration delay) {
     timers_.cancel(report_timer_);
-    report_timer_ = timers_.schedule(when, [this] {
+    report_timer_ = timers_.schedule(loop_.unix_now() + delay, [this] {
         report_timer_ = 0;
-        if (awaiting_response_) {
-            // Guards against a directory that took the connection and says nothing.
-            disconnect();
-            connected_ = awaiting_response_ = false;
-        }
+        // The directory accepted the connection and does not answer.
+        if (state_ == State::awaiting_response)
+            reset_connection();
         send_report();
     });
 }
 
+std::string DirectoryReporter::encode_report() const {
+    const std::string mode = mode_ == Mode::open ? "open" : "closed";
+    const std::string body = "{\"mode\":\"" + mode + "\"}";
+    return "PUT /dir/nodes/" + node_name_ + " HTTP/1.1\r\nHost: directory\r\n" +
+           "Content-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+           body;
+}
+
 void DirectoryReporter::send_report() {
-    if (!connected_) {
+    if (state_ == State::disconnected) {
         disconnect();
         try_connect();
-        return schedule_report(loop_.unix_now() + response_timeout);
+        return schedule_report(response_timeout);
     }
-    const std::string body = std::string("{\"mode\":\"") + (reported_open_ ? "open" : "closed") + "\"}";
-    std::string out = "PUT /dir/nodes/" + node_name_ + " HTTP/1.1\r\nHost: directory\r\n";
-    out += "Content-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-           body;
     http_parser_init(&parser_, HTTP_RESPONSE);
     parser_.data = this;
-    response_complete_ = report_outdated_ = false;
-    awaiting_response_ = true;
-    schedule_report(loop_.unix_now() + response_timeout);
-    stream_->write(out);
+    response_complete_ = false;
+    report_outdated_ = false;
+    state_ = State::awaiting_response;
+    schedule_report(response_timeout);
+    stream_->write(encode_report());
 }
 
 void DirectoryReporter::on_open() {
-    connected_ = true;
+    state_ = State::idle;
     reset_backoff();
     send_report();
 }
 
 void DirectoryReporter::on_bytes(std::string_view bytes) {
-    if (!awaiting_response_)
+    if (state_ != State::awaiting_response)
         return;
-    static const http_parser_settings hooks = [] {
-        http_parser_settings s;
-        http_parser_settings_init(&s);
-        s.on_message_complete = [](http_parser* p) {
-            static_cast<DirectoryReporter*>(p->data)->response_complete_ = true;
+    static const http_parser_settings parser_settings = [] {
+        http_parser_settings settings;
+        http_parser_settings_init(&settings);
+        settings.on_message_complete = [](http_parser* parser) {
+            static_cast<DirectoryReporter*>(parser->data)->response_complete_ = true;
             return 0;
         };
-        return s;
+        return settings;
     }();
-    http_parser_execute(&parser_, &hooks, bytes.data(), bytes.size());
-    const bool broken = HTTP_PARSER_ERRNO(&parser_) != HPE_OK;
-    if (!response_complete_ && !broken)
-        return;
-    const bool good = response_complete_ && parser_.status_code == 204;
-    if (good != last_report_accepted_)
-        spdlog::warn("directory: report {}", good ? "taken again" : "not taken");
-    last_report_accepted_ = good;
-    awaiting_response_ = false;
-    if (broken || http_should_keep_alive(&parser_) == 0) {
-        disconnect();
-        connected_ = false;
-    }
-    if (report_outdated_ && connected_)
+    http_parser_execute(&parser_, &parser_settings, bytes.data(), bytes.size());
+    if (response_complete_ || HTTP_PARSER_ERRNO(&parser_) != HPE_OK)
+        on_response();
+}
+
+void DirectoryReporter::on_response() {
+    const bool malformed = HTTP_PARSER_ERRNO(&parser_) != HPE_OK;
+    const bool accepted = response_complete_ && parser_.status_code == http_no_content;
+    if (accepted != last_report_accepted_)
+        spdlog::warn("directory: report {}", accepted ? "taken again" : "not taken");
+    last_report_accepted_ = accepted;
+    state_ = State::idle;
+    if (malformed || http_should_keep_alive(&parser_) == 0)
+        reset_connection();
+    if (report_outdated_ && state_ == State::idle)
         return send_report();
-    schedule_report(loop_.unix_now() + (good && !report_outdated_ ? report_interval : retry_delay));
+    schedule_report(accepted && !report_outdated_ ? report_interval : retry_delay);
 }
 
 void DirectoryReporter::on_end(bool) {
     stream_ = nullptr;
-    if (awaiting_response_ || !connected_) {
+    // An idle connection that ends is no fault: the next report opens another.
+    if (state_ != State::idle) {
         if (last_report_accepted_)
             spdlog::warn("directory: out of reach");
         last_report_accepted_ = false;
-        schedule_report(loop_.unix_now() + retry_delay);
+        schedule_report(retry_delay);
     }
-    connected_ = awaiting_response_ = false;
+    state_ = State::disconnected;
 }
 
 }  // namespace cressledge::platform
--- a/src/platform/directory_reporter.hpp
+++ b/src/platform/directory_reporter.hpp
@@ -1,4 +1,4 @@
-// Tells the directory, again and again, that this server runs or leaves.
+// Reports to the platform's directory, over and over, whether this server takes requests.
 #pragma once
 
 #include <http_parser.h>
@@ -9,12 +9,19 @@
 
 namespace cressledge::platform {
 
+/// Keeps this server's entry in the directory alive. One report is under way at a time, on a connection that is kept.
 class DirectoryReporter final : public ReconnectingLink {
 public:
+    enum class Mode { open, closed };
+
     DirectoryReporter(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
-                      connection_admission::FileDescriptorBudget& descriptors, std::string name);
+                      connection_admission::FileDescriptorBudget& descriptors, std::string node_name);
     ~DirectoryReporter() override;
-    void report(bool open);  // now, and from then on
+
+    /// Reports `mode` as soon as possible, and again and again from then on.
+    void report(Mode mode);
+
+    /// Reports to another directory at once.
     void set_address(const net::Address& address);
 
     void on_open() override;
@@ -22,14 +29,23 @@
     void on_end(bool refused) override;
 
 private:
+    enum class State { disconnected, idle, awaiting_response };
+
     void send_report();
-    void schedule_report(base::Timestamp when);
+    void schedule_report(base::Duration delay);
+    void reset_connection();
+    void on_response();
+    std::string encode_report() const;
 
     const std::string node_name_;
-    std::string authority_;
     http_parser parser_{};
-    bool reported_open_ = true, connected_ = false, awaiting_response_ = false, response_complete_ = false,
-         last_report_accepted_ = true, report_outdated_ = false;
+    Mode mode_ = Mode::open;
+    State state_ = State::disconnected;
+    bool response_complete_ = false;
+    /// The mode has changed since the report that is under way was sent.
+    bool report_outdated_ = false;
+    /// Kept to log changes only.
+    bool last_report_accepted_ = true;
     base::TimerQueue::Handle report_timer_ = 0;
 };
 
--- a/src/platform/engine_client.hpp
+++ b/src/platform/engine_client.hpp
@@ -1,69 +1,106 @@
-// The engine link: commands out, numbered notices in, over a link that may break and come back.
+// The link to the engine: commands out, numbered notices in, over a connection that may break and come back.
+//
+// The engine may have lost what it was sent shortly before a break. So each run keeps its last command until a notice
+// confirms that the command was carried out, and what is not confirmed is sent again on the next link. A link is
+// synchronized once it has brought all notices that the last one missed; until then no command is sent, since it might
+// overtake one of those notices.
 #pragma once
 
-#include <functional>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
 #include "base/log_rate_limiter.hpp"
+#include "platform/engine_protocol.hpp"
+#include "platform/line_reader.hpp"
 #include "platform/reconnecting_link.hpp"
 #include "request/request_manager.hpp"
 
 namespace cressledge::platform {
 
+/// Runs requests on the engine.
 class EngineClient final : public ReconnectingLink, public request::Executor {
 public:
+    /// `gauge_names` gives the order in which the engine states its gauges.
     EngineClient(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
-                 request::RequestManager& server, connection_admission::FileDescriptorBudget& descriptors,
-                 std::vector<std::string> gauges);
-    void connect() {
-        try_connect();
-        if (stream_ == nullptr)
-            schedule_reconnect();
-    }
+                 request::RequestManager& request_manager,
+                 connection_admission::FileDescriptorBudget& descriptors,
+                 std::vector<std::string> gauge_names);
 
-    // The link goes there at once, and takes up after the last notice read: nothing is lost or told twice.
+    /// Opens the link, and keeps it open from here on.
+    void connect();
+
+    /// Moves the link there at once. It continues after the last notice read: none is lost or handled twice.
     void set_address(const net::Address& address);
 
     void run(const request::Work& work) override;
-    void suspend(request::RequestId no) override;
-    void resume(request::RequestId no) override;
-    void deliver_call_reply(request::RequestId no, std::string_view reply) override;
-    void skip_call(request::RequestId no, std::uint64_t notice) override;
-    bool request_gauges(std::uint64_t tag) override;
-    bool request_health_check(std::uint64_t tag) override;
-    void release(request::RequestId no) override;
+    void suspend(request::RequestId request_id) override;
+    void resume(request::RequestId request_id) override;
+    void deliver_call_reply(request::RequestId request_id, std::string_view reply) override;
+    void skip_call(request::RequestId request_id, std::uint64_t call_id) override;
+    bool request_gauges(std::uint64_t query_id) override;
+    bool request_health_check(std::uint64_t query_id) override;
+    void release(request::RequestId request_id) override;
 
     void on_open() override;
     void on_bytes(std::string_view bytes) override;
     void on_end(bool refused) override;
 
 private:
+    /// What a command does if the engine gets it twice: a call's reply might pass for the reply to the next call.
+    enum class CommandKind { repeatable, call_reply };
+
     struct ActiveRun {
         std::string name;
-        std::string unconfirmed_command;  // the last command, until a notice shows that it was carried out
+        /// The last command, until a notice shows that it was carried out.
+        std::string unconfirmed_command;
+        CommandKind command_kind = CommandKind::repeatable;
+        /// The order of commands over all runs.
         std::uint64_t sequence = 0;
-        base::Timestamp sent_at{0};  // 0: not yet, there was no link
-        bool is_feed = false, halt_requested = false, awaiting_confirmation = false;
+        /// When the command was sent; 0 while no link was there to send it on.
+        base::Timestamp sent_at{0};
+        bool halt_requested = false;
+        /// The engine has the command in all likelihood: it is sent again only if no notice shows that soon.
+        bool awaiting_confirmation = false;
     };
-    void send_command(request::RequestId no, std::string bytes, bool feeds = false);
+
+    void send_command(request::RequestId request_id, std::string bytes,
+                      CommandKind kind = CommandKind::repeatable);
     void write(std::string_view bytes);
-    void handle_message(const std::vector<std::string_view>& words, std::string_view body);
+
+    void handle(const engine_protocol::Ignored&) {}
+    void handle(const engine_protocol::MalformedNotice&);
+    void handle(const engine_protocol::Notice& notice);
+    void handle(const engine_protocol::GaugesReply& reply);
+    void handle(const engine_protocol::HealthCheckReply& reply);
+    void handle(const engine_protocol::Hello& hello);
+    void handle(const engine_protocol::CommandRejected& rejection);
+    void handle_notice_content(std::uint64_t number, const engine_protocol::Remark&);
+    void handle_notice_content(std::uint64_t number, const engine_protocol::RunEnded& ended);
+    void handle_notice_content(std::uint64_t number, const engine_protocol::CallNeeded& call);
+    request::RequestId confirm_last_command(std::string_view run_name);
+
     void on_synchronized();
+    bool was_probably_delivered(const ActiveRun& run) const;
+    bool needs_resend(ActiveRun& run) const;
     void resend_unconfirmed();
     void mark_unsynchronized();
-    void drop_link(const char* why);
+    void drop_link(const char* reason);
+    std::string synchronization_tag() const;
 
     request::RequestManager& request_manager_;
-    const std::vector<std::string> gauge_names_;  // in the order in which the engine says them
+    const std::vector<std::string> gauge_names_;
     LineReader line_reader_;
     base::LogRateLimiter log_limiter_;
     std::unordered_map<request::RequestId, ActiveRun> active_runs_;
     std::unordered_map<std::string, request::RequestId> request_ids_by_name_;
-    std::uint64_t last_notice_ = 0, last_sequence_ = 0, link_epoch_ = 0;
-    base::Timestamp link_lost_at_{0};  // when the last link in step ended
-    bool synchronized_ = false;  // this link has brought all that the last one missed
+    std::uint64_t last_notice_ = 0;
+    std::uint64_t last_sequence_ = 0;
+    /// Counts the links; tells the answers of one from those of another.
+    std::uint64_t link_epoch_ = 0;
+    /// When the last synchronized link ended.
+    base::Timestamp link_lost_at_{0};
+    bool synchronized_ = false;
 };
 
 }  // namespace cressledge::platform
--- /dev/null
+++ b/src/platform/line_reader.cpp
@@ -0,0 +1,75 @@
+#include "platform/line_reader.hpp"
+
+#include <algorithm>
+#include <optional>
+
+namespace cressledge::platform {
+namespace {
+
+constexpr std::size_t max_line_bytes = 1024;
+constexpr std::string_view line_end = "\r\n";
+
+void split_words(std::string_view line, std::vector<std::string_view>& words) {
+    words.clear();
+    for (std::size_t begin = 0; begin <= line.size();) {
+        const std::size_t end = std::min(line.find(' ', begin), line.size());
+        if (end > begin)
+            words.push_back(line.substr(begin, end - begin));
+        begin = end + 1;
+    }
+}
+
+std::optional<std::size_t> parse_length(std::string_view digits, std::size_t max_length) {
+    std::size_t length = 0;
+    for (const char digit : digits) {
+        if (digit < '0' || digit > '9' || length > max_length)
+            return std::nullopt;
+        length = length * 10 + static_cast<std::size_t>(digit - '0');
+    }
+    if (length > max_length)
+        return std::nullopt;
+    return length;
+}
+
+}  // namespace
+
+void LineReader::clear() {
+    buffer_.clear();
+    consumed_bytes_ = 0;
+}
+
+// Moves what is left to the front only when that is no more than what goes: linear time over all messages.
+void LineReader::discard_consumed() {
+    if (consumed_bytes_ == 0 || consumed_bytes_ < buffer_.size() / 2)
+        return;
+    buffer_.erase(0, consumed_bytes_);
+    consumed_bytes_ = 0;
+}
+
+LineReader::Status LineReader::read_line(Line& line) {
+    discard_consumed();
+    const std::string_view unread = std::string_view(buffer_).substr(consumed_bytes_);
+    const std::size_t end = unread.find(line_end);
+    if (end == std::string_view::npos)
+        return unread.size() > max_line_bytes ? Status::malformed : Status::incomplete;
+    if (end > max_line_bytes)
+        return Status::malformed;
+    split_words(unread.substr(0, end), line.words);
+    line.body = {};
+    std::size_t taken = end + line_end.size();
+    if (!line.words.empty() && has_body_(line.words)) {
+        const std::optional<std::size_t> length = parse_length(line.words.back(), max_body_bytes_);
+        if (!length)
+            return Status::malformed;
+        if (unread.size() < taken + *length + line_end.size())
+            return Status::incomplete;
+        line.body = unread.substr(taken, *length);
+        if (unread.substr(taken + *length, line_end.size()) != line_end)
+            return Status::malformed;
+        taken += *length + line_end.size();
+    }
+    consumed_bytes_ += taken;
+    return Status::complete;
+}
+
+}  // namespace cressledge::platform
--- /dev/null
+++ b/src/platform/line_reader.hpp
@@ -0,0 +1,45 @@
+// The framing that engine and records service share: a line of words ending in CR LF, in some messages followed by a
+// body of counted length and CR LF.
+#pragma once
+
+#include <cstddef>
+#include <string>
+#include <string_view>
+#include <vector>
+
+namespace cressledge::platform {
+
+/// One message. Its views are valid until the next call of the reader that gave it.
+struct Line {
+    std::vector<std::string_view> words;
+    std::string_view body;
+};
+
+/// Takes messages out of a byte stream, however it was split. Buffers no more than one line and one body beyond what is
+/// appended at a time.
+class LineReader {
+public:
+    enum class Status { incomplete, complete, malformed };
+
+    /// Whether a message with these words (never none) has a body. Its last word is then the body's length.
+    using BodyRule = bool (*)(const std::vector<std::string_view>& words);
+
+    LineReader(std::size_t max_body_bytes, BodyRule has_body)
+        : max_body_bytes_(max_body_bytes), has_body_(has_body) {}
+
+    void append(std::string_view bytes) { buffer_.append(bytes); }
+    void clear();
+
+    /// Takes the next message. After `malformed` the stream cannot be read any further.
+    Status read_line(Line& line);
+
+private:
+    void discard_consumed();
+
+    const std::size_t max_body_bytes_;
+    const BodyRule has_body_;
+    std::string buffer_;
+    std::size_t consumed_bytes_ = 0;
+};
+
+}  // namespace cressledge::platform
--- a/src/platform/platform_node.cpp
+++ b/src/platform/platform_node.cpp
@@ -11,74 +11,89 @@
 namespace {
 
 constexpr std::uint32_t rejection_slots = 16;
-constexpr std::size_t max_reported_sources = 10;  // sources in the report
+/// In the report of connections by source.
+constexpr std::size_t max_reported_sources = 10;
+/// How much longer than the callers' own idle timeout a connection may be idle: well-behaved callers close it first.
+constexpr base::Duration idle_timeout_margin{1'000'000};
 
 net::Address parse_address(const char* field, const std::string& text) {
-    const auto a = net::Address::parse(text);
-    if (!a)
+    const auto address = net::Address::parse(text);
+    if (!address)
         throw config::ConfigError(std::string(field) + ": not an address: " + text);
-    return *a;
+    return *address;
 }
 
-// Where nothing is called there is no such address: a call that came up all the same would be refused.
-net::Address records_address(const config::NodeConfig& c) {
-    return c.records_address.empty() ? net::Address{} : parse_address("records", c.records_address);
+// There is none where no class calls the dependency. A call that came up all the same would be refused.
+net::Address records_address(const config::NodeConfig& config) {
+    return config.records_address.empty() ? net::Address{} : parse_address("records", config.records_address);
 }
 
-// Callers there cannot be told apart with certainty: nobody is listed and nobody is capped. Callers use half of the
-// descriptors; what the rest leaves is for our own links and for connections that are closing.
-connection_admission::Settings admission_settings(const config::NodeConfig& c,
+// Callers of the platform cannot be told apart with certainty: there are no client groups and no limits by source.
+connection_admission::Settings admission_settings(const config::NodeConfig& config,
                                                   const connection_admission::DescriptorPlan& plan) {
-    connection_admission::Settings s;
-    s.max_connections = plan.max_connections;
-    s.rejection_slots = plan.rejection_slots;
-    s.max_retry_after = c.policy_settings.max_retry_after;
-    return s;
+    connection_admission::Settings settings;
+    settings.max_connections = plan.max_connections;
+    settings.rejection_slots = plan.rejection_slots;
+    settings.max_retry_after = config.policy_settings.max_retry_after;
+    return settings;
 }
-std::size_t max_records_connections(const config::NodeConfig& c) {
-    return std::max<std::size_t>(2, c.max_descriptors / 8);
+
+std::size_t max_records_connections(const config::NodeConfig& config) {
+    return std::max<std::size_t>(2, config.max_descriptors / 8);
 }
-connection_admission::DescriptorPlan make_descriptor_plan(const config::NodeConfig& c) {
-    connection_admission::DescriptorDemand needs;
-    needs.listeners = 1;
-    needs.platform_links = 2;
-    needs.records = max_records_connections(c);
-    needs.rejection_slots = rejection_slots;
-    needs.admin = c.admin_address.empty() ? 0 : admin::AdminServer::max_connections + 1;
-    return connection_admission::plan_descriptors(c.max_descriptors, c.descriptors_at_start, needs,
-                                                  static_cast<std::uint32_t>(c.max_descriptors * 3 / 4));
+
+// What callers do not use is for the links to the peers, and for connections that are closing.
+connection_admission::DescriptorPlan make_descriptor_plan(const config::NodeConfig& config) {
+    connection_admission::DescriptorDemand demand;
+    demand.listeners = 1;
+    demand.platform_links = 2;
+    demand.records = max_records_connections(config);
+    demand.rejection_slots = rejection_slots;
+    demand.admin = config.admin_address.empty() ? 0 : admin::AdminServer::max_connections + 1;
+    const auto max_connections = static_cast<std::uint32_t>(config.max_descriptors * 3 / 4);
+    return connection_admission::plan_descriptors(config.max_descriptors, config.descriptors_at_start, demand,
+                                                  max_connections);
 }
 
 }  // namespace
 
-PlatformNode::PlatformNode(net::Loop& loop, base::TimerQueue& timers, const config::NodeConfig& c)
-    : config_(c),
-      settings_source_(c.settings_json),
+PlatformNode::PlatformNode(net::Loop& loop, base::TimerQueue& timers, const config::NodeConfig& config)
+    : config_(config),
+      settings_json_(config.settings_json),
       loop_(loop),
-      descriptor_plan_(make_descriptor_plan(c)),
+      timers_(timers),
+      descriptor_plan_(make_descriptor_plan(config)),
       descriptors_(descriptor_plan_),
-      request_manager_(c.policy_settings, policy::make_admission_controller(c.policy_settings, c.seed), loop,
-                       timers),
-      connection_admitter_(timers, request_manager_, descriptors_, admission_settings(c, descriptor_plan_),
-                           c.seed),
-      shutdown_coordinator_(loop, timers, request_manager_, c.stop_delay),
-      engine_client_(loop, timers, parse_address("engine", c.engine_address), request_manager_, descriptors_,
-                     c.gauge_names),
-      records_client_(loop, timers, records_address(c), max_records_connections(c), request_manager_,
-                      descriptors_),
-      directory_reporter_(loop, timers, parse_address("lookup", c.directory_address), descriptors_, c.name) {
-    frontend::Frontend::Limits limits;
-    // Callers close what has rested that long; those that never do are let go a little later.
-    if (c.policy_settings.idle_timeout > base::Duration(0))
-        limits.idle_timeout = c.policy_settings.idle_timeout + base::Duration(1'000'000);
-    shutdown_coordinator_.add_frontend(std::make_unique<frontend::Frontend>(
-        loop, timers, request_manager_, connection_admitter_,
-        net::ListenEndpoint{parse_address("listen", c.listen_address), c.inherited_listener_fd}, limits,
-        [](frontend::Frontend& f) { return std::make_unique<frontend::http::HttpSession>(f); }));
+      request_manager_(config.policy_settings,
+                       policy::make_admission_controller(config.policy_settings, config.seed), loop, timers),
+      connection_admitter_(timers, request_manager_, descriptors_,
+                           admission_settings(config, descriptor_plan_), config.seed),
+      shutdown_coordinator_(loop, timers, request_manager_, config.stop_delay),
+      engine_client_(loop, timers, parse_address("engine", config.engine_address), request_manager_,
+                     descriptors_, config.gauge_names),
+      records_client_(loop, timers, records_address(config), max_records_connections(config),
+                      request_manager_, descriptors_),
+      directory_reporter_(loop, timers, parse_address("lookup", config.directory_address), descriptors_,
+                          config.name) {
+    add_http_frontend();
     request_manager_.attach(engine_client_, records_client_, *this);
-    if (!c.admin_address.empty())
+    if (!config.admin_address.empty())
         admin_server_.emplace(loop, timers, descriptors_,
-                              net::ListenEndpoint{parse_address("control", c.admin_address)}, *this);
+                              net::ListenEndpoint{parse_address("control", config.admin_address)}, *this);
+}
+
+void PlatformNode::add_http_frontend() {
+    frontend::Frontend::Limits limits;
+    const base::Duration idle_timeout = config_.policy_settings.idle_timeout;
+    if (idle_timeout > base::Duration(0))
+        limits.idle_timeout = idle_timeout + idle_timeout_margin;
+    const net::ListenEndpoint endpoint{parse_address("listen", config_.listen_address),
+                                       config_.inherited_listener_fd};
+    const auto make_session = [](frontend::Frontend& owner) {
+        return std::make_unique<frontend::http::HttpSession>(owner);
+    };
+    shutdown_coordinator_.add_frontend(std::make_unique<frontend::Frontend>(
+        loop_, timers_, request_manager_, connection_admitter_, endpoint, limits, make_session));
 }
 
 bool PlatformNode::is_ready() {
@@ -97,7 +112,7 @@
     loop_.on_signal(SIGINT, [this] { begin_graceful_shutdown(); });
     loop_.on_signal(SIGUSR1, [this] { connection_admitter_.log_report(max_reported_sources); });
     engine_client_.connect();
-    directory_reporter_.report(true);
+    directory_reporter_.report(DirectoryReporter::Mode::open);
     spdlog::info("serving");
 }
 
@@ -105,32 +120,37 @@
     try {
         const auto lease =
             descriptors_.try_acquire(request_manager_.now(), connection_admission::DescriptorPurpose::file);
-        const config::NodeConfig c = config::load_node_config(path);
-        if (c.name != config_.name || c.listen_address != config_.listen_address)
+        const config::NodeConfig fresh = config::load_node_config(path);
+        if (fresh.name != config_.name || fresh.listen_address != config_.listen_address)
             throw config::ConfigError(path + ": name and listen change with a restart only");
-        // All are read before the first is used: guards against half a configuration in force.
-        const net::Address engine = parse_address("engine", c.engine_address), records = records_address(c),
-                           lookup = parse_address("lookup", c.directory_address);
-        spdlog::info("configuration: in force: engine {}, records {}, lookup {}", c.engine_address,
-                     c.records_address, c.directory_address);
-        engine_client_.set_address(engine);
-        records_client_.set_address(records);
-        directory_reporter_.set_address(lookup);
-        if (c.settings_json != settings_source_) {
-            request_manager_.reconfigure(c.policy_settings,
-                                         policy::make_admission_controller(c.policy_settings, c.seed));
-            settings_source_ = c.settings_json;
-        }
+        apply(fresh);
         ++configurations_applied_;
-    } catch (const std::exception& e) {
+    } catch (const std::exception& error) {
         ++configurations_rejected_;
-        spdlog::error("configuration: the old one stays in force: {}", e.what());
+        spdlog::error("configuration: the old one stays in force: {}", error.what());
     }
 }
 
+// All fields are parsed before the first is used: never is half a configuration in force.
+void PlatformNode::apply(const config::NodeConfig& fresh) {
+    const net::Address engine = parse_address("engine", fresh.engine_address);
+    const net::Address records = records_address(fresh);
+    const net::Address directory = parse_address("lookup", fresh.directory_address);
+    spdlog::info("configuration: in force: engine {}, records {}, lookup {}", fresh.engine_address,
+                 fresh.records_address, fresh.directory_address);
+    engine_client_.set_address(engine);
+    records_client_.set_address(records);
+    directory_reporter_.set_address(directory);
+    if (fresh.settings_json == settings_json_)
+        return;
+    request_manager_.reconfigure(fresh.policy_settings,
+                                 policy::make_admission_controller(fresh.policy_settings, fresh.seed));
+    settings_json_ = fresh.settings_json;
+}
+
 void PlatformNode::begin_graceful_shutdown() {
     shutdown_coordinator_.start_graceful_shutdown();
-    directory_reporter_.report(false);
+    directory_reporter_.report(DirectoryReporter::Mode::closed);
 }
 
 }  // namespace cressledge::platform
--- a/src/platform/platform_node.hpp
+++ b/src/platform/platform_node.hpp
@@ -1,7 +1,9 @@
-// One server on the platform: the HTTP front, the engine, the records service and the directory round the core.
+// One server on the platform: it wires the HTTP frontend, the engine link, the records client, the directory reporter
+// and the admin address around the request manager.
 #pragma once
 
 #include <optional>
+#include <string>
 
 #include "admin/admin_server.hpp"
 #include "base/metric.hpp"
@@ -15,23 +17,44 @@
 
 namespace cressledge::platform {
 
+/// Owns all parts of the server. Nothing is accepted or sent before start().
 class PlatformNode final : public request::ConnectionSettingsSink, public admin::AdminSource {
 public:
+    /// Throws config::ConfigError when an address cannot be read, and net::SocketError when one cannot be listened on.
     PlatformNode(net::Loop& loop, base::TimerQueue& timers, const config::NodeConfig& config);
+
+    /// Installs the signal handlers, opens the engine link and reports to the directory.
     void start();
-    void begin_graceful_shutdown();  // the notice to leave
-    void reload(const std::string& path);  // new addresses of the peers; a bad file leaves all as it is
-    void set_idle_timeout(base::Duration limit) override { shutdown_coordinator_.set_idle_limit(limit); }
-    int http_port() { return shutdown_coordinator_.last_frontend().port(); }
-    std::size_t generation_count() const { return request_manager_.generation_count(); }
-    int admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
+
+    /// Reports to the directory that the server closes, answers what has been read, and ends the loop.
+    void begin_graceful_shutdown();
+
+    /// Reads the configuration again: new addresses of the peers, new settings. An invalid file changes nothing.
+    void reload(const std::string& path);
+
+    void set_idle_timeout(base::Duration timeout) override { shutdown_coordinator_.set_idle_limit(timeout); }
     bool is_ready() override;
     void collect_metrics(base::Metrics& out) override;
 
+    /// The port that callers connect to.
+    int http_port() { return shutdown_coordinator_.last_frontend().port(); }
+
+    /// The port of the admin address; 0 where there is none.
+    int admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
+
+    /// Settings generations that have open requests, and the newest.
+    std::size_t generation_count() const { return request_manager_.generation_count(); }
+
 private:
-    const config::NodeConfig config_;  // as at the start
-    std::string settings_source_;  // of the settings in force
+    void add_http_frontend();
+    void apply(const config::NodeConfig& fresh);
+
+    /// As it was at the start.
+    const config::NodeConfig config_;
+    /// The text of the settings in force.
+    std::string settings_json_;
     net::Loop& loop_;
+    base::TimerQueue& timers_;
     const connection_admission::DescriptorPlan descriptor_plan_;
     connection_admission::FileDescriptorBudget descriptors_;
     request::RequestManager request_manager_;
@@ -41,8 +64,8 @@
     RecordsClient records_client_;
     DirectoryReporter directory_reporter_;
     std::optional<admin::AdminServer> admin_server_;
-    std::uint64_t configurations_applied_ = 0,
-                  configurations_rejected_ = 0;  // files taken and turned down at SIGHUP
+    std::uint64_t configurations_applied_ = 0;
+    std::uint64_t configurations_rejected_ = 0;
 };
 
 }  // namespace cressledge::platform
--- /dev/null
+++ b/src/platform/reconnecting_link.cpp
@@ -0,0 +1,52 @@
+#include "platform/reconnecting_link.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace cressledge::platform {
+namespace {
+
+constexpr base::Duration min_backoff{20'000}, max_backoff{250'000};
+
+}  // namespace
+
+ReconnectingLink::ReconnectingLink(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
+                                   connection_admission::FileDescriptorBudget& descriptors)
+    : loop_(loop), timers_(timers), address_(address), descriptors_(descriptors) {}
+
+ReconnectingLink::~ReconnectingLink() {
+    timers_.cancel(reconnect_timer_);
+    if (stream_ != nullptr)
+        stream_->close();
+}
+
+void ReconnectingLink::try_connect() {
+    timers_.cancel(reconnect_timer_);
+    if (stream_ != nullptr)
+        return;
+    const base::Timestamp now = loop_.unix_now();
+    int error = 0;
+    if (auto lease = descriptors_.try_acquire(now, connection_admission::DescriptorPurpose::platform_link))
+        stream_ = net::Stream::connect(loop_.uv(), address_, *this, std::move(lease), &error);
+    if (net::is_descriptor_exhaustion(error))
+        descriptors_.on_system_exhausted(now);
+}
+
+void ReconnectingLink::schedule_reconnect() {
+    if (reconnect_timer_ != 0)
+        return;
+    backoff_ = std::clamp(backoff_ * 2, min_backoff, max_backoff);
+    reconnect_timer_ = timers_.schedule(loop_.unix_now() + backoff_, [this] {
+        reconnect_timer_ = 0;
+        try_connect();
+        if (stream_ == nullptr)
+            schedule_reconnect();
+    });
+}
+
+void ReconnectingLink::disconnect() {
+    if (stream_ != nullptr)
+        std::exchange(stream_, nullptr)->close();
+}
+
+}  // namespace cressledge::platform
--- a/src/platform/records_client.hpp
+++ b/src/platform/records_client.hpp
@@ -1,5 +1,5 @@
-// Calls to the records service. Each has a connection to itself for as long as it lasts; connections are used
-// again for a short while. One spoilt reply, or one that never comes, fails the call that it was for and no other.
+// Calls to the records service. Each has a connection to itself for as long as it lasts; connections are used again
+// for a short while. A malformed reply, or one that never comes, fails the call that it was for and no other.
 #pragma once
 
 #include <deque>
@@ -17,38 +17,48 @@
 
 namespace cressledge::platform {
 
+/// The shared dependency of the platform's runs. Never retries a call: that is the admission controller's decision.
 class RecordsClient final : public request::DependencyClient {
 public:
     RecordsClient(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
-                  std::size_t connections, request::RequestManager& server,
+                  std::size_t max_connections, request::RequestManager& request_manager,
                   connection_admission::FileDescriptorBudget& descriptors);
     ~RecordsClient() override;
     RecordsClient(const RecordsClient&) = delete;
     RecordsClient& operator=(const RecordsClient&) = delete;
 
-    void call(request::RequestId no, std::string_view name, std::string_view body,
+    void call(request::RequestId request_id, std::string_view name, std::string_view body,
               base::Timestamp deadline) override;
-    void abandon(request::RequestId no) override;
-    // New calls go there from now on; what is on its way ends where it is, while that connection stands.
+    void abandon(request::RequestId request_id) override;
+
+    /// New calls go there from now on. A call that was sent ends where it is, while its connection stands.
     void set_address(const net::Address& address);
 
 private:
+    enum class Progress { not_sent, sent, failure_pending };
+
     struct PendingCall {
-        std::string name, body;
+        std::string name;
+        std::string body;
         base::Timestamp deadline{0};
-        std::uint64_t sequence = 0;  // tells a request's calls apart
-        base::SlotId connection_id = 0;  // 0: waits for one, or its outcome is about to be told
-        bool failure_pending = false, sent = false;  // from then on a break proves nothing
+        /// Distinguishes the calls of one request.
+        std::uint64_t sequence = 0;
+        /// 0 while the call waits for a connection, and once it has failed.
+        base::SlotId connection_id = 0;
+        Progress progress = Progress::not_sent;
     };
     class Connection;
-    void assign_connection(request::RequestId no, PendingCall& op);
-    void bind_call(Connection& wire, request::RequestId no, PendingCall& op);
-    void open_connection(request::RequestId no, PendingCall& op);
-    void send_call(Connection& wire);
-    void finish_call(Connection& wire, policy::Outcome outcome, std::string_view reply);
-    void on_connection_lost(Connection& wire, bool refused);
-    void fail_call(request::RequestId no, policy::Outcome outcome);
-    void close_connection(Connection& wire);
+
+    void assign_connection(request::RequestId request_id, PendingCall& call);
+    Connection* take_idle_connection(const std::string& request_name);
+    void bind_call(Connection& connection, request::RequestId request_id, PendingCall& call);
+    void open_connection(request::RequestId request_id, PendingCall& call);
+    void send_call(Connection& connection);
+    void finish_call(Connection& connection, policy::Outcome outcome, std::string_view reply);
+    void keep_idle(Connection& connection);
+    void on_connection_lost(Connection& connection, bool refused);
+    void fail_call(request::RequestId request_id, policy::Outcome outcome);
+    void close_connection(Connection& connection);
     void assign_waiting_calls();
 
     net::Loop& loop_;
@@ -58,7 +68,8 @@
     request::RequestManager& request_manager_;
     connection_admission::FileDescriptorBudget& descriptors_;
     base::SlotMap<Connection> connections_;
-    std::vector<base::SlotId> idle_connections_;  // used last comes last
+    /// The one used last is at the end.
+    std::vector<base::SlotId> idle_connections_;
     std::deque<request::RequestId> waiting_requests_;
     std::unordered_map<request::RequestId, PendingCall> pending_calls_;
     std::uint64_t last_sequence_ = 0;
