--- a/src/upstream/executor.hpp
+++ b/src/upstream/executor.hpp
@@ -1,5 +1,11 @@
-// Runs work by calling servers of the operator's inventory, over SCGI or HTTP. What decides is elsewhere: membership who
-// may be called, the balancer who is, attempts whether once more. Here are the calls, the kept connections and the probes.
+// Runs requests by calling upstream hosts of the operator's inventory, over HTTP or SCGI.
+//
+// Decisions are made elsewhere: which hosts may be called by upstream_health::HostSet, which one is by
+// load_balancing::Balancer, whether there is another attempt by the policies of retry/. The executor carries them out:
+// it owns the calls, the idle connections and the probes.
+//
+// Of the requests' own invariants: a request that is not idempotent is attempted again only where a refused connection
+// proves that nothing of it ran.
 #pragma once
 
 #include <deque>
@@ -19,104 +25,130 @@
 #include "net/stream.hpp"
 #include "request/request_manager.hpp"
 #include "retry/retry_policy.hpp"
+#include "upstream/active_request.hpp"
+#include "upstream/attempt.hpp"
+#include "upstream/codec.hpp"
+#include "upstream/idle_connection_pool.hpp"
+#include "upstream/probe_runner.hpp"
 #include "upstream_health/host_set.hpp"
 
 namespace cressledge::upstream {
 
-struct Response {
-    int status = 0;
-    std::string body;
-    base::Duration retry_after{0};  // the server's wish not to be called until then
-    std::optional<load_balancing::LoadReport>
-        load;  // its word on itself; none: it said none that can be read
-    bool has_load_report = false;
-};
-
-class ResponseDecoder {  // takes a reply off the wire, whole or not at all
+/// The executor of a server that works by calling others.
+class UpstreamExecutor final : public request::Executor,
+                               private AttemptObserver,
+                               private ProbeRunner::ResultObserver {
 public:
-    enum class Status { incomplete, complete, malformed };
-    virtual ~ResponseDecoder() = default;
-    virtual Status decode(std::string_view bytes) = 0;
-    virtual Status finish() = 0;  // the server has sent its last byte
-    virtual bool can_reuse_connection() const {
-        return false;
-    }  // whole: the connection may carry another call
-    Response response;
-};
-std::unique_ptr<ResponseDecoder> make_http_decoder();
-std::unique_ptr<ResponseDecoder> make_scgi_decoder();
-std::string encode_http_request(const request::Work& work, std::string_view host, bool keep);
-std::string encode_scgi_request(const request::Work& work);
+    /// Totals since the start.
+    struct Counters {
+        std::uint64_t requests = 0;
+        std::uint64_t attempts = 0;
+        std::uint64_t retries = 0;
+        std::uint64_t hedges = 0;
+        std::uint64_t reused_connections = 0;
+        /// Requests that failed because the retry budget was empty.
+        std::uint64_t retry_budget_exhausted = 0;
+        /// Idle connections that the host had closed when they were used.
+        std::uint64_t stale_connections = 0;
+        std::uint64_t load_probes = 0;
+        std::uint64_t load_reports = 0;
+        std::uint64_t malformed_load_reports = 0;
+    };
 
-class UpstreamExecutor final : public request::Executor {
-public:
-    UpstreamExecutor(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server,
+    UpstreamExecutor(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& request_manager,
                      base::Clock& clock, connection_admission::FileDescriptorBudget& descriptors,
                      const config::RoutingConfig& routing, std::uint64_t seed);
     ~UpstreamExecutor() override;
-    void set_servers(const std::vector<config::Upstream>&
-                         servers);  // from the next call on; what is in hand ends where it is
-    // Other rules, from the next choice on; calls and kept connections stay, beyond new bounds until they end.
+
+    /// Uses these hosts from the next call on. Calls under way end where they are.
+    void set_servers(const std::vector<config::Upstream>& servers);
+
+    /// New rules, from the next decision on. Calls and idle connections stay until they end, beyond new limits as well.
     void reconfigure(const config::RoutingConfig& routing);
-    void start();  // probes and judgements from now on
 
-    learned_state::UpstreamStatsByName learned() const;  // by name, of the servers in force
-    // The live processes of the fleet, by id, this one with them.
+    /// Starts health checks and the periodic evaluation of the hosts.
+    void start();
+
+    /// The live processes of the fleet by id, this one included: they share the hosts.
     void set_peers(std::vector<std::string> names) {
         balancer_.update_peers(clock_.unix_now(), std::move(names));
     }
-    void restore(const learned_state::UpstreamStatsByName&
-                     servers);  // those that mostly failed are tried last for a second
+
+    /// What was learned of the listed hosts, by name.
+    learned_state::UpstreamStatsByName learned() const;
+
+    /// Takes up what an earlier process has learned. Hosts that mostly failed are called last for a second.
+    void restore(const learned_state::UpstreamStatsByName& stats_by_name);
 
     void run(const request::Work& work) override;
-    void suspend(request::RequestId no) override;
-    void resume(request::RequestId) override {}  // nothing is ever paused, and nothing calls below
+    void suspend(request::RequestId request_id) override;
+    /// Runs are never paused, and make no dependency calls: the next three have nothing to do.
+    void resume(request::RequestId) override {}
     void deliver_call_reply(request::RequestId, std::string_view) override {}
     void skip_call(request::RequestId, std::uint64_t) override {}
-    bool request_gauges(std::uint64_t tag) override;
-    bool request_health_check(std::uint64_t tag) override;
-    void release(request::RequestId no) override;
+    bool request_gauges(std::uint64_t query_id) override;
+    bool request_health_check(std::uint64_t query_id) override;
+    void release(request::RequestId request_id) override;
 
-    void log_report(std::size_t most) const;  // to the log: the fleet, the budget, and the servers in trouble
-    struct Counters {
-        std::uint64_t requests = 0, attempts = 0, retries = 0, hedges = 0, reused_connections = 0,
-                      retry_budget_exhausted = 0, stale_connections = 0;
-        std::uint64_t load_probes = 0, load_reports = 0, malformed_load_reports = 0;
-    };
-    const Counters& counters() const { return counters_; }
-    std::size_t candidate_count() const {
-        return balancer_.candidates().size();
-    }  // that this process uses now
+    /// Logs the hosts by state, the counters, and `max_hosts` hosts that are not healthy.
+    void log_report(std::size_t max_hosts) const;
+
+    Counters counters() const;
+
+    /// Hosts that may get calls of this process now.
+    std::size_t candidate_count() const { return balancer_.candidates().size(); }
     const upstream_health::HostSet& hosts() const { return hosts_; }
 
 private:
-    struct ActiveRequest;
-    struct Attempt;
-    struct IdleConnection;
-    struct Probe;
-    void start_attempt(ActiveRequest& job);
-    void start_attempt_on(ActiveRequest& job, upstream_health::HostId no);
-    bool probe_before_dispatch(ActiveRequest& job);  // false: there is nobody to ask
-    void on_load_probe_result(request::RequestId no, upstream_health::HostId server,
-                              const Response* reply);  // null: a probe that came to nothing
-    void dispatch_to_best_probed(ActiveRequest& job);
-    bool connect(Attempt& a);
-    void finish_attempt(Attempt& a, upstream_health::CallResult result, bool nothing_ran);
-    void retry_or_fail(ActiveRequest& job, upstream_health::CallResult result, bool nothing_ran);
-    void complete(request::RequestId no, request::RunResult end, std::string body);
-    void queue_for_descriptor(ActiveRequest& job);
-    void retry_queued_requests();
-    void apply_host_changes(const std::vector<upstream_health::HostStateChange>& changes);
+    /// Whether a call that failed may have run.
+    enum class Delivery { unknown, never_sent };
+
+    void on_attempt_connected(Attempt& attempt) override;
+    void on_attempt_result(Attempt& attempt, upstream_health::CallResult result) override;
+    void on_attempt_abandoned(Attempt& attempt) override;
+
+    void on_probe_response(upstream_health::HostId host_id, const Response& response) override;
+    void on_probe_connection_free(upstream_health::HostId host_id, HostConnection connection) override;
+    void on_load_probe_result(request::RequestId request_id, upstream_health::HostId host_id,
+                              const Response* response) override;
+    void on_health_result(upstream_health::HostId host_id, upstream_health::CallResult result) override;
+
+    RequestTraits traits_of(const request::Work& work) const;
+
+    void start_attempt(ActiveRequest& request);
+    bool probe_before_dispatch(ActiveRequest& request);
+    void dispatch_to_best_probed(ActiveRequest& request);
+    upstream_health::HostId pick_host(const ActiveRequest& request);
+    void start_attempt_on(ActiveRequest& request, upstream_health::HostId host_id);
+    void fail_without_host(ActiveRequest& request);
+    void send_load_probes();
+    void arm_attempt_deadline(Attempt& attempt, base::Timestamp now);
+    void arm_hedge(ActiveRequest& request, base::Timestamp now);
+    void start_hedge(ActiveRequest& request);
+
+    bool connect(Attempt& attempt);
+    bool try_idle_connection(Attempt& attempt);
+    connection_admission::FileDescriptorBudget::Lease acquire_descriptor(base::Timestamp now);
+    void postpone_until_descriptor(Attempt& attempt);
+    void retry_postponed_requests();
+
+    void log_failure(Attempt& attempt, upstream_health::CallResult result);
+    void record_result(Attempt& attempt, upstream_health::CallResult result, base::Timestamp now);
+    void record_stale_connection(Attempt& attempt, base::Timestamp now);
+    void record_load_report(upstream_health::HostId host_id, const Response& response);
+    void succeed(Attempt& attempt, base::Timestamp now);
+    void on_last_attempt_failed(Attempt& attempt, upstream_health::CallResult result, bool stale);
+    void retry_or_fail(ActiveRequest& request, Delivery delivery);
+    bool may_retry(const ActiveRequest& request) const;
+    void schedule_retry(ActiveRequest& request, base::Timestamp retry_at);
+
+    void fail(ActiveRequest& request, std::string body = {});
+    void complete(request::RequestId request_id, request::RunResult result, std::string body);
+
     void run_periodic_checks();
-    void record_load_report(upstream_health::HostId no, const Response& reply);
-    // `before`: the request that goes by what it says; 0: none.
-    bool start_probe(upstream_health::HostId no, bool for_load = false, request::RequestId before = 0);
-    void keep_idle_connection(upstream_health::HostId no, net::Stream* stream, base::Timestamp born);
-    net::Stream* take_idle_connection(upstream_health::HostId no, net::Stream::Owner& owner,
-                                      base::Timestamp& born);
-    void close_idle_connection(IdleConnection& spare);
-    bool close_any_idle_connection();  // a kept connection, for its descriptor
-    learned_state::UpstreamStats& learned_of(upstream_health::HostId no);
+    void apply_host_changes(const std::vector<upstream_health::HostStateChange>& changes);
+    void log_host_change(const upstream_health::HostStateChange& change);
+    void keep_connection(upstream_health::HostId host_id, HostConnection connection);
 
     net::Loop& loop_;
     base::TimerQueue& timers_;
@@ -129,18 +161,21 @@
     load_balancing::Balancer balancer_;
     retry::RetryBudget retry_budget_;
     retry::CircuitBreaker circuit_breaker_;
-    std::vector<retry::HedgePolicy> hedge_policies_;  // by class
+    /// By class.
+    std::vector<retry::HedgePolicy> hedge_policies_;
+    /// By host.
+    std::vector<learned_state::UpstreamStats> learned_stats_;
+    IdleConnectionPool idle_connections_;
+    ProbeRunner probe_runner_;
     std::unordered_map<request::RequestId, std::unique_ptr<ActiveRequest>> active_requests_;
-    std::vector<std::vector<std::unique_ptr<IdleConnection>>>
-        idle_connections_;  // by server; used last comes last
-    std::size_t idle_connection_count_ = 0;
-    std::vector<std::unique_ptr<Probe>> probes_;
-    std::vector<learned_state::UpstreamStats> learned_servers_;  // by server
-    std::deque<request::RequestId>
-        requests_awaiting_descriptor_;  // calls that found no descriptor: nothing of them has been sent
-    base::TimerQueue::Handle descriptor_retry_timer_ = 0, periodic_timer_ = 0;
+    /// Requests whose next attempt found no descriptor: nothing of that attempt has been sent.
+    std::deque<request::RequestId> postponed_requests_;
+    base::TimerQueue::Handle descriptor_retry_timer_ = 0;
+    base::TimerQueue::Handle periodic_timer_ = 0;
     Counters counters_;
-    base::LogRateLimiter failure_log_limiter_, change_log_limiter_;
+    base::LogRateLimiter failure_log_limiter_;
+    base::LogRateLimiter change_log_limiter_;
+    /// Scratch space.
     std::vector<upstream_health::HostId> probe_targets_;
 };
 
--- /dev/null
+++ b/src/upstream/gateway_reload.cpp
@@ -0,0 +1,137 @@
+// Reading the operator's file and the inventory again while the gateway runs.
+#include <spdlog/spdlog.h>
+
+#include <utility>
+
+#include "upstream/gateway.hpp"
+#include "upstream/gateway_descriptors.hpp"
+
+namespace cressledge::upstream {
+namespace {
+
+/// Of added, removed and changed servers each, in the log.
+constexpr std::size_t max_logged_servers = 8;
+constexpr std::int64_t microseconds_per_millisecond = 1000;
+
+// Whether a process stays the same member of the same fleet.
+bool is_same_member(const std::optional<gossip::Settings>& before,
+                    const std::optional<gossip::Settings>& after) {
+    if (!before || !after)
+        return before.has_value() == after.has_value();
+    return before->fleet_name == after->fleet_name && before->member_id == after->member_id &&
+           before->listen == after->listen && before->advertise == after->advertise;
+}
+
+}  // namespace
+
+std::vector<config::Upstream> load_servers(const config::OperatorConfig& config) {
+    const std::string& group = config.server_group;
+    std::vector<config::Upstream> servers = config::load_inventory(config.inventory_path);
+    std::erase_if(servers,
+                  [&group](const auto& server) { return !group.empty() && !server.belongs_to(group); });
+    if (servers.empty()) {
+        const std::string reason = group.empty() ? "no servers" : "no server in group " + group;
+        throw config::ConfigError(config.inventory_path + ": " + reason);
+    }
+    return servers;
+}
+
+void UpstreamGateway::watch_inventory() {
+    const base::Duration interval = config_.routing.inventory_poll_interval;
+    inventory_watcher_.reset();
+    const auto interval_ms = static_cast<unsigned>(interval.count() / microseconds_per_millisecond);
+    if (interval_ms == 0)
+        return;
+    inventory_watcher_ =
+        std::make_unique<net::FileWatcher>(loop_.uv(), config_.inventory_path, interval_ms,
+                                           [this] { reload_files(ReloadScope::inventory_only); });
+    // A change between the last reading and the watcher's own first look would go unnoticed.
+    timers_.cancel(inventory_recheck_timer_);
+    inventory_recheck_timer_ = timers_.schedule(request_manager_.now() + interval, [this] {
+        inventory_recheck_timer_ = 0;
+        reload_files(ReloadScope::inventory_only);
+    });
+}
+
+void UpstreamGateway::reload_files(ReloadScope scope) {
+    const char* failing_file = "configuration";
+    try {
+        const auto lease =
+            descriptors_.try_acquire(request_manager_.now(), connection_admission::DescriptorPurpose::file);
+        Reload reload;
+        reload.config = read_configuration(scope);
+        reload.plan = make_descriptor_plan(reload.config, preopened_descriptors_);
+        failing_file = "inventory";
+        reload.servers = load_servers(reload.config);
+        reload.difference = config::diff_inventories(servers_, reload.servers);
+        check_reload(reload);
+        apply(std::move(reload), scope);
+    } catch (const config::InventoryError& error) {
+        ++configurations_rejected_;
+        for (const std::string& row_error : error.row_errors)
+            spdlog::error("{}: the old one stays in force: {}", failing_file, row_error);
+    } catch (const config::ConfigError& error) {
+        ++configurations_rejected_;
+        spdlog::error("{}: the old one stays in force: {}", failing_file, error.what());
+    }
+}
+
+config::OperatorConfig UpstreamGateway::read_configuration(ReloadScope scope) const {
+    if (config_.path.empty() || scope == ReloadScope::inventory_only)
+        return config_;
+    config::OperatorConfig fresh = config::load_operator_config(config_.path);
+    if (fresh.restart_only_yaml != config_.restart_only_yaml)
+        throw config::ConfigError(config_.path +
+                                  ": all but inventory, group, connections, admission, routing and "
+                                  "fleet change with a restart only");
+    if (!is_same_member(config_.gossip, fresh.gossip))
+        throw config::ConfigError(config_.path +
+                                  ": name, id, gossip and advertise of the fleet change with a restart only");
+    fresh.inherited_sockets = config_.inherited_sockets;
+    return fresh;
+}
+
+// A file may be cut at the end of a row, or written by a tool that found nothing: few removals are believed at a time.
+// Another file or group is the operator's own decision.
+void UpstreamGateway::check_reload(const Reload& reload) const {
+    const config::OperatorConfig& fresh = reload.config;
+    if (fresh.inventory_path != config_.inventory_path || fresh.server_group != config_.server_group)
+        return;
+    if (!config::exceeds_removal_limit(reload.difference, servers_.size(),
+                                       fresh.routing.max_removed_fraction))
+        return;
+    throw config::ConfigError(fresh.inventory_path + ": " + std::to_string(reload.difference.removed.size()) +
+                              " of " + std::to_string(servers_.size()) +
+                              " servers gone, more than most_gone allows");
+}
+
+// Nothing here can fail: never is half a configuration in force.
+void UpstreamGateway::apply(Reload reload, ReloadScope scope) {
+    const config::OperatorConfig before = std::exchange(config_, std::move(reload.config));
+    const bool has_new_settings = scope == ReloadScope::all_files;
+    const bool has_new_servers = !reload.difference.is_empty();
+    if (has_new_settings || has_new_servers)
+        ++configurations_applied_;
+    if (gossip_node_ && has_new_settings)
+        gossip_node_->reconfigure(config_.gossip->membership, config_.gossip->seeds);
+    if (has_new_settings) {
+        descriptors_.reconfigure(reload.plan);
+        connection_admitter_.reload(fit_to_plan(config_.admission, reload.plan));
+    }
+    if (config_.routing_yaml != before.routing_yaml) {
+        executor_.reconfigure(config_.routing);
+        last_peer_digest_ = 0;
+        refresh_peers();
+    }
+    servers_ = std::move(reload.servers);
+    if (has_new_servers)
+        executor_.set_servers(servers_);
+    if (config_.inventory_path != before.inventory_path ||
+        config_.routing.inventory_poll_interval != before.routing.inventory_poll_interval)
+        watch_inventory();
+    if (has_new_settings || has_new_servers)
+        spdlog::info("inventory: {} servers in force, version {}: {}", servers_.size(),
+                     executor_.hosts().inventory_version(), reload.difference.summary(max_logged_servers));
+}
+
+}  // namespace cressledge::upstream
--- /dev/null
+++ b/src/upstream/idle_connection_pool.cpp
@@ -0,0 +1,104 @@
+#include "upstream/idle_connection_pool.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace cressledge::upstream {
+
+using upstream_health::HostId;
+
+class IdleConnectionPool::IdleConnection final : public net::Stream::Owner {
+public:
+    IdleConnection(IdleConnectionPool& idle_pool, HostId host, HostConnection idle_connection)
+        : pool(idle_pool), host_id(host), connection(idle_connection) {}
+    ~IdleConnection() override {
+        pool.timers_.cancel(timer);
+        if (connection.stream != nullptr)
+            connection.stream->close();
+    }
+    // Nothing was asked: what the host says cannot belong to a call.
+    void on_bytes(std::string_view) override { pool.close(*this); }
+    void on_end(bool) override {
+        connection.stream = nullptr;
+        pool.close(*this);
+    }
+
+    IdleConnectionPool& pool;
+    const HostId host_id;
+    HostConnection connection;
+    /// Its expiry; once it is closed, the end of this object.
+    base::TimerQueue::Handle timer = 0;
+};
+
+IdleConnectionPool::IdleConnectionPool(base::TimerQueue& timers, const Limits& limits)
+    : timers_(timers), limits_(limits) {}
+
+IdleConnectionPool::~IdleConnectionPool() = default;
+
+void IdleConnectionPool::reserve_hosts(std::size_t host_count) {
+    if (connections_.size() < host_count)
+        connections_.resize(host_count);
+}
+
+void IdleConnectionPool::add(base::Timestamp now, HostId host_id, HostConnection connection) {
+    auto& of_host = connections_[host_id];
+    const base::Timestamp expires_at = connection.opened_at + limits_.max_age;
+    if (of_host.size() >= limits_.max_per_host || size_ >= limits_.max_total || now >= expires_at)
+        return connection.stream->close();
+    of_host.push_back(std::make_unique<IdleConnection>(*this, host_id, connection));
+    ++size_;
+    IdleConnection& idle = *of_host.back();
+    connection.stream->set_owner(idle);
+    idle.timer = timers_.schedule(std::min(expires_at, now + limits_.idle_timeout), [this, &idle] {
+        idle.timer = 0;
+        close(idle);
+    });
+}
+
+// The connection used last is the least likely to have been closed by the host.
+HostConnection IdleConnectionPool::take(HostId host_id, net::Stream::Owner& owner) {
+    auto& of_host = connections_[host_id];
+    while (!of_host.empty()) {
+        const auto idle = std::move(of_host.back());
+        of_host.pop_back();
+        --size_;
+        if (idle->connection.stream == nullptr)
+            continue;
+        idle->connection.stream->set_owner(owner);
+        return std::exchange(idle->connection, {});
+    }
+    return {};
+}
+
+void IdleConnectionPool::close_all(HostId host_id) {
+    if (host_id >= connections_.size())
+        return;
+    size_ -= connections_[host_id].size();
+    connections_[host_id].clear();
+}
+
+bool IdleConnectionPool::close_any() {
+    for (auto& of_host : connections_) {
+        for (auto& idle : of_host) {
+            if (idle->connection.stream == nullptr)
+                continue;
+            close(*idle);
+            return true;
+        }
+    }
+    return false;
+}
+
+void IdleConnectionPool::close(IdleConnection& idle) {
+    if (idle.connection.stream != nullptr)
+        std::exchange(idle.connection.stream, nullptr)->close();
+    // One of its own functions may be running: it is freed on the loop's next turn.
+    timers_.cancel(idle.timer);
+    idle.timer = timers_.schedule(base::Timestamp(0), [this, &idle] {
+        idle.timer = 0;
+        size_ -= std::erase_if(connections_[idle.host_id],
+                               [&idle](const auto& candidate) { return candidate.get() == &idle; });
+    });
+}
+
+}  // namespace cressledge::upstream
--- /dev/null
+++ b/src/upstream/probe.hpp
@@ -0,0 +1,124 @@
+// One probe of an upstream host, on a connection of its own or an idle one: a health check, which asks whether the host
+// works, or a load probe, which asks for its load report.
+#pragma once
+
+#include <memory>
+#include <string>
+#include <string_view>
+#include <utility>
+
+#include "base/timer_queue.hpp"
+#include "net/stream.hpp"
+#include "request/request_manager.hpp"
+#include "upstream/codec.hpp"
+#include "upstream/idle_connection_pool.hpp"
+#include "upstream_health/host_set.hpp"
+
+namespace cressledge::upstream {
+
+class HealthCheck;
+class LoadProbe;
+
+/// Receives the events of probes.
+class ProbeObserver {
+public:
+    virtual ~ProbeObserver() = default;
+    virtual void on_health_check_connected(HealthCheck& check) = 0;
+    virtual void on_load_probe_connected(LoadProbe& probe) = 0;
+
+    /// The response is complete and no server error. The observer may take the connection.
+    virtual void on_load_probe_response(LoadProbe& probe) = 0;
+
+    /// The last event, always on a turn of the loop after finish(). The observer may destroy the probe.
+    virtual void on_health_check_finished(HealthCheck& check, upstream_health::CallResult result) = 0;
+    virtual void on_load_probe_finished(LoadProbe& probe, upstream_health::CallResult result) = 0;
+};
+
+/// What health checks and load probes have in common. Owns its connection.
+class Probe : public net::Stream::Owner {
+public:
+    Probe(ProbeObserver& observer, base::TimerQueue& timers, upstream_health::HostId host_id,
+          std::string address);
+    ~Probe() override;
+    Probe(const Probe&) = delete;
+    Probe& operator=(const Probe&) = delete;
+
+    /// Takes the connection, and ends with a time-out at `deadline` unless it has finished by then.
+    void start(HostConnection connection, base::Timestamp deadline);
+    void send(std::string_view request);
+
+    /// Ends the probe; later calls have no effect.
+    void finish(upstream_health::CallResult result);
+
+    void on_end(bool refused) override;
+
+    upstream_health::HostId host_id() const { return host_id_; }
+
+    /// The address of the host when the probe was made; by now the host may have another.
+    const std::string& address() const { return address_; }
+
+protected:
+    virtual void notify_finished(upstream_health::CallResult result) = 0;
+    bool is_finished() const { return finished_; }
+
+    ProbeObserver& observer_;
+    HostConnection connection_;
+
+private:
+    base::TimerQueue& timers_;
+    const upstream_health::HostId host_id_;
+    const std::string address_;
+    bool finished_ = false;
+    /// Its deadline; once it has finished, the last notification.
+    base::TimerQueue::Handle timer_ = 0;
+};
+
+/// Passes if the host answers at all, unless it answers with a server error.
+class HealthCheck final : public Probe {
+public:
+    using Probe::Probe;
+    void on_open() override { observer_.on_health_check_connected(*this); }
+    void on_bytes(std::string_view bytes) override;
+
+private:
+    void notify_finished(upstream_health::CallResult result) override {
+        observer_.on_health_check_finished(*this, result);
+    }
+
+    std::string received_;
+};
+
+/// Reads the whole response, for its headers. The connection may serve again.
+class LoadProbe final : public Probe {
+public:
+    /// `request_id`: the request that waits for the result; 0: none.
+    LoadProbe(ProbeObserver& observer, base::TimerQueue& timers, upstream_health::HostId host_id,
+              std::string address, request::RequestId request_id)
+        : Probe(observer, timers, host_id, std::move(address)), request_id_(request_id) {}
+
+    /// Takes a connection that has been open before.
+    void start_on_idle_connection(HostConnection connection, base::Timestamp deadline);
+
+    void on_open() override { observer_.on_load_probe_connected(*this); }
+    void on_bytes(std::string_view bytes) override;
+
+    request::RequestId request_id() const { return request_id_; }
+    bool connection_reused() const { return connection_reused_; }
+    bool can_reuse_connection() const { return decoder_->can_reuse_connection(); }
+    HostConnection take_connection() { return std::exchange(connection_, {}); }
+
+    /// Null until the response has come, and where none came or it was a server error.
+    const Response* response() const { return has_response_ ? &decoder_->response : nullptr; }
+
+private:
+    void notify_finished(upstream_health::CallResult result) override {
+        observer_.on_load_probe_finished(*this, result);
+    }
+
+    const request::RequestId request_id_;
+    const std::unique_ptr<ResponseDecoder> decoder_ = make_http_decoder();
+    bool connection_reused_ = false;
+    bool has_response_ = false;
+};
+
+}  // namespace cressledge::upstream
