--- /dev/null
+++ b/tests/cressledge/engine_client_test.cpp
@@ -0,0 +1,84 @@
+// The engine link of a platform node: commands, notices, and breaks of the link.
+#include "platform_fixture.hpp"
+
+namespace {
+
+using namespace cressledge::testing;
+
+TEST_CASE("EngineClient: a cancelled request halts its run") {
+    PlatformFixture fixture;
+    auto caller = fixture.connect_caller();
+    const std::string run = fixture.start_run(*caller, "route-profile", "x");
+    caller->close();
+    fixture.test_loop.run_until([&] { return fixture.engine.has_received("HALT " + run + "\r\n"); });
+    fixture.engine.latest_peer().send("DONE 1 " + run + " KILLED 3 0\r\n\r\n");
+    auto other = fixture.connect_caller();
+    fixture.start_run(*other, "route-profile", "y");
+}
+
+TEST_CASE("EngineClient: a broken link continues after the last notice and resends lost commands") {
+    PlatformFixture fixture;
+    auto first_caller = fixture.connect_caller(), second_caller = fixture.connect_caller();
+    const std::string first_run = fixture.start_run(*first_caller, "route-profile", "x"),
+                      second_run = fixture.start_run(*second_caller, "route-profile", "y");
+    fixture.engine.latest_peer().send("NOTE 1 hello\r\nDONE 2 " + first_run + " PASS 1 3\r\none\r\n");
+    fixture.expect_received(*first_caller, "one");
+    fixture.engine.latest_peer().close();
+    fixture.test_loop.run_until(
+        [&] { return fixture.engine.peers.size() == 2 && fixture.engine.has_received("ATTACH 2\r\n"); });
+    // A notice that the last link brought.
+    fixture.engine.latest_peer().send("HELLO LOADED 9\r\nDONE 2 " + first_run + " FAIL 1 0\r\n\r\n");
+    fixture.test_loop.run_until([&] { return fixture.engine.has_received("STAT s"); });
+    // No command may overtake a notice that was missed.
+    CHECK_FALSE(fixture.engine.has_received("RUN "));
+    PlatformFixture::answer_gauges_query(fixture.test_loop, fixture.engine, " 0 0 0 0\r\n");
+    fixture.test_loop.run_until(
+        [&] { return fixture.engine.has_received("RUN " + second_run + " route-profile 1\r\ny\r\n"); });
+    CHECK_FALSE(fixture.engine.has_received("RUN " + first_run));
+    fixture.engine.latest_peer().send("DONE 3 " + second_run + " PASS 1 3\r\ntwo\r\n");
+    fixture.expect_received(*second_caller, "two");
+}
+
+TEST_CASE("EngineClient: a call reply sent before a break is resent only if no notice confirms it") {
+    PlatformFixture fixture;
+    auto first_caller = fixture.connect_caller(), second_caller = fixture.connect_caller();
+    const std::string first_run = fixture.start_run(*first_caller, "trail-sheet", "x"),
+                      second_run = fixture.start_run(*second_caller, "trail-sheet", "y");
+    fixture.engine.latest_peer().send("NEED 1 " + first_run + " 1\r\np\r\nNEED 2 " + second_run +
+                                      " 1\r\nq\r\n");
+    fixture.test_loop.run_until(
+        [&] { return fixture.records.peers.size() == 2 && fixture.records.has_received("q\r\n"); });
+    fixture.records.peers[0]->send(first_run + " DONE 1\r\na\r\n");
+    fixture.records.peers[1]->send(second_run + " DONE 1\r\nb\r\n");
+    fixture.test_loop.run_until([&] {
+        return fixture.engine.has_received("FEED " + first_run) &&
+               fixture.engine.has_received("FEED " + second_run);
+    });
+    fixture.engine.latest_peer().close();
+    fixture.test_loop.run_until(
+        [&] { return fixture.engine.peers.size() == 2 && fixture.engine.has_received("ATTACH 2\r\n"); });
+    fixture.synchronize_engine();
+    // A further call shows that the first run has got its reply.
+    fixture.engine.latest_peer().send("NEED 3 " + first_run + " 1\r\nr\r\n");
+    fixture.test_loop.run_until(
+        [&] { return fixture.engine.has_received("FEED " + second_run + " 1\r\nb\r\n"); });
+    CHECK_FALSE(fixture.engine.has_received("FEED " + first_run));
+}
+
+TEST_CASE(
+    "EngineClient: health checks fail until a late engine is up, and the directory is reported to "
+    "meanwhile") {
+    PlatformFixture fixture({.engine_is_up = false});
+    const auto health_status = [&] {
+        auto caller = fixture.connect_caller();
+        caller->send("GET /healthz HTTP/1.1\r\n\r\n");
+        fixture.expect_received(*caller, "\r\n\r\n");
+        return caller->received.substr(9, 3);
+    };
+    CHECK(health_status() == "503");
+    fixture.test_loop.run_until([&] { return fixture.directory.has_received("{\"mode\":\"open\"}"); });
+    fixture.synchronize_engine();
+    CHECK(health_status() == "200");
+}
+
+}  // namespace
--- a/tests/cressledge/inherited_listener_test.cpp
+++ b/tests/cressledge/inherited_listener_test.cpp
@@ -1,92 +1,96 @@
-// Stories of a listening socket handed down by the platform, as on the day of a new version under load.
+// Listening sockets that the process inherits from the platform: which are adopted, and what closing one leaves open.
 #include <sys/socket.h>
 #include <unistd.h>
 
 #include <cstdlib>
 
+#include "net/socket_error.hpp"
 #include "support.hpp"
 
 namespace {
 
 using namespace cressledge::testing;
 
-// A listening socket on a port of the kernel's choosing, as the platform makes it.
-int platform_socket() {
+// A listening socket on a free port, as the platform opens it.
+int open_platform_socket() {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     REQUIRE(fd >= 0);
-    const net::Address a = loopback_address(0);
-    REQUIRE(::bind(fd, reinterpret_cast<const sockaddr*>(&a.raw), sizeof(sockaddr_in)) == 0);
+    const net::Address any_port = loopback_address(0);
+    REQUIRE(::bind(fd, reinterpret_cast<const sockaddr*>(&any_port.raw), sizeof(sockaddr_in)) == 0);
     REQUIRE(::listen(fd, 64) == 0);
     return fd;
 }
 
-std::string refusal(const char* value) {
+// Why a descriptor is not adopted, or "adopted".
+std::string adoption_error(const char* value) {
     ::setenv("CRESSLEDGE_TEST_FD", value, 1);
     try {
         net::inherited_listening_socket("CRESSLEDGE_TEST_FD");
-    } catch (const std::runtime_error& e) {
-        return e.what();
+    } catch (const net::SocketError& error) {
+        return error.what();
     }
-    return "taken";
+    return "adopted";
 }
 
 }  // namespace
 
-TEST_CASE("a handed-down descriptor that is no listening TCP socket is refused at the start, by name") {
+TEST_CASE(
+    "inherited listener: a descriptor that is no listening TCP socket is rejected, with the variable's "
+    "name") {
     ::unsetenv("CRESSLEDGE_TEST_FD");
     CHECK(net::inherited_listening_socket("CRESSLEDGE_TEST_FD") == -1);
-    CHECK(refusal("seven") == "CRESSLEDGE_TEST_FD=seven: not a descriptor number");
-    CHECK(refusal("7x") == "CRESSLEDGE_TEST_FD=7x: not a descriptor number");
-    CHECK(refusal("") == "CRESSLEDGE_TEST_FD=: not a descriptor number");
-    CHECK(refusal("-1") == "CRESSLEDGE_TEST_FD=-1: not a descriptor number");
-    CHECK(refusal("1000000") == "CRESSLEDGE_TEST_FD=1000000: no such descriptor");
+    CHECK(adoption_error("seven") == "CRESSLEDGE_TEST_FD=seven: not a descriptor number");
+    CHECK(adoption_error("7x") == "CRESSLEDGE_TEST_FD=7x: not a descriptor number");
+    CHECK(adoption_error("") == "CRESSLEDGE_TEST_FD=: not a descriptor number");
+    CHECK(adoption_error("-1") == "CRESSLEDGE_TEST_FD=-1: not a descriptor number");
+    CHECK(adoption_error("1000000") == "CRESSLEDGE_TEST_FD=1000000: no such descriptor");
     int pipe_ends[2];
     REQUIRE(::pipe(pipe_ends) == 0);
-    CHECK(refusal(std::to_string(pipe_ends[0]).c_str()) ==
+    CHECK(adoption_error(std::to_string(pipe_ends[0]).c_str()) ==
           "CRESSLEDGE_TEST_FD=" + std::to_string(pipe_ends[0]) + ": not a socket");
     const int udp = ::socket(AF_INET, SOCK_DGRAM, 0), unbound = ::socket(AF_INET, SOCK_STREAM, 0);
-    CHECK(refusal(std::to_string(udp).c_str()) ==
+    CHECK(adoption_error(std::to_string(udp).c_str()) ==
           "CRESSLEDGE_TEST_FD=" + std::to_string(udp) + ": not a TCP socket");
-    CHECK(refusal(std::to_string(unbound).c_str()) ==
+    CHECK(adoption_error(std::to_string(unbound).c_str()) ==
           "CRESSLEDGE_TEST_FD=" + std::to_string(unbound) + ": not listening");
     for (const int fd : {pipe_ends[0], pipe_ends[1], udp, unbound})
         ::close(fd);
     ::unsetenv("CRESSLEDGE_TEST_FD");
 }
 
-TEST_CASE("a handed-down listening socket is adopted, and given up without closing it for the others") {
-    TestLoop w;
-    const int platform = platform_socket();
-    const int mine = ::dup(platform);
-    ::setenv("CRESSLEDGE_TEST_FD", std::to_string(mine).c_str(), 1);
+TEST_CASE("inherited listener: an adopted socket stays open for other processes when it is closed here") {
+    TestLoop test_loop;
+    const int platform_fd = open_platform_socket();
+    const int own_fd = ::dup(platform_fd);
+    ::setenv("CRESSLEDGE_TEST_FD", std::to_string(own_fd).c_str(), 1);
     const int adopted = net::inherited_listening_socket("CRESSLEDGE_TEST_FD");
     ::unsetenv("CRESSLEDGE_TEST_FD");
-    REQUIRE(adopted == mine);
-    std::vector<std::unique_ptr<StreamPeer>> taken;
+    REQUIRE(adopted == own_fd);
+    std::vector<std::unique_ptr<StreamPeer>> accepted;
     std::unique_ptr<net::Listener> listener;
-    listener =
-        std::make_unique<net::Listener>(w.loop.uv(), net::ListenEndpoint{loopback_address(0), adopted}, [&] {
-            taken.push_back(std::make_unique<StreamPeer>());
-            taken.back()->stream = net::Stream::accept(*listener, *taken.back());
+    listener = std::make_unique<net::Listener>(
+        test_loop.loop.uv(), net::ListenEndpoint{loopback_address(0), adopted}, [&] {
+            accepted.push_back(std::make_unique<StreamPeer>());
+            accepted.back()->stream = net::Stream::accept(*listener, *accepted.back());
         });
     const int port = listener->port();
     REQUIRE(port > 0);
-    auto first = connect_peer(w, port);
-    w.run_until([&] { return taken.size() == 1; });
+    auto first = connect_peer(test_loop, port);
+    test_loop.run_until([&] { return accepted.size() == 1; });
     first->send("one");
-    w.run_until([&] { return taken[0]->has_received("one"); });
+    test_loop.run_until([&] { return accepted[0]->has_received("one"); });
 
-    // Given up, as on the notice to leave: the platform's socket still takes who comes, into its backlog.
+    // As in a graceful shutdown: connections still come to the backlog of the platform's socket.
     listener->close();
-    auto second = connect_peer(w, port);
+    auto second = connect_peer(test_loop, port);
     REQUIRE(second->is_open);
     second->send("two");
-    const int next = ::accept(platform, nullptr, nullptr);
-    REQUIRE(next >= 0);
-    char got[3];
-    REQUIRE(::read(next, got, sizeof got) == 3);
-    CHECK(std::string(got, 3) == "two");
-    CHECK(taken.size() == 1);
-    ::close(next);
-    ::close(platform);
+    const int accepted_fd = ::accept(platform_fd, nullptr, nullptr);
+    REQUIRE(accepted_fd >= 0);
+    char bytes[3];
+    REQUIRE(::read(accepted_fd, bytes, sizeof bytes) == 3);
+    CHECK(std::string(bytes, 3) == "two");
+    CHECK(accepted.size() == 1);
+    ::close(accepted_fd);
+    ::close(platform_fd);
 }
--- /dev/null
+++ b/tests/cressledge/platform_fixture.hpp
@@ -0,0 +1,148 @@
+// A platform node whose callers, engine, records service and directory are scripted peers.
+#pragma once
+
+#include <cstdio>
+#include <memory>
+#include <string>
+
+#include "frontend_fixture.hpp"
+#include "platform/platform_node.hpp"
+
+namespace cressledge::testing {
+
+struct PlatformFixtureOptions {
+    Duration stop_delay{3'000'000};
+    /// Whether the engine greets the node, and has brought all notices, before the test begins.
+    bool engine_is_up = true;
+    /// Whether there is an admin address.
+    bool has_admin = false;
+    int inherited_listener_fd = -1;
+};
+
+/// The node on a loop of its own, with one link to the engine open.
+struct PlatformFixture {
+    TestLoop test_loop;
+    ListeningPeer engine{test_loop.loop};
+    ListeningPeer records{test_loop.loop};
+    ListeningPeer directory{test_loop.loop};
+    std::unique_ptr<platform::PlatformNode> node;
+    /// Requests made so far; the name of the last one follows from it.
+    int request_count = 0;
+
+    explicit PlatformFixture(const PlatformFixtureOptions& options = {}) {
+        config::NodeConfig config = configuration(engine, records, directory);
+        config.stop_delay = options.stop_delay;
+        config.inherited_listener_fd = options.inherited_listener_fd;
+        config.gauge_names = {"cpu_busy", "runnable", "mem_used", "sockets"};
+        // Twelve connections of callers.
+        config.max_descriptors = 21;
+        if (options.has_admin) {
+            config.admin_address = "127.0.0.1:0";
+            // The admin address needs 33 descriptors more.
+            config.max_descriptors = 64;
+        }
+        policy::Settings& settings = config.policy_settings;
+        settings.classes[0].calls_dependency = true;
+        settings.classes[2].calls_dependency = true;
+        settings.dependency = policy::Dependency::shared_service;
+        settings.dependency_call_quota = 5.0;
+        node = std::make_unique<platform::PlatformNode>(test_loop.loop, test_loop.timers, config);
+        node->start();
+        test_loop.run_until([&] { return engine.has_received("ATTACH 0\r\n"); });
+        if (options.engine_is_up)
+            synchronize_engine();
+    }
+
+    /// The configuration of a node with these peers.
+    static config::NodeConfig configuration(const ListeningPeer& engine, const ListeningPeer& records,
+                                            const ListeningPeer& directory) {
+        config::NodeConfig config;
+        config.name = "n3";
+        config.listen_address = "127.0.0.1:0";
+        config.engine_address = engine.address();
+        config.records_address = records.address();
+        config.directory_address = directory.address();
+        config.policy_settings = test_settings();
+        return config;
+    }
+
+    /// The engine greets the node and answers its first query: no notice was missed.
+    void synchronize_engine() {
+        engine.latest_peer().send("HELLO LOADED 5\r\n");
+        test_loop.run_until([&] { return engine.has_received("STAT s"); });
+        answer_gauges_query(test_loop, engine, " 0.1 0 0.1 3\r\n");
+    }
+
+    /// The engine answers the query that asks whether all notices have come, of which "STAT s" has arrived. `gauges`:
+    /// the words after the tag.
+    static void answer_gauges_query(TestLoop& test_loop, ListeningPeer& engine, const std::string& gauges) {
+        engine.latest_peer().take_through("STAT ");
+        test_loop.run_until([&] { return engine.has_received("\r\n"); });
+        const std::string tag = word_at(engine.latest_peer().take_through("\r\n"), 0);
+        engine.latest_peer().send("STATS " + tag + gauges);
+    }
+
+    /// The word of a line with this index, from 0.
+    static std::string word_at(const std::string& line, std::size_t index) {
+        std::size_t begin = 0;
+        for (; index > 0; --index)
+            begin = line.find(' ', begin) + 1;
+        return line.substr(begin, line.find_first_of(" \r", begin) - begin);
+    }
+
+    static std::string request_name(int number) {
+        char text[17];
+        std::snprintf(text, sizeof text, "%016x", number);
+        return text;
+    }
+
+    /// A request of the next name.
+    std::string make_request(const std::string& class_name, const std::string& body,
+                             const std::string& more_headers = "") {
+        return "POST /v1/" + class_name +
+               " HTTP/1.1\r\nHost: app.svc\r\nTrace-Id: " + request_name(++request_count) +
+               "\r\nAccepted-At-Ms: " + std::to_string(wall_clock_now().count() / 1000) +
+               "\r\nClient-No: 4\r\nReserve-Kb: 24.5\r\nStanding: 0.6250\r\n" + more_headers +
+               "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+    }
+
+    std::unique_ptr<StreamPeer> connect_caller() { return connect_peer(test_loop, node->http_port()); }
+
+    /// The whole response of the admin address.
+    std::string get_from_admin(const std::string& path) {
+        auto client = connect_peer(test_loop, node->admin_port());
+        client->send("GET " + path + " HTTP/1.1\r\nHost: n3\r\n\r\n");
+        test_loop.run_until([&] { return client->is_closed; });
+        return client->received;
+    }
+
+    /// The value of a metric, or "absent".
+    std::string metric(const std::string& name) {
+        const std::string metrics = get_from_admin("/v1/metrics");
+        const std::string prefix = "\n" + name + '=';
+        const std::size_t found = metrics.find(prefix);
+        if (found == std::string::npos)
+            return "absent";
+        const std::size_t begin = found + prefix.size();
+        return metrics.substr(begin, metrics.find('\n', begin) - begin);
+    }
+
+    /// Sends a request and waits for its run to come to the engine. Returns its name.
+    std::string start_run(StreamPeer& caller, const std::string& class_name, const std::string& body) {
+        caller.send(make_request(class_name, body));
+        const std::string name = request_name(request_count);
+        const std::string command =
+            "RUN " + name + ' ' + class_name + ' ' + std::to_string(body.size()) + "\r\n" + body + "\r\n";
+        test_loop.run_until([&] { return engine.has_received(command); });
+        return name;
+    }
+
+    /// Waits until the peer has received `part`, or its connection has ended.
+    void expect_received(StreamPeer& peer, const std::string& part) {
+        test_loop.run_until([&] { return peer.has_received(part) || peer.is_closed; });
+        INFO(peer.received);
+        REQUIRE(peer.has_received(part));
+    }
+};
+
+}  // namespace cressledge::testing
