--- /dev/null
+++ b/src/gossip/exchange_manager.hpp
@@ -0,0 +1,87 @@
+/// Full exchanges with other processes: opens and accepts the connections, bounds their number and time, and merges
+/// what comes into the membership table.
+///
+/// An exchange is one frame (frame.hpp) each way. The process that connects sends first; the other answers and ends the
+/// connection.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <pcg_random.hpp>
+#include <string>
+#include <string_view>
+
+#include "base/slot_map.hpp"
+#include "base/timer_queue.hpp"
+#include "connection_admission/file_descriptor_budget.hpp"
+#include "gossip/exchange_connection.hpp"
+#include "gossip/gossip_statistics.hpp"
+#include "membership/membership_table.hpp"
+#include "net/loop.hpp"
+#include "net/stream.hpp"
+
+namespace cressledge::gossip {
+
+/// What an exchange manager works with; all outlive it.
+struct ExchangeEnvironment {
+    net::Loop& loop;
+    base::TimerQueue& timers;
+    connection_admission::FileDescriptorBudget& descriptors;
+    net::Listener& listener;
+    membership::MembershipTable& membership;
+    GossipStatistics& statistics;
+};
+
+class ExchangeManager final : private ExchangeConnection::Handler {
+public:
+    /// Connections at once, each way.
+    static constexpr std::size_t max_exchanges_per_direction = 8;
+    /// Of a larger table a random part is sent. Fits the bounded write buffer of a stream.
+    static constexpr std::size_t max_frame_bytes = 200U << 10U;
+    /// Within which an exchange has to be over.
+    static constexpr base::Duration exchange_timeout{2'000'000};
+
+    using EffectsHandler = std::function<void(membership::Effects& effects)>;
+
+    /// `on_effects` carries out what a merged table wants done.
+    ExchangeManager(const ExchangeEnvironment& environment, std::string fleet_name, std::uint64_t seed,
+                    EffectsHandler on_effects);
+    ~ExchangeManager() override;
+    ExchangeManager(const ExchangeManager&) = delete;
+    ExchangeManager& operator=(const ExchangeManager&) = delete;
+
+    /// Opens an exchange. Counted as failed if there is no room for it.
+    void start(const membership::Endpoint& peer);
+
+    /// Accepts the connections that wait at the listener, as far as there is room.
+    void accept_pending();
+
+private:
+    using Lease = connection_admission::FileDescriptorBudget::Lease;
+
+    void on_exchange_open(ExchangeConnection& connection) override;
+    void on_exchange_frame(ExchangeConnection& connection, std::string_view body) override;
+    void on_exchange_oversized(ExchangeConnection& connection) override;
+    void on_exchange_end(ExchangeConnection& connection) override;
+
+    ExchangeConnection& add_connection(ExchangeDirection direction);
+    void set_deadline(ExchangeConnection& connection);
+    void send_state(ExchangeConnection& connection, membership::MessageType type);
+    std::string make_frame(membership::MessageType type);
+    void retry_accept_later();
+    void fail(ExchangeConnection& connection, membership::DropReason reason);
+    void end(base::SlotId id);
+    std::size_t& open_count(ExchangeDirection direction);
+
+    ExchangeEnvironment environment_;
+    const std::string fleet_name_;
+    EffectsHandler on_effects_;
+    pcg32 random_;
+    base::TimerQueue::Handle accept_retry_timer_ = 0;
+    std::size_t outbound_count_ = 0;
+    std::size_t inbound_count_ = 0;
+    base::SlotMap<ExchangeConnection> connections_;
+};
+
+}  // namespace cressledge::gossip
--- /dev/null
+++ b/src/gossip/gossip_statistics.hpp
@@ -0,0 +1,23 @@
+/// What the I/O of a gossip node has counted since its start.
+#pragma once
+
+#include <array>
+#include <cstddef>
+#include <cstdint>
+
+#include "gossip/traffic_meter.hpp"
+#include "membership/codec.hpp"
+
+namespace cressledge::gossip {
+
+struct GossipStatistics {
+    void count_drop(membership::DropReason reason) { ++dropped_by_reason[static_cast<std::size_t>(reason)]; }
+
+    TrafficMeter sent;
+    TrafficMeter received;
+    /// Received messages that were dropped, by `membership::DropReason`.
+    std::array<std::uint64_t, membership::drop_reason_count> dropped_by_reason{};
+    std::uint64_t failed_exchanges = 0;
+};
+
+}  // namespace cressledge::gossip
--- a/src/gossip/transport.cpp
+++ b/src/gossip/transport.cpp
@@ -5,53 +5,43 @@
 namespace cressledge::gossip {
 namespace {
 
-constexpr int max_bind_attempts = 16;  // one of the kernel's choosing may be taken for the other kind
+/// A UDP port of the kernel's choosing may be taken for TCP: so many are tried.
+constexpr int max_bind_attempts = 16;
 
 }  // namespace
 
-net::Address to_address(const membership::Endpoint& p) {
-    net::Address a;
-    auto* four = reinterpret_cast<sockaddr_in*>(&a.raw);
-    four->sin_family = AF_INET;
-    four->sin_addr.s_addr = htonl(p.ip);
-    four->sin_port = htons(p.port);
-    return a;
+net::Address to_address(const membership::Endpoint& endpoint) {
+    net::Address address;
+    auto* ipv4 = reinterpret_cast<sockaddr_in*>(&address.raw);
+    ipv4->sin_family = AF_INET;
+    ipv4->sin_addr.s_addr = htonl(endpoint.ip);
+    ipv4->sin_port = htons(endpoint.port);
+    return address;
 }
-membership::Endpoint to_endpoint(const net::Address& a) {
-    if (a.raw.ss_family != AF_INET)
+
+membership::Endpoint to_endpoint(const net::Address& address) {
+    if (address.raw.ss_family != AF_INET)
         return {};
-    const auto* four = reinterpret_cast<const sockaddr_in*>(&a.raw);
-    return {ntohl(four->sin_addr.s_addr), ntohs(four->sin_port)};
+    const auto* ipv4 = reinterpret_cast<const sockaddr_in*>(&address.raw);
+    return {ntohl(ipv4->sin_addr.s_addr), ntohs(ipv4->sin_port)};
 }
 
 GossipTransport open_transport(uv_loop_t* loop, const membership::Endpoint& requested,
                                const net::UdpSocket::ReceiveHandler& on_datagram,
                                const std::function<void()>& on_connection) {
-    for (int n = 1;; ++n) {
-        GossipTransport p;
-        p.datagrams = std::make_unique<net::UdpSocket>(loop, to_address(requested), on_datagram);
-        p.local_endpoint = {requested.ip, static_cast<std::uint16_t>(p.datagrams->port())};
+    for (int attempt = 1;; ++attempt) {
+        GossipTransport transport;
+        transport.datagrams = std::make_unique<net::UdpSocket>(loop, to_address(requested), on_datagram);
+        transport.local_endpoint = {requested.ip, static_cast<std::uint16_t>(transport.datagrams->port())};
         try {
-            p.listener = std::make_unique<net::Listener>(loop, to_address(p.local_endpoint), on_connection);
-            return p;
+            transport.listener =
+                std::make_unique<net::Listener>(loop, to_address(transport.local_endpoint), on_connection);
+            return transport;
         } catch (const std::runtime_error&) {
-            if (requested.port != 0 || n == max_bind_attempts)
+            if (requested.port != 0 || attempt == max_bind_attempts)
                 throw;
         }
     }
 }
 
-std::string encode_frame(const std::string& body) {
-    std::string bytes;
-    for (std::size_t i = 0; i < frame_header_bytes; ++i)
-        bytes.push_back(static_cast<char>(body.size() >> (8 * (frame_header_bytes - 1 - i)) & 0xFFU));
-    return bytes + body;
-}
-std::size_t decode_frame_length(std::string_view bytes) {
-    std::size_t n = 0;
-    for (std::size_t i = 0; i < frame_header_bytes; ++i)
-        n = n << 8U | static_cast<unsigned char>(bytes[i]);
-    return n;
-}
-
 }  // namespace cressledge::gossip
--- a/src/gossip/transport.hpp
+++ b/src/gossip/transport.hpp
@@ -1,33 +1,33 @@
-// One port for datagrams and for connections, and the frame that a full exchange has on a connection: four bytes of
-// length, the most significant first, and a membership::Message.
+/// The sockets of the gossip port: one port for datagrams and for connections.
 #pragma once
 
 #include <functional>
 #include <memory>
-#include <string>
-#include <string_view>
 
-#include "membership/message.hpp"
+#include "gossip/frame.hpp"
+#include "membership/codec.hpp"
+#include "membership/endpoint.hpp"
 #include "net/stream.hpp"
 #include "net/udp_socket.hpp"
 
 namespace cressledge::gossip {
 
-net::Address to_address(const membership::Endpoint& place);
-membership::Endpoint to_endpoint(const net::Address& address);  // all zero for one that is not IPv4
+net::Address to_address(const membership::Endpoint& endpoint);
 
+/// All zero for an address that is not IPv4.
+membership::Endpoint to_endpoint(const net::Address& address);
+
+/// A UDP socket and a listener on one port.
 struct GossipTransport {
     std::unique_ptr<net::UdpSocket> datagrams;
     std::unique_ptr<net::Listener> listener;
     membership::Endpoint local_endpoint;
 };
-// A port of 0: one of the kernel's choosing that is free for both. Throws std::runtime_error when there is none.
+
+/// Binds both sockets. For port 0 the kernel chooses one that is free for both. Throws std::runtime_error if the
+/// address cannot be taken.
 GossipTransport open_transport(uv_loop_t* loop, const membership::Endpoint& requested,
                                const net::UdpSocket::ReceiveHandler& on_datagram,
                                const std::function<void()>& on_connection);
 
-constexpr std::size_t frame_header_bytes = 4;
-std::string encode_frame(const std::string& body);
-std::size_t decode_frame_length(std::string_view bytes);  // of the body; `bytes` has a whole head at least
-
 }  // namespace cressledge::gossip
