--- /dev/null
+++ b/src/rollout/canary_statistics.cpp
@@ -0,0 +1,199 @@
+#include "rollout/canary_statistics.hpp"
+
+#include <algorithm>
+#include <boost/math/distributions/binomial.hpp>
+#include <boost/math/distributions/normal.hpp>
+#include <cmath>
+
+namespace cressledge::rollout {
+namespace {
+
+/// Of a uniform rank; with ties it is less.
+constexpr double uniform_rank_variance = 1.0 / 12.0;
+/// Smallest variances of log odds between processes, where events are too few to show any: standard deviations of 0.4
+/// and 0.1.
+constexpr double min_process_variance = 0.16;
+constexpr double min_process_rank_variance = 0.01;
+/// Keeps a probability off 0 and 1, where the distributions are not defined.
+constexpr double min_probability = 1e-12;
+/// Integration over a standard normal distribution.
+constexpr double integration_bound = 5.0;
+constexpr double integration_step = 0.125;
+
+/// Estimate of log odds and its variance.
+struct LogOdds {
+    double mean = 0.0;
+    double variance = 0.0;
+};
+
+double normal_upper_tail(double z) {
+    return boost::math::cdf(boost::math::complement(boost::math::normal(), z));
+}
+
+/// P(X >= events) for X binomial.
+double binomial_upper_tail(double trials, double probability, double events) {
+    if (events <= 0.0)
+        return 1.0;
+    const double bounded = std::clamp(probability, min_probability, 1.0 - min_probability);
+    const boost::math::binomial distribution(std::max(trials, events), bounded);
+    return boost::math::cdf(boost::math::complement(distribution, events - 1.0));
+}
+
+double logistic(double log_odds) {
+    return 1.0 / (1.0 + std::exp(-log_odds));
+}
+
+/// The variance of one observation over that of an event with the same mean.
+double relative_variance(RateKind kind) {
+    return kind == RateKind::ranks ? 4.0 * uniform_rank_variance : 1.0;
+}
+
+LogOdds estimate_log_odds(const EventRate& rate, double unit_variance) {
+    const double share = (rate.events + 0.5) / (rate.trials + 1.0);
+    const double event_variance = share * (1.0 - share);
+    return {std::log(share / (1.0 - share)), unit_variance / (rate.trials * event_variance)};
+}
+
+LogOdds pooled_log_odds(const std::vector<EventRate>& rates, double unit_variance) {
+    EventRate sum;
+    for (const EventRate& rate : rates) {
+        sum.events += rate.events;
+        sum.trials += rate.trials;
+    }
+    return estimate_log_odds(sum, unit_variance);
+}
+
+/// Variance of log odds between processes about `centre`, beyond that of their finite trials (DerSimonian and Laird).
+double variance_between_processes(const std::vector<EventRate>& rates, const LogOdds& centre,
+                                  double unit_variance) {
+    const double share = logistic(centre.mean);
+    const double event_variance = share * (1.0 - share);
+    double weighted_squares = 0.0;
+    double weight_sum = 0.0;
+    double squared_weight_sum = 0.0;
+    double process_count = 0.0;
+    for (const EventRate& rate : rates) {
+        if (rate.trials <= 0.0)
+            continue;
+        const double weight = rate.trials * event_variance / unit_variance;
+        const double mean = estimate_log_odds(rate, unit_variance).mean;
+        weighted_squares += weight * (mean - centre.mean) * (mean - centre.mean);
+        weight_sum += weight;
+        squared_weight_sum += weight * weight;
+        process_count += 1.0;
+    }
+    const double scale = weight_sum > 0.0 ? weight_sum - squared_weight_sum / weight_sum : 0.0;
+    if (scale <= 0.0)
+        return 0.0;
+    return std::max(0.0, (weighted_squares - (process_count - 1.0)) / scale);
+}
+
+/// What the baseline says of a process: its log odds now and before, and how processes differ.
+struct BaselineModel {
+    LogOdds now;
+    LogOdds before;
+    bool has_prior = false;
+    double between_variance = 0.0;
+};
+
+BaselineModel model_baseline(const ProcessGroup& baseline, RateKind kind) {
+    const double unit_variance = relative_variance(kind);
+    BaselineModel model;
+    model.now = pooled_log_odds(baseline.window, unit_variance);
+    model.before = pooled_log_odds(baseline.prior, unit_variance);
+    model.has_prior = std::any_of(baseline.prior.begin(), baseline.prior.end(),
+                                  [](const EventRate& rate) { return rate.trials > 0.0; });
+    const double min_variance = kind == RateKind::ranks ? min_process_rank_variance : min_process_variance;
+    model.between_variance =
+        std::max(min_variance, variance_between_processes(baseline.window, model.now, unit_variance));
+    if (model.has_prior)
+        model.between_variance = std::max(
+            model.between_variance, variance_between_processes(baseline.prior, model.before, unit_variance));
+    return model;
+}
+
+/// Log odds to be expected of a process that had the rate `prior` before its change: its own, shrunk to the baseline's
+/// and moved by as much as the baseline has moved since.
+LogOdds expect_process(const BaselineModel& model, const EventRate& prior, RateKind kind) {
+    const double between = model.between_variance;
+    if (!model.has_prior || prior.trials <= 0.0)
+        return {model.now.mean, between};
+    const LogOdds own = estimate_log_odds(prior, relative_variance(kind));
+    const double variance = 1.0 / (1.0 / between + 1.0 / own.variance);
+    const double shrunk = variance * (model.before.mean / between + own.mean / own.variance);
+    return {shrunk + model.now.mean - model.before.mean, variance};
+}
+
+/// Log odds to be expected of a group, each process weighted by its trials.
+LogOdds expect_group(const BaselineModel& model, const ProcessGroup& canary, RateKind kind) {
+    LogOdds expected;
+    // The variance of the baseline's mean is part of the pooled test of events; counted again here, where the baseline
+    // had no event, it would leave nothing unexpected.
+    if (kind == RateKind::ranks)
+        expected.variance = model.now.variance;
+    for (std::size_t i = 0; i < canary.window.size(); ++i) {
+        const LogOdds process = expect_process(model, canary.prior[i], kind);
+        const double weight = canary.window[i].trials / canary.trials;
+        expected.mean += weight * process.mean;
+        expected.variance += weight * weight * process.variance;
+    }
+    return expected;
+}
+
+/// Upper tail of a binomial whose log odds are normal.
+double uncertain_binomial_upper_tail(const ProcessGroup& canary, const LogOdds& expected) {
+    double p_value = 0.0;
+    double weight_sum = 0.0;
+    for (double z = -integration_bound; z <= integration_bound; z += integration_step) {
+        const double weight = std::exp(-0.5 * z * z);
+        const double probability = logistic(expected.mean + z * std::sqrt(expected.variance));
+        p_value += weight * binomial_upper_tail(canary.trials, probability, canary.events);
+        weight_sum += weight;
+    }
+    return p_value / weight_sum;
+}
+
+}  // namespace
+
+void ProcessGroup::add(const EventRate& in_window, const EventRate& before) {
+    if (in_window.trials <= 0.0)
+        return;
+    window.push_back(in_window);
+    prior.push_back(before);
+    events += in_window.events;
+    trials += in_window.trials;
+}
+
+double pooled_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateKind kind) {
+    if (kind == RateKind::events) {
+        const double canary_share = canary.trials / (canary.trials + baseline.trials);
+        return binomial_upper_tail(canary.events + baseline.events, canary_share, canary.events);
+    }
+    const double variance = uniform_rank_variance * (1.0 / canary.trials + 1.0 / baseline.trials);
+    return normal_upper_tail((canary.rate() - baseline.rate()) / std::sqrt(variance));
+}
+
+double process_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateKind kind) {
+    const LogOdds expected = expect_group(model_baseline(baseline, kind), canary, kind);
+    if (kind == RateKind::events)
+        return uncertain_binomial_upper_tail(canary, expected);
+    const LogOdds observed = estimate_log_odds({canary.events, canary.trials}, relative_variance(kind));
+    const double deviation = std::sqrt(observed.variance + expected.variance);
+    return normal_upper_tail((observed.mean - expected.mean) / deviation);
+}
+
+double mann_whitney_effect(const LatencyCounts& x, const LatencyCounts& y) {
+    const double x_count = total_count(x);
+    const double y_count = total_count(y);
+    if (x_count <= 0.0 || y_count <= 0.0)
+        return 0.5;
+    double y_below = 0.0;
+    double wins = 0.0;
+    for (std::size_t i = 0; i < x.size(); ++i) {
+        wins += x[i] * (y_below + 0.5 * y[i]);
+        y_below += y[i];
+    }
+    return wins / (x_count * y_count);
+}
+
+}  // namespace cressledge::rollout
--- a/src/rollout/rollout_settings.hpp
+++ b/src/rollout/rollout_settings.hpp
@@ -1,16 +1,30 @@
-// The plan of a rolling change (docs/operators/roll.md).
+/// The file of a rollout and its reader (docs/operators/roll.md).
 #pragma once
 
-#include "rollout/rollout_state_machine.hpp"
+#include <string>
+#include <vector>
 
-namespace cressledge::config {
+#include "rollout/rollout_plan.hpp"
+
+namespace cressledge::rollout {
 
 struct RolloutSettings {
-    rollout::RolloutPlan plan;
-    std::vector<std::string> supervisor_addresses;  // control addresses
-    policy::Duration observation_interval{1'000'000};  // between two looks at the fleet
+    RolloutPlan plan;
+    /// Admin addresses of the supervisors, as `HOST:PORT`.
+    std::vector<std::string> supervisor_addresses;
+    /// From one observation of the fleet to the next.
+    Duration observation_interval{1'000'000};
 };
 
-RolloutSettings load_rollout(const std::string& path);  // throws Invalid with file, line and field
+/// Reads the file at `path`. Throws `config::ConfigError` with file, line and field.
+RolloutSettings load_rollout_settings(const std::string& path);
+
+}  // namespace cressledge::rollout
+
+namespace cressledge::config {
+
+/// The earlier names of `rollout::RolloutSettings` and `rollout::load_rollout_settings`.
+using rollout::RolloutSettings;
+RolloutSettings load_rollout(const std::string& path);
 
 }  // namespace cressledge::config
--- a/src/rollout/rollout_state_machine.hpp
+++ b/src/rollout/rollout_state_machine.hpp
@@ -1,19 +1,23 @@
-// A rolling change of a fleet in stages, stopped and taken back where the changed processes do worse. No I/O: time and
-// what was seen of each process come in, what is to be done goes out; the emulator runs it as it is.
-//
-//   watching  -> changing   it has been seen for one bake how things are before
-//   changing  -> baking     every process of the stage has the change
-//   baking    -> changing   the next stage: the judge said go
-//   baking    -> done       it was the last
-//   any       -> reverting  the judge said stop, a process turned the change down, or a hold took too long
-//   reverting -> reverted   every changed process is as it was
-//
-// State is what lasts: whoever carries this out writes it before anything that follows from it is done (`save` comes
-// without `set`), so that one who starts again from the file does what the one before was about to do, or had done.
-//
-// Invariant: at any moment every process has, or is on its way to, the spec that State names for it.
+/// Changes a fleet in stages, and rolls the change back where the processes that have it do worse than the others. No
+/// I/O: the time and what was seen of each process come in, what is to be done goes out; the emulator runs it as it is.
+///
+///   observing    -> updating      the fleet was observed for one bake time
+///   updating     -> baking        every process of the stage has the change
+///   baking       -> updating      the canary analysis passed; the next stage
+///   baking       -> completed     it was the last stage
+///   (any above)  -> rolling_back  the analysis failed or stayed inconclusive for too long, the changed processes crash, a
+///                                 process rejected the change, or the operator asked for it
+///   rolling_back -> rolled_back   every changed process has its original spec
+///
+/// `RolloutState` must be durable before anything that follows from it is done: a step asks for it to be saved, or for
+/// specs to be sent, never for both. Whoever starts again from a stored state does what its predecessor was about to do,
+/// or had done.
+///
+/// Invariant: at any moment each process has, or is on its way to, the spec that `RolloutState` names for it.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -22,156 +26,102 @@
 #include <vector>
 
 #include "rollout/canary_analysis.hpp"
-#include "supervisor/process_lifecycle.hpp"
+#include "rollout/crash_monitor.hpp"
+#include "rollout/process_observation.hpp"
+#include "rollout/rollout_plan.hpp"
+#include "rollout/rollout_state.hpp"
+#include "rollout/stage_report.hpp"
+#include "rollout/traffic_monitor.hpp"
 
 namespace cressledge::rollout {
 
-using supervisor::ProcessSpec;
-
-struct RolloutStage {
-    double fleet_fraction = 1.0;  // of the fleet, all stages before counted in
-    std::size_t process_count = 0;  // or so many processes; 0: by the share
-};
-
-struct RolloutPlan {
-    std::string name;
-    ProcessSpec target_spec;  // an empty program or overlay: as it was
-    std::vector<RolloutStage> stages;
-    Duration bake_time{30'000'000};  // of each stage
-    Duration max_inconclusive_time{
-        120'000'000};  // beyond the bake, for a stage that cannot be judged; then it is stopped
-    Duration update_timeout{60'000'000};  // for a stage to have the change
-    std::size_t max_concurrent_updates = 8;  // processes that change at one time
-    std::uint64_t order_seed = 1;  // of the order
-    Tolerances tolerances;
-};
-
-struct RolloutTarget {
-    std::string id;
-    ProcessSpec original_spec, updated_spec;
-    bool is_updated = false;  // it has, or is to have, the change
-};
-
-enum class Phase : std::uint8_t { observing, updating, baking, completed, rolling_back, rolled_back };
-const char* to_string(Phase phase);
-
-struct RolloutState {
-    std::string name;
-    std::string plan_digest;  // of the plan: another plan does not go on with this state
-    Phase phase = Phase::observing;
-    std::size_t stage_index = 0;
-    std::string rollback_reason;  // of reverting
-    std::vector<RolloutTarget> targets;  // in the order of the change
-};
-nlohmann::ordered_json to_json(const RolloutState& s);
-RolloutState from_json(const nlohmann::json& j);  // throws std::runtime_error
-
-// What was seen of one process at one moment. Not reachable: nothing else counts.
-struct ProcessObservation {
-    bool is_reachable = false;
-    ProcessSpec active_spec;  // in force
-    supervisor::ChangeStatus change_status = supervisor::ChangeStatus::none;
-    std::string change_error;  // of a failed change
-    supervisor::Generation serving_generation = 0;  // 0: none is up
-    std::uint64_t crash_count = 0;
-    std::optional<MetricsByClass> metrics;
-    std::string membership_digest;  // its digest of the fleet; empty: none
-};
-using Observations = std::map<std::string, ProcessObservation>;
-
-struct StageReport {
-    std::size_t stage_index = 0, canary_count = 0, baseline_count = 0;
-    Timestamp started_at{0}, bake_started_at{0}, ended_at{0};
-    CanaryVerdict verdict = CanaryVerdict::inconclusive;
-    std::string reason;
-    std::vector<std::string> wait_reasons;  // the reasons, each once
-    CanaryAnalysis analysis;
-};
-struct TrafficSample {  // of one look: what both groups did since the one before
-    Timestamp taken_at{0};
-    std::size_t stage_index = 0;
-    Phase phase = Phase::observing;
-    ClassMetrics canary, baseline;  // all classes
-};
-
 /// A process of the fleet and the program and settings that it has, or is to have.
 struct ProcessAssignment {
     std::string process_id;
     ProcessSpec spec;
 };
 
+/// What follows from one step.
 struct RolloutActions {
-    bool must_save_state = false;  // State has to last before anything else
+    /// The state has to be durable, and `step` to be called again, before anything else is done.
+    bool must_save_state = false;
+    /// Specs to be sent to processes; empty where `must_save_state` is set.
     std::vector<ProcessAssignment> spec_updates;
-    std::vector<std::string> log_lines;  // for the log, as JSON
+    /// JSON objects for the log.
+    std::vector<std::string> log_lines;
     bool is_finished = false;
 };
 
 class RolloutStateMachine {
 public:
-    // A new one, of processes with the specs they have now; or one that goes on from its state.
+    /// A new rollout over processes with the specs that they have now.
     RolloutStateMachine(const RolloutPlan& plan, const std::vector<ProcessAssignment>& fleet);
-    RolloutStateMachine(const RolloutPlan& plan,
-                        RolloutState state);  // throws std::runtime_error where the state is of another plan
 
+    /// Continues from a stored state. Throws `InvalidRolloutState` where it is of another plan.
+    RolloutStateMachine(const RolloutPlan& plan, RolloutState state);
+
+    /// Takes in what was seen of the fleet.
     RolloutActions step(Timestamp now, const Observations& observations);
-    // The operator's word: the change is taken back.
+
+    /// Has the next step roll the change back, unless the rollout is past that.
     void request_rollback(const std::string& reason);
 
     const RolloutState& state() const { return state_; }
+    /// The stages that this object has begun, in their order.
     const std::vector<StageReport>& reports() const { return reports_; }
-    const std::vector<TrafficSample>& samples() const { return samples_; }
-    std::size_t updated_count_after(std::size_t stage_index) const;  // processes changed by its end
-    static std::string compute_plan_digest(const RolloutPlan& plan);
+    const std::vector<TrafficSample>& samples() const { return traffic_.samples(); }
+
+    /// Processes that have the change at the end of stage `stage_index`.
+    std::size_t updated_count_after(std::size_t stage_index) const;
 
 private:
-    struct MetricsAccumulator {  // of one process, from the beginning of a bake
-        std::optional<MetricsByClass> base_metrics, last_metrics;
-        MetricsByClass earlier_generations;  // of earlier lives of the process
-        supervisor::Generation generation = 0;
-        std::uint64_t crashes_at_start = 0;  // at the beginning
-        Timestamp started_at{0}, last_seen_at{0};
-        MetricsByClass total() const;
-    };
+    /// Slots for processes that change at one time.
+    using ConcurrencySlots = std::size_t;
+
+    void begin(Timestamp now, RolloutActions& actions);
+    void advance(Timestamp now, const Observations& observations, RolloutActions& actions);
+    void observe(Timestamp now, const Observations& observations);
+    void enter_phase(Timestamp now, Phase phase, RolloutActions& actions);
+    void start_rollback(Timestamp now, const std::string& reason, RolloutActions& actions);
+
     void step_updating(Timestamp now, const Observations& observations, RolloutActions& actions);
+    void mark_stage_updated(std::size_t stage_size, RolloutActions& actions);
+    bool has_rejected_update(const RolloutTarget& target, const Observations& observations) const;
+    void start_bake(Timestamp now, const Observations& observations, std::size_t stage_size,
+                    RolloutActions& actions);
+
     void step_baking(Timestamp now, const Observations& observations, RolloutActions& actions);
+    CanaryAnalysis analyze() const;
+    std::optional<std::string> wait_reason(Timestamp now, const Observations& observations,
+                                           CrashFinding crashes, const CanaryAnalysis& analysis) const;
+    std::optional<std::string> visibility_problem(Timestamp now, const Observations& observations) const;
+    bool is_suspect_wait_over(Timestamp now) const;
+    void extend_bake(Timestamp now, const std::string& reason, RolloutActions& actions);
+    void finish_stage(Timestamp now, const CanaryAnalysis& analysis, RolloutActions& actions);
+
     void step_rolling_back(Timestamp now, const Observations& observations, RolloutActions& actions);
-    void enter_phase(Timestamp now, Phase phase, RolloutActions& actions);
-    void start_rollback(Timestamp now, const std::string& reason, RolloutActions& actions);
-    void record_observations(Timestamp now, const Observations& observations);
-    bool has_excess_crashes(Timestamp now,
-                            std::string& wait_reason);  // true: what is changed crashes more than what is not
-    // For how long what is only suspect is watched: then more processes have to tell.
-    bool suspect_wait_expired(Timestamp now) const {
-        return now - phase_started_at_ > plan_.bake_time + plan_.max_inconclusive_time * 3 / 4;
-    }
-    std::string visibility_problem(Timestamp now, const Observations& observations)
-        const;  // why nothing can be judged now; empty: it can
-    void request_update(Timestamp now, const RolloutTarget& m, const ProcessSpec& spec,
-                        const Observations& observations, std::size_t& room, RolloutActions& actions);
+    void request_update(Timestamp now, const RolloutTarget& target, const ProcessSpec& spec,
+                        const Observations& observations, ConcurrencySlots& free_slots,
+                        RolloutActions& actions);
+
+    StageReport& ensure_report(Timestamp now);
     StageReport& current_report() { return reports_.back(); }
-    void log_event(RolloutActions& actions, const char* what, nlohmann::ordered_json more) const;
+    void log_event(RolloutActions& actions, const char* event, const nlohmann::ordered_json& fields) const;
 
     const RolloutPlan plan_;
     RolloutState state_;
-    std::string rollback_request_;  // the operator's reason
+    std::optional<std::string> rollback_request_;
     bool has_started_ = false;
-    Timestamp phase_started_at_{0}, next_analysis_at_{0}, crash_wait_until_{0}, last_canary_crash_at_{0};
-    double canary_crashes_ = 0.0;  // changed processes, in this bake
-    std::map<std::string, Timestamp> last_update_requests_;  // when each was last told to change
-    // Who was seen to have what the phase asks for. Guards a phase of hundreds against looks that get lost: all of them
-    // are hardly ever seen at one moment.
+    Timestamp phase_started_at_{0};
+    Timestamp next_analysis_at_{0};
+    /// When each process was last sent a spec in this phase.
+    std::map<std::string, Timestamp> last_update_requests_;
+    /// Processes that were once seen in this phase to have what it asks for. Observations get lost, so that hundreds of
+    /// processes are hardly ever seen to have it at one moment.
     std::set<std::string> confirmed_targets_;
-    std::map<std::string, MetricsAccumulator> accumulators_;
-    std::map<std::string, MetricsByClass>
-        prior_metrics_;  // what each did until its change, or until this bake
-    double baseline_exposure_seconds_ = 0.0,
-           baseline_crashes_ = 0.0;  // seconds and crashes of unchanged processes, over the whole roll
-    std::map<std::string, std::uint64_t> crash_counts_;
-    Timestamp last_observed_at_{0};
+    TrafficMonitor traffic_;
+    CrashMonitor crashes_;
     std::vector<StageReport> reports_;
-    std::vector<TrafficSample> samples_;
-    std::map<std::string, std::pair<supervisor::Generation, MetricsByClass>> last_sampled_metrics_;
 };
 
 }  // namespace cressledge::rollout
--- a/src/supervisor/process_lifecycle.cpp
+++ b/src/supervisor/process_lifecycle.cpp
@@ -4,37 +4,38 @@
 #include <utility>
 
 namespace cressledge::supervisor {
+namespace {
 
-const char* to_string(ChangeStatus change) {
-    static constexpr const char* words[] = {"none", "under way", "done", "failed"};
-    return words[static_cast<std::size_t>(change)];
-}
+constexpr std::uint32_t max_consecutive_crashes = 16;
+constexpr std::uint32_t max_backoff_doublings = 10;
 
-void ProcessLifecycle::launch(Timestamp now, Generation& generation, const ProcessSpec& spec,
-                              std::vector<LifecycleAction>& out) {
-    generation = ++last_generation_;
-    ++start_count_;
-    step_deadline_ = now + policy_.ready_timeout;
-    out.push_back({LifecycleAction::start, generation, spec});
-}
+}  // namespace
 
-void ProcessLifecycle::start_current(Timestamp now, std::vector<LifecycleAction>& out) {
-    if (current_generation_ != 0 || is_shutting_down_)
+void ProcessLifecycle::start_current(Timestamp now, Actions& actions) {
+    if (current_generation_ != no_generation || is_shutting_down_)
         return;
     restart_at_ = Timestamp::max();
     is_current_ready_ = false;
     current_started_at_ = now;
-    launch(now, current_generation_, active_spec_, out);
+    current_generation_ = launch(now, active_spec_, actions);
 }
 
-void ProcessLifecycle::request_spec(Timestamp now, const ProcessSpec& spec,
-                                    std::vector<LifecycleAction>& out) {
+Generation ProcessLifecycle::launch(Timestamp now, const ProcessSpec& spec, Actions& actions) {
+    const Generation generation = ++last_generation_;
+    ++start_count_;
+    step_deadline_ = now + policy_.ready_timeout;
+    actions.push_back({LifecycleAction::Type::start, generation, spec});
+    return generation;
+}
+
+void ProcessLifecycle::request_spec(Timestamp now, const ProcessSpec& spec, Actions& actions) {
     if (is_shutting_down_)
         return;
-    if (spec == requested_spec_ && (change_status_ == ChangeStatus::in_progress || spec == active_spec_))
+    const bool is_handled = change_status_ == ChangeStatus::in_progress || spec == active_spec_;
+    if (spec == requested_spec_ && is_handled)
         return;
     requested_spec_ = spec;
-    begin_next_change(now, out);
+    begin_next_change(now, actions);
 }
 
 void ProcessLifecycle::finish_change(ChangeStatus status, const std::string& error) {
@@ -43,89 +44,110 @@
     step_deadline_ = Timestamp::max();
 }
 
-void ProcessLifecycle::fail_change(const std::string& error, std::vector<LifecycleAction>& out) {
+void ProcessLifecycle::fail_change(const std::string& error, Actions& actions) {
     finish_change(ChangeStatus::failed, error);
     if (requested_spec_ == pending_spec_)
         requested_spec_ = active_spec_;
-    // The file says again what is in force; what serves has never left it.
-    out.push_back({LifecycleAction::write_settings, 0, active_spec_});
+    // The current process still runs by the active spec; only the file has to name it again.
+    actions.push_back({LifecycleAction::Type::restore_settings, no_generation, active_spec_});
 }
 
-// Begins the next change, if there is one and it may.
-void ProcessLifecycle::begin_next_change(Timestamp now, std::vector<LifecycleAction>& out) {
-    if (is_shutting_down_ || successor_generation_ != 0 || is_reloading_)
+void ProcessLifecycle::begin_next_change(Timestamp now, Actions& actions) {
+    if (is_shutting_down_ || successor_generation_ != no_generation || is_reloading_)
         return;
     if (requested_spec_ == active_spec_) {
+        // The request was withdrawn before it began.
         if (change_status_ == ChangeStatus::in_progress)
-            finish_change(ChangeStatus::succeeded, "");  // it was taken back before it began
+            finish_change(ChangeStatus::succeeded, "");
         return;
     }
     change_status_ = ChangeStatus::in_progress;
     change_error_.clear();
+    // A change waits for a ready process: without one nothing would go on serving if the change failed.
     if (!is_current_ready_)
-        return;  // what serves has to be up: nothing could go on if the new one fails
+        return;
     pending_spec_ = requested_spec_;
-    if (requested_spec_.program != active_spec_.program)
-        return launch(now, successor_generation_, requested_spec_, out);
+    if (requested_spec_.program != active_spec_.program) {
+        successor_generation_ = launch(now, requested_spec_, actions);
+        return;
+    }
     is_reloading_ = true;
     step_deadline_ = now + policy_.reload_timeout;
-    out.push_back({LifecycleAction::write_settings, current_generation_, requested_spec_});
-}
-
-void ProcessLifecycle::on_ready(Timestamp now, Generation generation, std::vector<LifecycleAction>& out) {
-    if (generation == successor_generation_ && successor_generation_ != 0) {
-        if (current_generation_ != 0) {
-            draining_.push_back({current_generation_, now + policy_.drain_timeout});
-            out.push_back({LifecycleAction::hand_over, current_generation_, {}});
-        }
-        current_generation_ = std::exchange(successor_generation_, 0);
-        is_current_ready_ = true;
-        current_started_at_ = now;
-        consecutive_crashes_ = 0;
-        restart_at_ = Timestamp::max();
-        active_spec_ = pending_spec_;
-        finish_change(ChangeStatus::succeeded, "");
-        return begin_next_change(now, out);
+    actions.push_back({LifecycleAction::Type::reload_settings, current_generation_, requested_spec_});
+}
+
+void ProcessLifecycle::on_ready(Timestamp now, Generation generation, Actions& actions) {
+    if (generation == successor_generation_ && successor_generation_ != no_generation) {
+        replace_current(now, actions);
+        begin_next_change(now, actions);
+        return;
     }
     if (generation != current_generation_ || is_current_ready_)
         return;
     is_current_ready_ = true;
     step_deadline_ = Timestamp::max();
-    begin_next_change(now, out);
+    begin_next_change(now, actions);
 }
 
-void ProcessLifecycle::on_exited(Timestamp now, Generation generation, std::vector<LifecycleAction>& out) {
-    if (generation == 0)
+void ProcessLifecycle::replace_current(Timestamp now, Actions& actions) {
+    if (current_generation_ != no_generation) {
+        draining_.push_back({current_generation_, now + policy_.drain_timeout});
+        actions.push_back({LifecycleAction::Type::hand_over, current_generation_, {}});
+    }
+    current_generation_ = std::exchange(successor_generation_, no_generation);
+    is_current_ready_ = true;
+    current_started_at_ = now;
+    consecutive_crashes_ = 0;
+    restart_at_ = Timestamp::max();
+    active_spec_ = pending_spec_;
+    finish_change(ChangeStatus::succeeded, "");
+}
+
+void ProcessLifecycle::on_exited(Timestamp now, Generation generation, Actions& actions) {
+    if (generation == no_generation)
         return;
-    if (std::erase_if(draining_,
-                      [generation](const DrainingProcess& l) { return l.generation == generation; }) != 0)
+    const auto is_exited = [generation](const DrainingProcess& draining) {
+        return draining.generation == generation;
+    };
+    if (std::erase_if(draining_, is_exited) != 0)
         return;
     if (generation == successor_generation_) {
-        successor_generation_ = 0;
-        fail_change("the new program ended before it was ready", out);
-        return begin_next_change(now, out);
-    }
-    if (generation != current_generation_)
+        successor_generation_ = no_generation;
+        fail_change("the new program ended before it was ready", actions);
+        begin_next_change(now, actions);
         return;
-    current_generation_ = 0;
+    }
+    if (generation == current_generation_)
+        on_current_exited(now, actions);
+}
+
+void ProcessLifecycle::on_current_exited(Timestamp now, Actions& actions) {
+    current_generation_ = no_generation;
     const bool was_ready = std::exchange(is_current_ready_, false);
     if (is_shutting_down_)
         return;
-    crash_count_ += was_ready ? 1 : 0;
+    if (was_ready)
+        ++crash_count_;
     if (is_reloading_) {
         is_reloading_ = false;
-        fail_change("it ended while it read the settings", out);
+        fail_change("it ended while it read the settings", actions);
     }
-    consecutive_crashes_ =
-        now - current_started_at_ >= policy_.stable_uptime ? 0 : std::min(consecutive_crashes_ + 1, 16U);
-    if (successor_generation_ == 0)
+    if (now - current_started_at_ >= policy_.stable_uptime)
+        consecutive_crashes_ = 0;
+    else
+        consecutive_crashes_ = std::min(consecutive_crashes_ + 1, max_consecutive_crashes);
+    if (successor_generation_ == no_generation)
         step_deadline_ = Timestamp::max();
-    restart_at_ = now + std::min(policy_.max_backoff,
-                                 policy_.initial_backoff * (1U << std::min(consecutive_crashes_, 10U)));
+    restart_at_ = now + restart_backoff();
+}
+
+Duration ProcessLifecycle::restart_backoff() const {
+    const std::uint32_t doublings = std::min(consecutive_crashes_, max_backoff_doublings);
+    return std::min(policy_.max_backoff, policy_.initial_backoff * (1U << doublings));
 }
 
 void ProcessLifecycle::on_settings_applied(Timestamp now, bool accepted, const std::string& error,
-                                           std::vector<LifecycleAction>& out) {
+                                           Actions& actions) {
     if (!is_reloading_)
         return;
     is_reloading_ = false;
@@ -133,55 +155,83 @@
         active_spec_ = pending_spec_;
         finish_change(ChangeStatus::succeeded, "");
     } else {
-        fail_change(error, out);
+        fail_change(error, actions);
     }
-    begin_next_change(now, out);
+    begin_next_change(now, actions);
 }
 
 Timestamp ProcessLifecycle::next_deadline() const {
-    Timestamp at = successor_generation_ == 0 ? std::min(step_deadline_, restart_at_) : step_deadline_;
-    for (const DrainingProcess& l : draining_)
-        at = std::min(at, l.kill_at);
-    return at;
+    Timestamp deadline = step_deadline_;
+    // A crashed process is not restarted while its successor is starting.
+    if (successor_generation_ == no_generation)
+        deadline = std::min(deadline, restart_at_);
+    for (const DrainingProcess& draining : draining_)
+        deadline = std::min(deadline, draining.kill_at);
+    return deadline;
 }
 
-void ProcessLifecycle::on_timer(Timestamp now, std::vector<LifecycleAction>& out) {
-    for (DrainingProcess& l : draining_) {
-        if (l.kill_at > now)
-            continue;
-        out.push_back({LifecycleAction::kill, l.generation, {}});
-        l.kill_at = Timestamp::max();
-    }
-    if (restart_at_ <= now && current_generation_ == 0 && successor_generation_ == 0)
-        start_current(now, out);
+void ProcessLifecycle::on_timer(Timestamp now, Actions& actions) {
+    kill_overdue_draining(now, actions);
+    if (restart_at_ <= now && current_generation_ == no_generation && successor_generation_ == no_generation)
+        start_current(now, actions);
     if (step_deadline_ > now)
         return;
     step_deadline_ = Timestamp::max();
-    if (successor_generation_ != 0) {
-        out.push_back({LifecycleAction::kill, successor_generation_, {}});
-        // Its end is heard later: it is no longer the one to take over.
-        draining_.push_back({std::exchange(successor_generation_, 0), Timestamp::max()});
-        fail_change("the new program was not ready in time", out);
-        return begin_next_change(now, out);
+    if (successor_generation_ != no_generation) {
+        abandon_successor(now, actions);
+        return;
+    }
+    if (is_reloading_) {
+        on_settings_applied(now, false, "no word on whether the settings were taken", actions);
+        return;
+    }
+    // Its exit leads to a restart.
+    if (current_generation_ != no_generation && !is_current_ready_)
+        actions.push_back({LifecycleAction::Type::kill, current_generation_, {}});
+}
+
+void ProcessLifecycle::kill_overdue_draining(Timestamp now, Actions& actions) {
+    for (DrainingProcess& draining : draining_) {
+        if (draining.kill_at > now)
+            continue;
+        actions.push_back({LifecycleAction::Type::kill, draining.generation, {}});
+        draining.kill_at = Timestamp::max();
     }
-    if (is_reloading_)
-        return on_settings_applied(now, false, "no word on whether the settings were taken", out);
-    if (current_generation_ != 0 && !is_current_ready_)
-        out.push_back({LifecycleAction::kill, current_generation_, {}});  // its end starts it again
 }
 
-void ProcessLifecycle::shut_down(Timestamp now, std::vector<LifecycleAction>& out) {
+void ProcessLifecycle::abandon_successor(Timestamp now, Actions& actions) {
+    actions.push_back({LifecycleAction::Type::kill, successor_generation_, {}});
+    // Its exit is reported later, when it no longer is the successor.
+    draining_.push_back({std::exchange(successor_generation_, no_generation), Timestamp::max()});
+    fail_change("the new program was not ready in time", actions);
+    begin_next_change(now, actions);
+}
+
+void ProcessLifecycle::shut_down(Timestamp now, Actions& actions) {
     if (is_shutting_down_)
         return;
     is_shutting_down_ = true;
-    restart_at_ = step_deadline_ = Timestamp::max();
-    for (const Generation g : {current_generation_, successor_generation_})
-        if (g != 0)
-            out.push_back({LifecycleAction::leave, g, {}});
-    for (Generation* g : {&current_generation_, &successor_generation_})
-        if (*g != 0)
-            draining_.push_back({std::exchange(*g, 0), now + policy_.drain_timeout});
+    restart_at_ = Timestamp::max();
+    step_deadline_ = Timestamp::max();
+    for (Generation* generation : {&current_generation_, &successor_generation_}) {
+        if (*generation == no_generation)
+            continue;
+        actions.push_back({LifecycleAction::Type::terminate, *generation, {}});
+        draining_.push_back({std::exchange(*generation, no_generation), now + policy_.drain_timeout});
+    }
     is_current_ready_ = false;
 }
 
+void ProcessLifecycle::clear_change_status() {
+    if (change_status_ == ChangeStatus::in_progress)
+        return;
+    change_status_ = ChangeStatus::none;
+    change_error_.clear();
+}
+
+bool ProcessLifecycle::is_finished() const {
+    return is_shutting_down_ && current_generation_ == no_generation &&
+           successor_generation_ == no_generation && draining_.empty();
+}
+
 }  // namespace cressledge::supervisor
--- a/src/supervisor/supervisor.hpp
+++ b/src/supervisor/supervisor.hpp
@@ -1,69 +1,86 @@
-// Keeps processes of the program up on one machine: holds the sockets that callers know, starts each process with them,
-// hands them over to another program or other settings on command, and starts again what crashes. What decides is Life;
-// here are the sockets, the files, the child processes and the control address.
-//
-//   GET  /v1/processes          all of them: id, spec in force, change, starts, crashes, and where each says its figures
-//   POST /v1/processes/ID       {"roll", "program", "overlay"}: another spec; 202, or 409 under another roll's name
-//   POST /v1/roll               {"roll", "held": true|false}: takes this supervisor for a roll, or lets it go
+/// Keeps processes of the program up on one machine: holds the sockets that callers know, starts each process with
+/// them, replaces it by another program or gives it other settings on request, and restarts what crashes.
+/// `ProcessLifecycle` decides; here are the sockets, the files, the child processes and the admin address.
+///
+///   GET  /v1/processes          all of them: id, active spec, change, starts, crashes, and each one's admin address
+///   POST /v1/processes/ID       {"roll", "program", "overlay"}: another spec; 202, or 409 under another rollout's name
+///   POST /v1/roll               {"roll", "held": true|false}: takes or releases the lease of this supervisor
+///
+/// Invariant: only the rollout that holds the lease changes a process.
 #pragma once
 
-#include <uv.h>
-
-#include <map>
+#include <cstddef>
+#include <cstdint>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
 #include "admin/admin_server.hpp"
 #include "base/metric.hpp"
+#include "base/timer_queue.hpp"
 #include "connection_admission/file_descriptor_budget.hpp"
 #include "net/http_client.hpp"
 #include "net/loop.hpp"
 #include "supervisor/process_lifecycle.hpp"
+#include "supervisor/supervisor_settings.hpp"
 
 namespace cressledge::supervisor {
 
-struct ProcessSettings {
-    std::string id,
-        settings_file;  // the operator's file; what is in force is written beside it, as FILE.live
-    std::string program;
-};
-struct SupervisorSettings {
-    std::string admin_address;
-    std::vector<ProcessSettings> processes;
-    std::string log_directory;  // a folder; empty: they write where the supervisor does
-    SupervisionPolicy policy;
-};
+struct ExitStatus;
+struct SupervisedProcess;
+class SupervisorRequest;
 
+/// Supervises the processes of one settings file.
 class Supervisor final : public admin::AdminSource {
 public:
-    // Binds every socket; throws std::runtime_error or config::Invalid.
+    /// Binds every socket. Throws `std::runtime_error` where an address cannot be listened on, and
+    /// `config::ConfigError` for an operator's file that cannot be used.
     Supervisor(net::Loop& loop, base::TimerQueue& timers, const SupervisorSettings& settings);
+
+    /// Kills all processes and waits for their exits.
     ~Supervisor() override;
     Supervisor(const Supervisor&) = delete;
     Supervisor& operator=(const Supervisor&) = delete;
 
-    void start();  // the processes
-    void shut_down();  // SIGTERM to all; over() once they have ended
+    /// Starts the processes.
+    void start();
+
+    /// Has all processes drain and exit; `is_finished` tells when they have.
+    void shut_down();
     bool is_finished() const;
+
+    /// Port of the supervisor's own admin address.
     int port() const { return admin_server_.port(); }
-    std::string status_json();  // GET /v1/processes
 
+    /// Body of `GET /v1/processes`.
+    std::string status_json();
+
+    /// Whether every process serves.
     bool is_ready() override;
     void collect_metrics(base::Metrics& out) override;
     std::optional<Reply> handle_request(const std::string& method, const std::string& path,
                                         const std::string& body) override;
 
 private:
-    struct ChildProcess;
-    struct SupervisedProcess;
-    void execute(SupervisedProcess& process, const std::vector<LifecycleAction>& actions);
+    void execute(SupervisedProcess& process, const ProcessLifecycle::Actions& actions);
+    void execute(SupervisedProcess& process, const LifecycleAction& action);
     void spawn(SupervisedProcess& process, Generation generation, const ProcessSpec& spec);
-    void on_exited(SupervisedProcess& process, Generation generation, std::int64_t status, int signal);
-    void poll(SupervisedProcess&
-                  process);  // at what has been started and is not ready, and at settings that were told
+    void on_exited(SupervisedProcess& process, Generation generation, const ExitStatus& status);
+    void write_settings_or_log(const SupervisedProcess& process, const ProcessSpec& spec);
     void schedule_lifecycle_timer(SupervisedProcess& process);
-    bool write_live_settings(SupervisedProcess& process, const ProcessSpec& spec, std::string& error);
+
+    void poll(SupervisedProcess& process);
+    void schedule_poll(SupervisedProcess& process, Timestamp when);
+    void poll_readiness(SupervisedProcess& process, Generation generation);
+    void poll_reload(SupervisedProcess& process, Generation generation);
+    void on_reload_metrics(SupervisedProcess& process, Generation generation, const std::string& metrics);
+    void request_reload(SupervisedProcess& process, Generation generation,
+                        ProcessLifecycle::Actions& actions);
+
+    Reply dispatch(const std::string& method, const std::string& path, const std::string& body);
+    Reply change_lease(const SupervisorRequest& request);
+    Reply change_spec(SupervisedProcess& process, const SupervisorRequest& request);
     SupervisedProcess* find_process(const std::string& id);
 
     net::Loop& loop_;
@@ -72,8 +89,10 @@
     connection_admission::FileDescriptorBudget descriptors_;
     net::HttpClient http_client_;
     std::vector<std::unique_ptr<SupervisedProcess>> processes_;
+    /// Child processes whose handles have not been closed.
     std::size_t child_count_ = 0;
-    std::string lease_holder_;  // the roll that holds this supervisor; empty: none
+    /// Name of the rollout that holds the lease; empty: none.
+    std::string lease_holder_;
     admin::AdminServer admin_server_;
 };
 
--- a/src/supervisor/supervisor_settings.cpp
+++ b/src/supervisor/supervisor_settings.cpp
@@ -1,47 +1,72 @@
+#include "supervisor/supervisor_settings.hpp"
+
 #include <set>
 
 #include "config/node.hpp"
 #include "config/reader.hpp"
-#include "config/supervise.hpp"
 
-namespace cressledge::config {
+namespace cressledge::supervisor {
 namespace {
 
-std::string beside(const std::string& path, const std::string& name) {
-    return name.empty() || name.front() == '/' ? name : path.substr(0, path.rfind('/') + 1) + name;
+std::string resolve_beside(const std::string& file, const std::string& name) {
+    if (name.empty() || name.front() == '/')
+        return name;
+    return file.substr(0, file.rfind('/') + 1) + name;
 }
 
-supervisor::SupervisorSettings read(const std::string& path, const YAML::Node& doc) {
-    const YamlReader reader(path);
-    reader.require_known_keys(
-        doc, "file", {"control", "program", "logs", "processes", "ready_ms", "drained_ms", "back_off_ms"});
-    supervisor::SupervisorSettings s;
-    s.admin_address = reader.address(doc, "control");
-    if (s.admin_address.empty())
-        reader.fail(doc, "control", "missing");
-    const std::string program = reader.text(doc, "program");
-    s.log_directory = beside(path, reader.text(doc, "logs", ""));
-    s.policy.ready_timeout = reader.duration_ms(doc, "ready_ms", 100.0, 10'000.0);
-    s.policy.drain_timeout = reader.duration_ms(doc, "drained_ms", 100.0, 10'000.0);
-    s.policy.initial_backoff = reader.duration_ms(doc, "back_off_ms", 10.0, 200.0);
-    const YAML::Node all = doc["processes"];
-    if (!all || !all.IsSequence() || all.size() == 0)
-        reader.fail(all ? all : doc, "processes", "no list");
+void read_policy(const config::YamlReader& reader, const YAML::Node& document, SupervisionPolicy& policy) {
+    policy.ready_timeout = reader.duration_ms(document, "ready_ms", 100.0, 10'000.0);
+    policy.drain_timeout = reader.duration_ms(document, "drained_ms", 100.0, 10'000.0);
+    policy.initial_backoff = reader.duration_ms(document, "back_off_ms", 10.0, 200.0);
+}
+
+std::vector<ProcessSettings> read_processes(const config::YamlReader& reader, const std::string& path,
+                                            const YAML::Node& document, const std::string& default_program) {
+    const YAML::Node list = document["processes"];
+    if (!list || !list.IsSequence() || list.size() == 0)
+        reader.fail(list ? list : document, "processes", "no list");
+    std::vector<ProcessSettings> processes;
     std::set<std::string> ids;
-    for (const auto& p : all) {
-        reader.require_known_keys(p, "processes", {"id", "file", "program"});
-        s.processes.push_back({reader.text(p, "id"), beside(path, reader.text(p, "file")),
-                               reader.text(p, "program", program.c_str())});
-        if (!ids.insert(s.processes.back().id).second)
-            reader.fail(p["id"], "id", "a duplicate: " + s.processes.back().id);
+    for (const auto& entry : list) {
+        reader.require_known_keys(entry, "processes", {"id", "file", "program"});
+        const std::string id = reader.text(entry, "id");
+        const std::string settings_file = resolve_beside(path, reader.text(entry, "file"));
+        const std::string program = reader.text(entry, "program", default_program.c_str());
+        if (!ids.insert(id).second)
+            reader.fail(entry["id"], "id", "a duplicate: " + id);
+        processes.push_back({id, settings_file, program});
     }
-    return s;
+    return processes;
+}
+
+SupervisorSettings read_settings(const std::string& path, const YAML::Node& document) {
+    const config::YamlReader reader(path);
+    reader.require_known_keys(
+        document, "file",
+        {"control", "program", "logs", "processes", "ready_ms", "drained_ms", "back_off_ms"});
+    SupervisorSettings settings;
+    settings.admin_address = reader.address(document, "control");
+    if (settings.admin_address.empty())
+        reader.fail(document, "control", "missing");
+    const std::string default_program = reader.text(document, "program");
+    settings.log_directory = resolve_beside(path, reader.text(document, "logs", ""));
+    read_policy(reader, document, settings.policy);
+    settings.processes = read_processes(reader, path, document, default_program);
+    return settings;
 }
 
 }  // namespace
 
+SupervisorSettings load_supervisor_settings(const std::string& path) {
+    return config::load_yaml(path, read_settings);
+}
+
+}  // namespace cressledge::supervisor
+
+namespace cressledge::config {
+
 supervisor::SupervisorSettings load_supervisor(const std::string& path) {
-    return load_yaml(path, read);
+    return supervisor::load_supervisor_settings(path);
 }
 
 }  // namespace cressledge::config
--- /dev/null
+++ b/tests/cressledge/process_lifecycle_test.cpp
@@ -0,0 +1,121 @@
+/// The lifecycle of one supervised process, event by event.
+#include "supervisor/process_lifecycle.hpp"
+
+#include <string>
+#include <vector>
+
+#include "rollout_fixture.hpp"
+
+namespace {
+
+using namespace cressledge::testing;
+using supervisor::ChangeStatus, supervisor::LifecycleAction, supervisor::ProcessLifecycle;
+
+const char* word(LifecycleAction::Type type) {
+    switch (type) {
+        case LifecycleAction::Type::start:
+            return "start";
+        case LifecycleAction::Type::reload_settings:
+            return "reload";
+        case LifecycleAction::Type::restore_settings:
+            return "restore";
+        case LifecycleAction::Type::hand_over:
+            return "hand-over";
+        case LifecycleAction::Type::terminate:
+            return "terminate";
+        case LifecycleAction::Type::kill:
+            return "kill";
+    }
+    return "";
+}
+
+struct LifecycleFixture {
+    /// The actions since the last call, each as "TYPE GENERATION SPEC;".
+    std::string take_actions() {
+        std::string text;
+        for (const LifecycleAction& action : actions)
+            text += std::string(word(action.type)) + ' ' + std::to_string(action.generation) + ' ' +
+                    action.spec.program + action.spec.overlay + ';';
+        actions.clear();
+        return text;
+    }
+
+    ProcessLifecycle lifecycle{{"old", ""}, {}};
+    ProcessLifecycle::Actions actions;
+};
+
+}  // namespace
+
+TEST_CASE(
+    "process lifecycle: another program takes over once it is ready, and the old one goes on where it is "
+    "not") {
+    LifecycleFixture fixture;
+    fixture.lifecycle.start_current(seconds(0), fixture.actions);
+    CHECK(fixture.take_actions() == "start 1 old;");
+    fixture.lifecycle.request_spec(seconds(0), {"new", ""}, fixture.actions);
+    CHECK(fixture.take_actions().empty());  // no process is ready that could go on if the change failed
+    fixture.lifecycle.on_ready(seconds(1), 1, fixture.actions);
+    CHECK(fixture.take_actions() == "start 2 new;");
+    CHECK((fixture.lifecycle.serving_generation() == 1 &&
+           fixture.lifecycle.change_status() == ChangeStatus::in_progress));
+    fixture.lifecycle.on_ready(seconds(2), 2, fixture.actions);
+    CHECK(fixture.take_actions() == "hand-over 1 ;");
+    CHECK((fixture.lifecycle.serving_generation() == 2 && fixture.lifecycle.active_spec().program == "new" &&
+           fixture.lifecycle.change_status() == ChangeStatus::succeeded));
+    fixture.lifecycle.on_exited(seconds(4), 1, fixture.actions);  // after it has drained
+    CHECK((fixture.take_actions().empty() && fixture.lifecycle.crash_count() == 0));
+    fixture.lifecycle.request_spec(seconds(5), {"bad", ""}, fixture.actions);
+    fixture.actions.clear();
+    fixture.lifecycle.on_exited(seconds(5.1), 3, fixture.actions);
+    CHECK(fixture.take_actions() == "restore 0 new;");
+    CHECK((fixture.lifecycle.serving_generation() == 2 &&
+           fixture.lifecycle.change_status() == ChangeStatus::failed &&
+           fixture.lifecycle.requested_spec().program == "new"));
+    fixture.lifecycle.request_spec(seconds(6), {"slow", ""}, fixture.actions);
+    fixture.actions.clear();
+    CHECK(fixture.lifecycle.next_deadline() == seconds(16));
+    fixture.lifecycle.on_timer(seconds(16), fixture.actions);
+    CHECK(fixture.take_actions() == "kill 4 ;restore 0 new;");
+    fixture.lifecycle.on_exited(seconds(16.1), 4, fixture.actions);
+    CHECK((fixture.lifecycle.serving_generation() == 2 && fixture.lifecycle.crash_count() == 0));
+    fixture.lifecycle.request_spec(seconds(17), {"other", ""}, fixture.actions);
+    fixture.actions.clear();
+    fixture.lifecycle.request_spec(seconds(17.1), {"new", ""},
+                                   fixture.actions);  // withdrawn while its process starts
+    fixture.lifecycle.on_ready(seconds(18), 5, fixture.actions);
+    CHECK(fixture.take_actions() == "hand-over 2 ;start 6 new;");
+}
+
+TEST_CASE(
+    "process lifecycle: crashes are restarted with growing backoff, and settings are applied or restored") {
+    LifecycleFixture fixture;
+    fixture.lifecycle.start_current(seconds(0), fixture.actions);
+    fixture.lifecycle.on_ready(seconds(1), 1, fixture.actions);
+    fixture.actions.clear();
+    fixture.lifecycle.request_spec(seconds(2), {"old", "a: 1"}, fixture.actions);
+    CHECK(fixture.take_actions() == "reload 1 olda: 1;");
+    fixture.lifecycle.on_settings_applied(seconds(2.5), false, "line 3", fixture.actions);
+    CHECK(fixture.take_actions() == "restore 0 old;");
+    CHECK((fixture.lifecycle.change_status() == ChangeStatus::failed &&
+           fixture.lifecycle.change_error() == "line 3" && fixture.lifecycle.active_spec().overlay.empty()));
+    fixture.lifecycle.request_spec(seconds(3), {"old", "a: 2"}, fixture.actions);
+    fixture.lifecycle.on_settings_applied(seconds(3.5), true, "", fixture.actions);
+    fixture.actions.clear();
+    CHECK(fixture.lifecycle.active_spec().overlay == "a: 2");
+    Duration backoff{0};
+    for (std::uint64_t generation = 1; generation <= 3; ++generation) {
+        const double at = 10.0 * static_cast<double>(generation);
+        fixture.lifecycle.on_exited(seconds(at), generation, fixture.actions);
+        CHECK(fixture.lifecycle.serving_generation() == 0);
+        CHECK(fixture.lifecycle.next_deadline() - seconds(at) > backoff);
+        backoff = fixture.lifecycle.next_deadline() - seconds(at);
+        fixture.lifecycle.on_timer(fixture.lifecycle.next_deadline(), fixture.actions);
+        CHECK(fixture.take_actions() == "start " + std::to_string(generation + 1) + " olda: 2;");
+        fixture.lifecycle.on_ready(seconds(at + 2), generation + 1, fixture.actions);
+    }
+    CHECK((fixture.lifecycle.crash_count() == 3 && fixture.lifecycle.start_count() == 4));
+    fixture.lifecycle.shut_down(seconds(50), fixture.actions);
+    CHECK(fixture.take_actions() == "terminate 4 ;");
+    fixture.lifecycle.on_exited(seconds(51), 4, fixture.actions);
+    CHECK((fixture.lifecycle.is_finished() && fixture.lifecycle.crash_count() == 3));
+}
