--- a/src/frontend/connection_admitter.cpp
+++ b/src/frontend/connection_admitter.cpp
@@ -14,8 +14,22 @@
 
 namespace {
 
+/// A descriptor that the system had refused becomes free without notice.
 constexpr base::Duration backlog_retry_interval{50'000};
 
+/// The non-zero counts with their reasons, each behind a space; " none" where all are zero.
+template <class Counts>
+std::string format_rejections(const Counts& counts) {
+    std::string text;
+    for (std::size_t i = 0; i < connection_admission::rejection_reason_count; ++i) {
+        if (counts[i] == 0)
+            continue;
+        const auto reason = static_cast<connection_admission::RejectionReason>(i);
+        text.append(" ").append(to_string(reason)).append(" ").append(std::to_string(counts[i]));
+    }
+    return text.empty() ? " none" : text;
+}
+
 }  // namespace
 
 ConnectionAdmitter::ConnectionAdmitter(base::TimerQueue& timers, request::RequestManager& server,
@@ -24,7 +38,7 @@
     : timers_(timers), server_(server), descriptors_(descriptors), limiter_(std::move(settings), seed) {
     descriptors_.on_exhausted([this] { return shed_idle_connection(); });
     descriptors_.on_released([this] {
-        if (backlog_waiting_)
+        if (is_backlog_waiting_)
             schedule_backlog_retry(base::Timestamp(0));
     });
 }
@@ -41,8 +55,8 @@
 }
 
 void ConnectionAdmitter::evict(const connection_admission::ConnectionLimiter::ConnectionRef& connection) {
-    if (Frontend* f = frontends_[connection.listener_index]; f != nullptr)
-        f->evict(connection.connection_id);
+    if (Frontend* frontend = frontends_[connection.listener_index]; frontend != nullptr)
+        frontend->evict(connection.connection_id);
 }
 
 bool ConnectionAdmitter::shed_idle_connection() {
@@ -59,8 +73,8 @@
         lease = descriptors_.try_acquire(now, DescriptorPurpose::frontend);
     if (lease)
         return lease;
-    // One of ours that is given back wakes it sooner. One that the system had refused comes back unsaid.
-    backlog_waiting_ = true;
+    // A release of one of our own descriptors wakes the backlog sooner.
+    is_backlog_waiting_ = true;
     if (backlog_retry_ == 0)
         schedule_backlog_retry(now + backlog_retry_interval);
     std::uint64_t suppressed = 0;
@@ -70,25 +84,25 @@
     return lease;
 }
 
-void ConnectionAdmitter::schedule_backlog_retry(base::Timestamp when) {
+void ConnectionAdmitter::schedule_backlog_retry(base::Timestamp due) {
     timers_.cancel(backlog_retry_);
-    backlog_retry_ = timers_.schedule(when, [this] {
+    backlog_retry_ = timers_.schedule(due, [this] {
         backlog_retry_ = 0;
-        backlog_waiting_ = false;
-        for (Frontend* f : frontends_)
-            if (f != nullptr)
-                f->resume_accepting();
+        is_backlog_waiting_ = false;
+        for (Frontend* frontend : frontends_)
+            if (frontend != nullptr)
+                frontend->resume_accepting();
     });
 }
 
 connection_admission::ConnectionLimiter::ConnectionDecision ConnectionAdmitter::admit(
     std::uint32_t listener_index, base::SlotId session_id, const connection_admission::IpAddress& ip) {
-    const auto admission = limiter_.admit_connection(server_.now(), ip, listener_index, session_id);
-    if (admission.evicted)
-        evict(*admission.evicted);
-    if (admission.rejected && admission.should_log)
-        log_rejection(admission.reason, ip);
-    return admission;
+    const auto decision = limiter_.admit_connection(server_.now(), ip, listener_index, session_id);
+    if (decision.evicted)
+        evict(*decision.evicted);
+    if (decision.rejected && decision.should_log)
+        log_rejection(decision.reason, ip);
+    return decision;
 }
 
 void ConnectionAdmitter::on_request_rejected(
@@ -101,8 +115,8 @@
 void ConnectionAdmitter::log_rejection(connection_admission::RejectionReason reason,
                                        const connection_admission::IpAddress& ip) {
     std::uint64_t total_rejections = 0;
-    for (const std::uint64_t n : limiter_.rejections())
-        total_rejections += n;
+    for (const std::uint64_t count : limiter_.rejections())
+        total_rejections += count;
     spdlog::info("admission: refused {}: {}; {} refusals since the last line", ip.to_string(),
                  to_string(reason), total_rejections - std::exchange(rejections_logged_, total_rejections));
 }
@@ -122,43 +136,52 @@
 }
 
 void ConnectionAdmitter::log_report(std::size_t max_sources) {
-    const auto tally = [](const auto& counts) {
-        std::string text;
-        for (std::size_t r = 0; r < connection_admission::rejection_reason_count; ++r)
-            if (counts[r] != 0)
-                text += std::string(" ") + to_string(static_cast<connection_admission::RejectionReason>(r)) +
-                        ' ' + std::to_string(counts[r]);
-        return text.empty() ? std::string(" none") : text;
-    };
+    log_connections();
+    log_descriptors();
+    log_sources(max_sources);
+}
+
+void ConnectionAdmitter::log_connections() const {
     const connection_admission::Settings& settings = limiter_.settings();
     spdlog::info(
-        "admission: {} of {} connections, {} in the lobby, {} requests in hand outside the reserves, "
-        "{} sources known, {} connections let go, refused:{}",
+        "admission: {} of {} connections, {} in the lobby, {} requests in hand outside the reserves, {} "
+        "sources known, {} connections let go, refused:{}",
         limiter_.open_connections(), settings.max_connections, limiter_.rejection_slots_in_use(),
         limiter_.shared_in_flight_requests(), limiter_.tracked_source_count(), limiter_.evicted_connections(),
-        tally(limiter_.rejections()));
-    for (std::size_t g = 1; g <= settings.groups.size(); ++g)
+        format_rejections(limiter_.rejections()));
+    // Group 0 has the sources that are not listed.
+    for (std::size_t i = 1; i <= settings.groups.size(); ++i) {
+        const connection_admission::ClientGroup& group = settings.groups[i - 1];
+        const auto usage = limiter_.group_usage(i);
         spdlog::info("admission: group {}: {} of {} reserved connections, {} of {} reserved requests",
-                     settings.groups[g - 1].name, limiter_.group_usage(g).open_connections,
-                     settings.groups[g - 1].reserved_connections, limiter_.group_usage(g).in_flight_requests,
-                     settings.groups[g - 1].reserved_requests);
-    std::string purpose_usage;
-    for (std::size_t p = 0; p < connection_admission::descriptor_purpose_count; ++p) {
-        const auto purpose = static_cast<DescriptorPurpose>(p);
-        purpose_usage += std::string(p == 0 ? "" : ", ") + to_string(purpose) + ' ' +
-                         std::to_string(descriptors_.used(purpose)) + " (" +
-                         std::to_string(descriptors_.denied(purpose)) + " denied)";
+                     group.name, usage.open_connections, group.reserved_connections, usage.in_flight_requests,
+                     group.reserved_requests);
+    }
+}
+
+void ConnectionAdmitter::log_descriptors() const {
+    std::string usage_by_purpose;
+    for (std::size_t i = 0; i < connection_admission::descriptor_purpose_count; ++i) {
+        const auto purpose = static_cast<DescriptorPurpose>(i);
+        usage_by_purpose.append(i == 0 ? "" : ", ").append(to_string(purpose)).append(" ");
+        usage_by_purpose.append(std::to_string(descriptors_.used(purpose))).append(" (");
+        usage_by_purpose.append(std::to_string(descriptors_.denied(purpose))).append(" denied)");
     }
     spdlog::info(
         "admission: {} of {} descriptors: {}; {} connections closed for one, {} refused by the system",
-        descriptors_.used(), descriptors_.limit(), purpose_usage, descriptors_.evicted_connections(),
+        descriptors_.used(), descriptors_.limit(), usage_by_purpose, descriptors_.evicted_connections(),
         descriptors_.system_exhaustions());
-    for (const auto& row : limiter_.top_rejected_sources(max_sources))
-        spdlog::info("admission: source {}{}: open {}, in hand {}, let go {}, refused:{}", row.source,
-                     row.group.empty() ? "" : " of " + row.group, row.open_connections,
-                     row.in_flight_requests, row.evicted_connections, tally(row.rejections));
+}
+
+void ConnectionAdmitter::log_sources(std::size_t max_sources) const {
+    for (const auto& report : limiter_.top_rejected_sources(max_sources)) {
+        const std::string group = report.group.empty() ? "" : " of " + report.group;
+        spdlog::info("admission: source {}{}: open {}, in hand {}, let go {}, refused:{}", report.source,
+                     group, report.open_connections, report.in_flight_requests, report.evicted_connections,
+                     format_rejections(report.rejections));
+    }
     spdlog::info("admission: sources not known any more: refused:{}",
-                 tally(limiter_.rejections_of_evicted_sources()));
+                 format_rejections(limiter_.rejections_of_evicted_sources()));
 }
 
 }  // namespace cressledge::frontend
--- a/src/frontend/connection_admitter.hpp
+++ b/src/frontend/connection_admitter.hpp
@@ -1,7 +1,10 @@
-// The I/O beside the gate and the descriptor budget: closes whom they tell to go, lets the backlog wait and wakes it,
-// and writes what an operator reads. It decides nothing.
+/// The I/O beside the connection limiter and the file descriptor budget, over all frontends of a process.
+///
+/// Closes the connections that they evict, lets the backlog wait for a descriptor and wakes it, and writes the report for
+/// operators. It decides nothing. Frontends are destroyed before it.
 #pragma once
 
+#include <cstdint>
 #include <vector>
 
 #include "base/log_rate_limiter.hpp"
@@ -22,30 +25,39 @@
     ConnectionAdmitter(const ConnectionAdmitter&) = delete;
     ConnectionAdmitter& operator=(const ConnectionAdmitter&) = delete;
 
-    std::uint32_t register_frontend(Frontend& frontend);  // its door; fronts go before their porter does
+    /// Returns the listener index by which the connections of `frontend` are known to the limiter.
+    std::uint32_t register_frontend(Frontend& frontend);
     void unregister_frontend(std::uint32_t listener_index) { frontends_[listener_index] = nullptr; }
 
-    // For one that has come to this door: empty if it has to wait in the backlog.
+    /// A descriptor for a new connection. Empty: it has to wait in the backlog, which is looked at again later.
     connection_admission::FileDescriptorBudget::Lease acquire_descriptor();
+    /// Asks the limiter for a slot, and evicts the connection that it is taken from.
     connection_admission::ConnectionLimiter::ConnectionDecision admit(
         std::uint32_t listener_index, base::SlotId session_id, const connection_admission::IpAddress& ip);
+    /// Logs the rejection of a request, at the rate that the limiter allows.
     void on_request_rejected(const connection_admission::ConnectionLimiter::RequestDecision& decision,
                              connection_admission::ConnectionSlotId slot);
-    void on_descriptors_exhausted(
-        int accept_error);  // the system had no descriptor for one that came; it waits in the backlog
+    /// The system had no descriptor for a new connection, which waits in the backlog. `accept_error`: libuv's code.
+    void on_descriptors_exhausted(int accept_error);
 
+    /// Takes new settings. Open connections stay open.
     void reload(connection_admission::Settings settings);
-    void log_report(
-        std::size_t max_sources);  // to the log: the table, the descriptors, and who was refused most
+    /// Logs the connection table, the descriptors and the sources that were rejected most.
+    void log_report(std::size_t max_sources);
+
     connection_admission::ConnectionLimiter& limiter() { return limiter_; }
     connection_admission::FileDescriptorBudget& descriptors() { return descriptors_; }
 
 private:
     bool shed_idle_connection();
-    void schedule_backlog_retry(base::Timestamp when);  // every front looks at its backlog again then
+    /// Has every frontend look at its backlog again.
+    void schedule_backlog_retry(base::Timestamp due);
     void evict(const connection_admission::ConnectionLimiter::ConnectionRef& connection);
     void log_rejection(connection_admission::RejectionReason reason,
                        const connection_admission::IpAddress& ip);
+    void log_connections() const;
+    void log_descriptors() const;
+    void log_sources(std::size_t max_sources) const;
 
     base::TimerQueue& timers_;
     request::RequestManager& server_;
@@ -53,7 +65,8 @@
     connection_admission::ConnectionLimiter limiter_;
     std::vector<Frontend*> frontends_;
     base::TimerQueue::Handle backlog_retry_ = 0;
-    bool backlog_waiting_ = false;  // somebody waits there for a descriptor
+    /// A connection waits in a backlog for a descriptor.
+    bool is_backlog_waiting_ = false;
     std::uint64_t rejections_logged_ = 0;
     base::LogRateLimiter exhaustion_log_limiter_;
 };
--- a/src/frontend/http/http_session.hpp
+++ b/src/frontend/http/http_session.hpp
@@ -1,43 +1,45 @@
-// The platform's protocol for callers: HTTP/1.1 on http-parser. Parses, hands over, formats.
+/// The platform's protocol for callers: HTTP/1.1 with the platform's header fields.
+///
+/// Owns the parser of the connection. Maps paths to request classes and responses to status codes; decides nothing.
 #pragma once
 
-#include <http_parser.h>
-
 #include <string>
+#include <string_view>
 
-#include "frontend/frontend.hpp"
+#include "frontend/http/request_parser.hpp"
 #include "frontend/request_fields.hpp"
+#include "frontend/session.hpp"
 
 namespace cressledge::frontend::http {
 
 class HttpSession final : public Session {
 public:
+    /// Without `defaults` every required field has to be in the request.
     explicit HttpSession(Frontend& frontend, FieldDefaults* defaults = nullptr);
 
 protected:
     std::size_t parse(std::string_view bytes) override;
-    bool has_partial_request() const override { return message_started_; }
-    std::string format_response(const request::Response& answer, bool close) override;
+    bool has_partial_request() const override { return parser_.has_started(); }
+    std::string format_response(const request::Response& response, bool close) override;
     std::string format_health_response(bool is_healthy, bool close) override;
     std::string format_timeout_response() override;
-    bool keep_alive() const override { return keep_alive_; }
+    bool keep_alive() const override { return parser_.keep_alive(); }
 
 private:
-    struct ParserCallbacks;
-    void reset_parser();
-    void finish_header_field();
+    /// What the session says of a request that it does not accept.
+    struct Rejection {
+        int status;
+        const char* reason;
+    };
+
     void handle_request();
-    void reject(int status, const char* reason, bool close = true);
+    void handle_health_check();
+    void handle_class_request();
+    void log_invalid_field(const InvalidField& invalid);
+    void reject(const Rejection& rejection, bool close);
 
-    http_parser parser_{};
-    std::string url_, field_name_, field_value_, body_;
-    RequestFields fields_;
     FieldDefaults* const defaults_;
-    std::size_t head_bytes_ = 0, wire_bytes_ = 0;
-    int content_length_count_ = 0, transfer_encoding_count_ = 0;  // fields that say where the body ends
-    bool headers_complete_ = false, ambiguous_framing_ = false, message_started_ = false,
-         in_field_value_ = false, expects_continue_ = false, head_too_large_ = false, body_too_large_ = false;
-    bool message_complete_ = false, keep_alive_ = true;
+    RequestParser parser_;
 };
 
 }  // namespace cressledge::frontend::http
--- a/src/frontend/request_fields.cpp
+++ b/src/frontend/request_fields.cpp
@@ -8,32 +8,53 @@
 namespace cressledge::frontend {
 namespace {
 
+constexpr std::size_t max_token_length = 128;
+constexpr std::size_t hex_id_length = 16;
+/// Upper ends of the ranges that the platform's protocol gives.
+constexpr std::int64_t max_unix_ms = 100'000'000'000'000;
+constexpr double expected_ms_limit = 1e9;
+constexpr double max_wait_ms_limit = 1e10;
+constexpr double reserved_kb_limit = 2000.0;
+
 template <class T>
 bool parse_number(const std::string& text, T& value) {
     const char* end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, value);
     return !text.empty() && error == std::errc() && stop == end;
 }
+
 bool parse_in_range(const std::string& text, double min, double limit, double& value) {
     return parse_number(text, value) && std::isfinite(value) && value >= min && value < limit;
 }
-// Any word that a caller may have made up; it is compared, never read.
+
+/// A token of the caller's own making: printable ASCII, compared and never interpreted.
 bool is_opaque_token(const std::string& text) {
-    return !text.empty() && text.size() <= 128 &&
+    return !text.empty() && text.size() <= max_token_length &&
            std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < '\x7f'; });
 }
+
 bool parse_flag(const std::string& text, bool& value) {
     value = text == "1" || text == "true";
     return value || text == "0" || text == "false";
 }
-bool is_hex16(const std::string& text) {
-    return text.size() == 16 && text.find_first_not_of("0123456789abcdefABCDEF") == std::string::npos;
+
+bool is_hex_id(const std::string& text) {
+    return text.size() == hex_id_length &&
+           text.find_first_not_of("0123456789abcdefABCDEF") == std::string::npos;
+}
+
+bool parse_unix_ms(const std::string& text, std::int64_t& value) {
+    return parse_number(text, value) && value > 0 && value <= max_unix_ms;
+}
+
+bool parse_reserved_kb(const std::string& text, double& value) {
+    return parse_in_range(text, 0.0, reserved_kb_limit, value) && value > 0.0;
 }
 
 }  // namespace
 
 std::string FieldDefaults::next_request_id() {
-    char text[17];
+    char text[hex_id_length + 1];
     std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(random_()));
     return text;
 }
@@ -51,55 +72,65 @@
     }
 }
 
-bool RequestFields::apply_to(request::IncomingRequest& arrival, FieldDefaults* defaults,
-                             request::RequestManager& server, const char*& invalid_field) const {
-    const auto bad = [&](const char* name) {
-        invalid_field = name;
-        return false;
-    };
-    const auto uses_default = [&](Field f) { return defaults != nullptr && !present_[f]; };
-    if (has_duplicate_)
-        return bad("a field that came twice");
-    if (!uses_default(trace_id) && !is_hex16(values_[trace_id]))
-        return bad("Trace-Id");
-    std::int64_t ms = 0;
-    if (!uses_default(accepted_at) &&
-        (!parse_number(values_[accepted_at], ms) || ms <= 0 || ms > 100'000'000'000'000))
-        return bad("Accepted-At-Ms");
-    if (present_[client_number] && !parse_number(values_[client_number], arrival.caller_id))
-        return bad("Client-No");
-    double hint_ms = 0.0;
-    if (present_[expected_duration] && !parse_in_range(values_[expected_duration], 0.0, 1e9, hint_ms))
-        return bad("Expected-Ms");
-    if (!uses_default(reserved_memory) &&
-        (!parse_in_range(values_[reserved_memory], 0.0, 2000.0, arrival.reserved_kb) ||
-         arrival.reserved_kb <= 0.0))
-        return bad("Reserve-Kb");
-    if (present_[standing] && !parse_in_range(values_[standing], 0.0, 1.0, arrival.rank))
-        return bad("Standing");
-    if (present_[lookup_key] && !is_hex16(values_[lookup_key]))
-        return bad("Lookup-Key");
+std::optional<InvalidField> RequestFields::parse_work_fields(request::IncomingRequest& incoming,
+                                                             bool has_defaults, ParsedTimes& times) const {
+    const auto uses_default = [&](Field field) { return has_defaults && !present_[field]; };
+    if (!uses_default(trace_id) && !is_hex_id(values_[trace_id]))
+        return InvalidField{"Trace-Id"};
+    if (!uses_default(accepted_at) && !parse_unix_ms(values_[accepted_at], times.accepted_at_ms))
+        return InvalidField{"Accepted-At-Ms"};
+    if (present_[client_number] && !parse_number(values_[client_number], incoming.caller_id))
+        return InvalidField{"Client-No"};
+    if (present_[expected_duration] &&
+        !parse_in_range(values_[expected_duration], 0.0, expected_ms_limit, times.expected_ms))
+        return InvalidField{"Expected-Ms"};
+    if (!uses_default(reserved_memory) && !parse_reserved_kb(values_[reserved_memory], incoming.reserved_kb))
+        return InvalidField{"Reserve-Kb"};
+    return std::nullopt;
+}
+
+std::optional<InvalidField> RequestFields::parse_handling_fields(request::IncomingRequest& incoming,
+                                                                 ParsedTimes& times) const {
+    if (present_[standing] && !parse_in_range(values_[standing], 0.0, 1.0, incoming.rank))
+        return InvalidField{"Standing"};
+    if (present_[lookup_key] && !is_hex_id(values_[lookup_key]))
+        return InvalidField{"Lookup-Key"};
     if (present_[idempotency_key] && !is_opaque_token(values_[idempotency_key]))
-        return bad("Replay-Key");
-    double wait_ms = 0.0;
-    if (present_[max_wait] && !parse_in_range(values_[max_wait], 0.0, 1e10, wait_ms))
-        return bad("Max-Wait-Ms");
-    if (present_[is_retry] && !parse_flag(values_[is_retry], arrival.is_retry))
-        return bad("Is-Retry");
+        return InvalidField{"Replay-Key"};
+    if (present_[max_wait] && !parse_in_range(values_[max_wait], 0.0, max_wait_ms_limit, times.max_wait_ms))
+        return InvalidField{"Max-Wait-Ms"};
+    if (present_[is_retry] && !parse_flag(values_[is_retry], incoming.is_retry))
+        return InvalidField{"Is-Retry"};
+    return std::nullopt;
+}
+
+std::optional<InvalidField> RequestFields::apply_to(request::IncomingRequest& incoming,
+                                                    FieldDefaults* defaults,
+                                                    request::RequestManager& server) const {
+    if (has_duplicate_)
+        return InvalidField{"a field that came twice"};
+    ParsedTimes times;
+    if (const auto invalid = parse_work_fields(incoming, defaults != nullptr, times))
+        return invalid;
+    if (const auto invalid = parse_handling_fields(incoming, times))
+        return invalid;
+    const auto uses_default = [&](Field field) { return defaults != nullptr && !present_[field]; };
     if (present_[tenant])
-        arrival.tenant_index = server.tenant_index_of(values_[tenant]);
+        incoming.tenant_index = server.tenant_index_of(values_[tenant]);
     if (present_[max_wait])
-        arrival.max_wait = base::Duration(std::llround(wait_ms * 1000.0));
-    arrival.external_id = uses_default(trace_id) ? defaults->next_request_id() : values_[trace_id];
-    arrival.accepted_at = uses_default(accepted_at) ? server.now() : base::Timestamp(ms * 1000);
+        incoming.max_wait = base::Duration(std::llround(times.max_wait_ms * 1000.0));
+    incoming.external_id = uses_default(trace_id) ? defaults->next_request_id() : values_[trace_id];
+    incoming.accepted_at =
+        uses_default(accepted_at) ? server.now() : base::Timestamp(times.accepted_at_ms * 1000);
     if (uses_default(reserved_memory))
-        arrival.reserved_kb = defaults->reserved_kb();
-    // What may run once in its window is known by its idempotency key; what a read is about says nothing of that.
+        incoming.reserved_kb = defaults->reserved_kb();
+    // A request that may run once within its window is known by its idempotency key: the key of what a read is about
+    // says nothing of that.
     const bool is_idempotent_by_key =
-        server.settings().classes.at(arrival.class_index).idempotency == policy::Idempotency::with_key;
-    arrival.idempotency_key = values_[is_idempotent_by_key ? idempotency_key : lookup_key];
-    arrival.expected_work_seconds = hint_ms / 1000.0;
-    return true;
+        server.settings().classes.at(incoming.class_index).idempotency == policy::Idempotency::with_key;
+    incoming.idempotency_key = values_[is_idempotent_by_key ? idempotency_key : lookup_key];
+    incoming.expected_work_seconds = times.expected_ms / 1000.0;
+    return std::nullopt;
 }
 
 }  // namespace cressledge::frontend
--- /dev/null
+++ b/src/frontend/session.cpp
@@ -0,0 +1,160 @@
+// Input, requests and responses of a session; session_shutdown.cpp has the ways in which it ends.
+#include "frontend/session.hpp"
+
+#include <utility>
+
+#include "frontend/frontend.hpp"
+
+namespace cressledge::frontend {
+namespace {
+
+/// Of bytes that a peer sends ahead of its turn; reading is paused beyond.
+constexpr std::size_t max_pending_input_bytes = 16U << 10U;
+
+}  // namespace
+
+void Session::on_bytes(std::string_view bytes) {
+    if (!lifecycle_.accepts_requests())
+        return discard(bytes.size());
+    pending_input_.append(bytes);
+    const bool is_in_flight = phase_ == RequestPhase::in_flight;
+    if (is_in_flight && pending_input_.size() > max_pending_input_bytes && !is_reading_paused_) {
+        // Bounds the memory used by a peer that pipelines without reading its responses.
+        is_reading_paused_ = true;
+        stream_->set_reading_paused(true);
+    }
+    process_input();
+}
+
+void Session::process_input() {
+    if (is_processing_input_)
+        return;
+    is_processing_input_ = true;
+    while (phase_ != RequestPhase::in_flight && lifecycle_.accepts_requests() && !pending_input_.empty()) {
+        const std::string input = std::exchange(pending_input_, {});
+        const std::size_t consumed = parse(input);
+        if (consumed < input.size())
+            pending_input_.insert(0, input, consumed);
+    }
+    is_processing_input_ = false;
+    if (phase_ == RequestPhase::in_flight || !lifecycle_.accepts_requests())
+        return;
+    if (is_reading_paused_) {
+        is_reading_paused_ = false;
+        stream_->set_reading_paused(false);
+    }
+    if (has_partial_request() && phase_ != RequestPhase::receiving) {
+        const bool is_admitted = admission_ == AdmissionState::admitted;
+        start_request_timer(frontend_.server_.now() +
+                            (is_admitted ? frontend_.limits_.request_timeout : rejected_request_timeout));
+        frontend_.admitter_.limiter().on_first_byte(frontend_.server_.now(), connection_slot_);
+    }
+}
+
+// Guards the connection table against peers that send nothing, or begin a request and never complete it.
+void Session::start_request_timer(base::Timestamp due) {
+    frontend_.timers_.cancel(deadline_);
+    phase_ = RequestPhase::receiving;
+    deadline_ = frontend_.timers_.schedule(due, [this] {
+        deadline_ = 0;
+        on_request_timeout();
+    });
+}
+
+void Session::on_request_timeout() {
+    // Its last bytes may lie in the socket, where this process has been too slow to read them.
+    if (read_pending() || deadline_ != 0)
+        return;
+    ++frontend_.closed_connections_.request_timeouts;
+    if (!expects_request())
+        return start_lingering();
+    respond_directly(format_timeout_response(), true);
+}
+
+bool Session::try_admit_request() {
+    phase_ = RequestPhase::in_flight;
+    frontend_.timers_.cancel(deadline_);
+    auto& limiter = frontend_.admitter_.limiter();
+    if (admission_ == AdmissionState::evicted) {
+        retry_after_ = limiter.settings().max_retry_after;
+        return false;
+    }
+    const auto decision = limiter.admit_request(frontend_.server_.now(), connection_slot_);
+    if (decision.admitted)
+        return true;
+    frontend_.admitter_.on_request_rejected(decision, connection_slot_);
+    retry_after_ = decision.retry_after;
+    return false;
+}
+
+void Session::submit(request::IncomingRequest incoming) {
+    if (!try_admit_request())
+        return frontend_.server_.reject_before_admission(frontend_, id_, retry_after_, incoming.class_index);
+    const request::RequestId request_id = frontend_.server_.submit(std::move(incoming), frontend_, id_);
+    // The response may have been sent before submit() returned.
+    if (phase_ == RequestPhase::in_flight)
+        request_id_ = request_id;
+}
+
+void Session::check_health(bool deep) {
+    if (!try_admit_request())
+        return send_health_response(false);
+    frontend_.server_.check_health(deep, [frontend = &frontend_, id = id_](bool is_healthy) {
+        if (Session* session = frontend->sessions_.find(id); session != nullptr)
+            session->send_health_response(is_healthy);
+    });
+}
+
+void Session::send_health_response(bool is_healthy) {
+    if (phase_ != RequestPhase::in_flight)
+        return;
+    const bool close = should_close_with_response();
+    finish_request(format_health_response(is_healthy, close), close);
+}
+
+void Session::send_response(const request::Response& response) {
+    if (phase_ != RequestPhase::in_flight)
+        return;
+    const bool close = should_close_with_response();
+    finish_request(format_response(response, close), close);
+}
+
+void Session::reject_malformed(const std::string& bytes, bool close) {
+    ++frontend_.closed_connections_.malformed_requests;
+    respond_directly(bytes, close);
+}
+
+void Session::respond_directly(const std::string& bytes, bool close) {
+    frontend_.timers_.cancel(deadline_);
+    finish_request(bytes, close);
+}
+
+// Once the listening socket is handed over, a caller's next request has to come by a new connection to the next process.
+bool Session::should_close_with_response() const {
+    return !keep_alive() || lifecycle_.announces_close() || frontend_.draining_ || frontend_.handing_over_ ||
+           admission_ != AdmissionState::admitted;
+}
+
+void Session::send_interim(std::string_view bytes) {
+    if (stream_ != nullptr)
+        stream_->write(bytes);
+}
+
+void Session::finish_request(const std::string& bytes, bool close) {
+    phase_ = RequestPhase::none;
+    request_id_ = 0;
+    if (stream_ == nullptr)
+        return;
+    if (!stream_->write(bytes)) {
+        ++frontend_.closed_connections_.unread_responses;
+        return close_and_remove();
+    }
+    close = close || admission_ != AdmissionState::admitted;
+    frontend_.admitter_.limiter().on_response_sent(frontend_.server_.now(), connection_slot_, !close);
+    if (close)
+        return start_lingering();
+    start_idle_timer();
+    process_input();
+}
+
+}  // namespace cressledge::frontend
--- /dev/null
+++ b/src/frontend/session_shutdown.cpp
@@ -0,0 +1,135 @@
+// The ways in which a session ends: idle timeout, drain, eviction, the peer's close, and the lingering close itself.
+#include <utility>
+
+#include "frontend/frontend.hpp"
+#include "frontend/session.hpp"
+
+namespace cressledge::frontend {
+namespace {
+
+/// Bytes read and dropped after the last response, so that the response is not destroyed by a reset.
+constexpr std::size_t max_discarded_bytes = 1U << 20U;
+/// For a peer to read the last response and close.
+constexpr base::Duration linger_timeout{1'000'000};
+
+}  // namespace
+
+// The write side is shut: what still comes is dropped, never run or forwarded.
+void Session::discard(std::size_t size) {
+    discarded_bytes_ += size;
+    // Bounds the work for a peer that goes on sending: a response that it has not read by now may be lost.
+    if (discarded_bytes_ <= max_discarded_bytes)
+        return;
+    ++frontend_.closed_connections_.excess_input;
+    close_and_remove();
+}
+
+// Before a connection is ended: what the peer had sent by now is still its request. True: a request is in flight, or the
+// connection has ended by what was read.
+bool Session::read_pending() {
+    if (stream_ != nullptr)
+        stream_->read_pending();
+    return stream_ == nullptr || phase_ == RequestPhase::in_flight || !lifecycle_.accepts_requests();
+}
+
+// A close with bytes still unread would reset the connection and destroy the response.
+void Session::start_lingering() {
+    if (!lifecycle_.linger())
+        return;
+    frontend_.timers_.cancel(deadline_);
+    phase_ = RequestPhase::none;
+    std::string().swap(pending_input_);
+    stream_->shut_down_writes();
+    if (is_reading_paused_)
+        stream_->set_reading_paused(false);
+    deadline_ = frontend_.timers_.schedule(frontend_.server_.now() + linger_timeout, [this] {
+        deadline_ = 0;
+        close_and_remove();
+    });
+}
+
+// The next response is the last one; a connection without a request ends now.
+void Session::start_drain() {
+    if (!lifecycle_.drain() || phase_ == RequestPhase::in_flight || read_pending() || has_partial_request())
+        return;
+    frontend_.admitter_.limiter().on_response_sent(frontend_.server_.now(), connection_slot_, false);
+    start_lingering();
+}
+
+// The connection's slot is given to another one. A request that was sent before never ran and is rejected; without one
+// the descriptor is free at once.
+void Session::evict() {
+    ++frontend_.closed_connections_.evicted;
+    admission_ = AdmissionState::evicted;
+    const bool awaits_request = lifecycle_.accepts_requests() && phase_ != RequestPhase::in_flight;
+    if (awaits_request && read_pending() && lifecycle_.is_lingering())
+        return;
+    close_and_remove();
+}
+
+// The shorter of the controller's limit and the configured timeout. 0: none.
+base::Duration Session::idle_timeout() const {
+    const base::Duration requested = frontend_.idle_limit_;
+    const base::Duration configured = frontend_.limits_.idle_timeout;
+    if (requested <= base::Duration(0))
+        return configured;
+    return configured > base::Duration(0) && configured < requested ? configured : requested;
+}
+
+void Session::start_idle_timer() {
+    frontend_.timers_.cancel(deadline_);
+    if (std::exchange(phase_, RequestPhase::idle) != RequestPhase::idle)
+        idle_since_ = frontend_.server_.now();
+    const base::Duration timeout = idle_timeout();
+    if (timeout <= base::Duration(0))
+        return;
+    deadline_ = frontend_.timers_.schedule(idle_since_ + timeout, [this] {
+        deadline_ = 0;
+        on_idle_timeout();
+    });
+}
+
+void Session::on_idle_timeout() {
+    // A request may have arrived in this very instant: then the connection is not idle.
+    if (read_pending() || deadline_ != 0)
+        return;
+    ++frontend_.closed_connections_.idle_timeouts;
+    frontend_.admitter_.limiter().on_response_sent(frontend_.server_.now(), connection_slot_, false);
+    start_lingering();
+}
+
+bool Session::on_eof() {
+    // The peer may still read its response: the linger deadline ends it.
+    if (lifecycle_.is_lingering())
+        return stream_->has_unwritten_bytes();
+    if (phase_ == RequestPhase::in_flight || !lifecycle_.accepts_requests() || !has_partial_request())
+        return false;
+    ++frontend_.closed_connections_.truncated_requests;
+    const std::string response = format_truncated_response();
+    if (response.empty())
+        return false;
+    respond_directly(response, true);
+    return true;
+}
+
+void Session::on_end(bool) {
+    stream_ = nullptr;
+    phase_ = RequestPhase::none;
+    const request::RequestId request_id = std::exchange(request_id_, 0);
+    if (request_id != 0)
+        frontend_.server_.cancel(request_id);
+    close_and_remove();
+}
+
+void Session::close_and_remove() {
+    frontend_.admitter_.limiter().release_connection(connection_slot_);
+    frontend_.timers_.cancel(deadline_);
+    lifecycle_.close();
+    if (stream_ != nullptr)
+        std::exchange(stream_, nullptr)->close();
+    // Its own code may still be on the stack: the slot is freed on the next turn of the loop.
+    deadline_ = frontend_.timers_.schedule(
+        base::Timestamp(0), [frontend = &frontend_, id = id_] { frontend->remove_session(id); });
+}
+
+}  // namespace cressledge::frontend
