--- a/src/config/fleet.hpp
+++ b/src/config/fleet.hpp
@@ -1,14 +1,14 @@
-// The section `fleet` of the operator's file.
+/// The section `fleet` of the operator's file: gossip and membership.
 #pragma once
 
 #include <optional>
 
-#include "config/reader.hpp"
+#include "config/yaml_reader.hpp"
 #include "gossip/gossip_node.hpp"
 
 namespace cressledge::config {
 
-// None: the file has no such section, and the process keeps no view of its fleet. Throws Invalid.
-std::optional<gossip::Settings> read_fleet(const YamlReader& reader, const YAML::Node& doc);
+/// None: the file has no such section, and the process keeps no membership table. Throws ConfigError.
+std::optional<gossip::Settings> read_fleet(const YamlReader& reader, const YAML::Node& document);
 
 }  // namespace cressledge::config
--- a/src/config/node.cpp
+++ b/src/config/node.cpp
@@ -3,35 +3,31 @@
 #include <algorithm>
 #include <charconv>
 #include <cmath>
-#include <fstream>
 #include <initializer_list>
 #include <nlohmann/json.hpp>
-#include <sstream>
+#include <string_view>
+#include <utility>
 
 namespace cressledge::config {
+namespace {
 
-std::string read_file(const std::string& path) {
-    std::ifstream in(path, std::ios::binary);
-    std::ostringstream out;
-    if (in && in.peek() != std::ifstream::traits_type::eof())
-        out << in.rdbuf();
-    if (!in.is_open() || in.bad() || !out)
-        throw ConfigError(path + ": cannot be read");
-    return out.str();
-}
+using nlohmann::json;
 
-namespace {
+constexpr double min_descriptors = 32.0;
+
+/// Keys from the outermost to the innermost.
+using KeyPath = std::initializer_list<std::string_view>;
 
 std::size_t line_at(const std::string& source, std::size_t offset) {
-    return 1 + static_cast<std::size_t>(std::count(
-                   source.begin(),
-                   source.begin() + static_cast<std::ptrdiff_t>(std::min(offset, source.size())), '\n'));
+    const auto end = source.begin() + static_cast<std::ptrdiff_t>(std::min(offset, source.size()));
+    return 1 + static_cast<std::size_t>(std::count(source.begin(), end, '\n'));
 }
-// Of the last of these words, each in quotes and behind the one before; where one is not there, of the one before it.
-std::size_t line_of(const std::string& source, std::initializer_list<std::string_view> path) {
+
+/// The line of the last of these keys, each looked for behind the one before. Where one is missing, of the one before it.
+std::size_t line_of_key(const std::string& source, KeyPath path) {
     std::size_t offset = 0;
-    for (const std::string_view word : path) {
-        const std::size_t next = source.find('"' + std::string(word) + '"', offset);
+    for (const std::string_view key : path) {
+        const std::size_t next = source.find('"' + std::string(key) + '"', offset);
         if (next == std::string::npos)
             break;
         offset = next;
@@ -39,89 +35,137 @@
     return line_at(source, offset);
 }
 
-}  // namespace
+bool is_positive_number(const json& value) {
+    return value.is_number() && value.get<double>() > 0.0;
+}
 
-NodeConfig node_from_json(const std::string& source) {
-    using nlohmann::json;
-    using namespace nlohmann::literals;
-    json document;
-    try {
-        document = json::parse(source);
-    } catch (const json::parse_error& e) {
-        throw ConfigErrorAtLine(line_at(source, e.byte), "not a JSON object");
+std::string to_value(const json& value) {
+    return value.is_null() ? std::string() : value.dump();
+}
+
+class NodeConfigReader {
+public:
+    explicit NodeConfigReader(const std::string& source) : source_(source), document_(parse(source)) {}
+
+    NodeConfig read() const {
+        NodeConfig config;
+        read_addresses(config);
+        read_process_settings(config);
+        read_settings(config);
+        // Without a dependency there is no such address.
+        if (config.policy_settings.dependency != policy::Dependency::none || document_.contains("records"))
+            config.records_address = text("records");
+        return config;
+    }
+
+private:
+    static json parse(const std::string& source) {
+        try {
+            json document = json::parse(source);
+            if (document.is_object())
+                return document;
+        } catch (const json::parse_error& error) {
+            throw ConfigError({{}, line_at(source, error.byte), {}}, "not a JSON object");
+        }
+        throw ConfigError({{}, 1, {}}, "not a JSON object");
+    }
+
+    [[noreturn]] void fail(KeyPath path, const std::string& reason, std::string value = {}) const {
+        throw ConfigError({{}, line_of_key(source_, path), {}}, reason, std::move(value));
     }
-    if (!document.is_object())
-        throw ConfigErrorAtLine(1, "not a JSON object");
-    const auto fail_at = [&](std::initializer_list<std::string_view> at, const std::string& what) {
-        throw ConfigErrorAtLine(line_of(source, at), what);
-    };
-    const auto text = [&](const char* name) {
-        if (!document.contains(name) || !document[name].is_string())
-            fail_at({name}, std::string("missing text: ") + name);
-        return document[name].get<std::string>();
-    };
-    NodeConfig config;
-    config.name = text("name");
-    config.listen_address = text("listen");
-    config.engine_address = text("engine");
-    config.directory_address = text("lookup");
-    if (document.contains("control") && !document["control"].is_null())
-        config.admin_address = text("control");
-    const std::string seed = text("seed");
-    if (std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16).ptr !=
-        seed.data() + seed.size())
-        fail_at({"seed"}, "seed: not hexadecimal");
-    if (!document.contains("stop_ms") || !document["stop_ms"].is_number())
-        fail_at({"stop_ms"}, "missing number: stop_ms");
-    config.stop_delay = policy::Duration(std::llround(document["stop_ms"].get<double>() * 1000.0));
-    if (document.contains("limits") && document["limits"].is_object()) {
-        const json& limits = document["limits"];
-        if (limits.contains("sockets") && limits["sockets"].is_number())
+
+    std::string text(const char* name) const {
+        const json value = document_.value(name, json());
+        if (!value.is_string())
+            fail({name}, std::string("missing text: ") + name, to_value(value));
+        return value.get<std::string>();
+    }
+
+    void read_addresses(NodeConfig& config) const {
+        config.name = text("name");
+        config.listen_address = text("listen");
+        config.engine_address = text("engine");
+        config.directory_address = text("lookup");
+        if (document_.contains("control") && !document_["control"].is_null())
+            config.admin_address = text("control");
+    }
+
+    void read_process_settings(NodeConfig& config) const {
+        const std::string seed = text("seed");
+        const char* seed_end = seed.data() + seed.size();
+        if (std::from_chars(seed.data(), seed_end, config.seed, 16).ptr != seed_end)
+            fail({"seed"}, "seed: not hexadecimal", seed);
+        const json stop_ms = document_.value("stop_ms", json());
+        if (!stop_ms.is_number())
+            fail({"stop_ms"}, "missing number: stop_ms", to_value(stop_ms));
+        config.stop_delay = policy::Duration(std::llround(stop_ms.get<double>() * 1000.0));
+        const json limits = document_.value("limits", json());
+        const json sockets = limits.is_object() ? limits.value("sockets", json()) : json();
+        if (sockets.is_number())
             config.max_descriptors =
-                static_cast<std::size_t>(std::max(32.0, limits["sockets"].get<double>()));
+                static_cast<std::size_t>(std::max(min_descriptors, sockets.get<double>()));
     }
-    if (!document.contains("settings") || !document["settings"].is_object())
-        fail_at({"settings"}, "missing object: settings");
-    for (const json& g : document["settings"].value("/domain/gauges"_json_pointer, json::array()))
-        if (g.is_string())
-            config.gauge_names.push_back(g.get<std::string>());
-    // Guards the classes in force against a file that would give one no name or no time to be answered in.
-    const json& classes = document["settings"].value("classes", json());
-    if (!classes.is_array() || classes.empty())
-        fail_at({"settings", "classes"}, "settings: no classes");
-    for (const json& c : classes) {
-        if (!c.is_object() || !c.contains("name") || !c["name"].is_string() ||
-            c["name"].get<std::string>().empty())
-            fail_at({"settings", "classes"}, "settings: a class without a name");
-        const std::string name = c["name"].get<std::string>();
-        if (!c.contains("deadline") || !c["deadline"].is_number() || !(c["deadline"].get<double>() > 0.0))
-            fail_at({"settings", "classes", name, "deadline"},
-                    "settings: class " + name + ": the deadline is not a number above 0");
-        // Without one, repeats are linked for as long as the deadline.
-        if (const auto window = c.find("repeat-window");
-            c.value("effect", json()) == "guarded" && window != c.end() &&
-            !(window->is_number() && window->get<double>() > 0.0))
-            fail_at({"settings", "classes", name, "repeat-window"},
-                    "settings: class " + name + ": the repeat-window is not a number above 0");
+
+    void read_settings(NodeConfig& config) const {
+        using namespace nlohmann::literals;
+        const json settings = document_.value("settings", json());
+        if (!settings.is_object())
+            fail({"settings"}, "missing object: settings", to_value(settings));
+        for (const json& gauge : settings.value("/domain/gauges"_json_pointer, json::array()))
+            if (gauge.is_string())
+                config.gauge_names.push_back(gauge.get<std::string>());
+        check_classes(settings.value("classes", json()));
+        config.settings_json = settings.dump();
+        try {
+            config.policy_settings = settings_from_json(config.settings_json);
+        } catch (const ConfigError& error) {
+            fail({"settings"}, error.reason(), error.value());
+        }
     }
-    config.settings_json = document["settings"].dump();
-    try {
-        config.policy_settings = settings_from_json(config.settings_json);
-    } catch (const ConfigError& e) {
-        fail_at({"settings"}, e.what());
+
+    // Guards the classes in force against a file that gives one no name, or no time to be answered in.
+    void check_classes(const json& classes) const {
+        if (!classes.is_array() || classes.empty())
+            fail({"settings", "classes"}, "settings: no classes");
+        for (const json& request_class : classes)
+            check_class(request_class);
     }
-    // Where nothing is called below there is no such address.
-    if (config.policy_settings.dependency != policy::Dependency::none || document.contains("records"))
-        config.records_address = text("records");
-    return config;
+
+    void check_class(const json& request_class) const {
+        const json name_value = request_class.is_object() ? request_class.value("name", json()) : json();
+        if (!name_value.is_string() || name_value.get<std::string>().empty())
+            fail({"settings", "classes"}, "settings: a class without a name", to_value(name_value));
+        const std::string name = name_value.get<std::string>();
+        const std::string prefix = "settings: class " + name + ": ";
+        const json deadline = request_class.value("deadline", json());
+        if (!is_positive_number(deadline))
+            fail({"settings", "classes", name, "deadline"}, prefix + "the deadline is not a number above 0",
+                 to_value(deadline));
+        // Without a window, repeats are recognised for as long as the deadline.
+        const auto window = request_class.find("repeat-window");
+        const bool has_window =
+            request_class.value("effect", json()) == "guarded" && window != request_class.end();
+        if (has_window && !is_positive_number(*window))
+            fail({"settings", "classes", name, "repeat-window"},
+                 prefix + "the repeat-window is not a number above 0", to_value(*window));
+    }
+
+    const std::string& source_;
+    const json document_;
+};
+
+}  // namespace
+
+NodeConfig node_from_json(const std::string& source) {
+    return NodeConfigReader(source).read();
 }
 
 NodeConfig load_node_config(const std::string& path) {
     const std::string source = read_file(path);
     try {
         return node_from_json(source);
-    } catch (const ConfigErrorAtLine& e) {
-        throw ConfigError(path + ':' + std::to_string(e.line) + ": " + e.what());
+    } catch (const ConfigError& error) {
+        throw ConfigError({path, error.location().line, {}}, error.reason(), error.value());
     }
 }
 
--- a/src/config/operator.hpp
+++ b/src/config/operator.hpp
@@ -1,7 +1,11 @@
-// The operator's file, which sets up the second front.
+/// The operator's file, which sets a process up for HTTP and SCGI callers before an inventory of servers
+/// (docs/operators/).
+///
+/// Owns the mapping from the file's words to settings of the modules, and the ranges of every field.
 #pragma once
 
 #include <cstdint>
+#include <optional>
 #include <string>
 
 #include "config/fleet.hpp"
@@ -11,35 +15,63 @@
 
 namespace cressledge::config {
 
+/// The section `learning`: what is saved of the estimates.
+struct LearnedStateConfig {
+    /// Empty: nothing is saved.
+    std::string directory;
+    /// This process's name among others of its site.
+    std::string node_name;
+    policy::Duration save_interval{30'000'000};
+    policy::Duration half_life{std::int64_t{24} * 3'600'000'000};
+    policy::Duration max_age{std::int64_t{14} * 24 * 3'600'000'000};
+};
+
+/// Listening sockets that a supervisor hands down, in place of the addresses of the file. -1: none.
+struct InheritedSockets {
+    int scgi = -1;
+    int http = -1;
+    int control = -1;
+    bool any() const { return scgi >= 0 || http >= 0 || control >= 0; }
+};
+
 struct OperatorConfig {
-    std::string path;  // of the file itself
-    std::string scgi_address, http_address, admin_address;  // where to listen; empty: not at all
-    struct InheritedSockets {  // listening sockets handed down, in place of those addresses; -1: none
-        int scgi = -1, http = -1, control = -1;
-        bool any() const { return scgi >= 0 || http >= 0 || control >= 0; }
-    } inherited_sockets;
-    std::string inventory_path, server_group;  // empty group: all servers
-    policy::Duration stop_delay{3'000'000}, request_timeout{5'000'000};
+    using InheritedSockets = config::InheritedSockets;
+    using LearnedStateConfig = config::LearnedStateConfig;
+
+    /// The file itself.
+    std::string path;
+    /// Where to listen; empty: not at all.
+    std::string scgi_address, http_address, admin_address;
+    InheritedSockets inherited_sockets;
+    std::string inventory_path;
+    /// The group of the inventory that is used. Empty: all servers.
+    std::string server_group;
+    /// From the notice of a shutdown to the stop.
+    policy::Duration stop_delay{3'000'000};
+    /// From the first byte of a request to its last.
+    policy::Duration request_timeout{5'000'000};
     connection_admission::Settings admission;
-    std::size_t max_descriptors = 0;  // of the whole process; 0: as many as the system lets it have
-    std::size_t max_reported_sources = 10;  // sources in the report
+    /// Of the whole process. 0: as many as the system lets it have.
+    std::size_t max_descriptors = 0;
+    /// Sources in the report on connections.
+    std::size_t max_reported_sources = 10;
+    /// Memory of a request whose caller does not say.
     double request_kb = 24.0;
-    struct LearnedStateConfig {
-        std::string directory;  // empty: nothing is kept
-        std::string node_name;  // this process's name among others of its site
-        policy::Duration save_interval{30'000'000}, half_life{std::int64_t{24} * 3'600'000'000},
-            max_age{std::int64_t{14} * 24 * 3'600'000'000};
-    } learned_state;
+    LearnedStateConfig learned_state;
     RoutingConfig routing;
-    std::string routing_yaml;  // that section as it stands, to tell whether it has changed
+    /// The section `routing` as it stands, to tell whether it has changed.
+    std::string routing_yaml;
+    /// None: the process keeps no membership table.
     std::optional<gossip::Settings> gossip;
-    std::string restart_only_yaml;  // all that changes with a restart only, as text
+    /// Everything that a reload cannot change, as text.
+    std::string restart_only_yaml;
     policy::Settings policy_settings;
 };
 
-// What a supervisor (docs/operators/supervise.md) hands down in CRESSLEDGE_SCGI_FD, _HTTP_FD and _CONTROL_FD. Throws
-// std::runtime_error.
-OperatorConfig::InheritedSockets inherited_sockets();
-OperatorConfig load_operator_config(const std::string& path);  // throws Invalid with file, line and field
+/// The sockets in CRESSLEDGE_SCGI_FD, _HTTP_FD and _CONTROL_FD (docs/operators/supervise.md). Throws std::runtime_error.
+InheritedSockets inherited_sockets();
+
+/// Throws ConfigError with file, line and field.
+OperatorConfig load_operator_config(const std::string& path);
 
 }  // namespace cressledge::config
--- a/src/config/supervise.hpp
+++ b/src/config/supervise.hpp
@@ -1,11 +1,13 @@
-// The file of a supervisor: which processes it keeps up (docs/operators/supervise.md).
+/// The file of a supervisor: which processes it keeps up (docs/operators/supervise.md). Read by the supervisor's module.
 #pragma once
 
+#include <string>
+
 #include "supervisor/supervisor.hpp"
 
 namespace cressledge::config {
 
-supervisor::SupervisorSettings load_supervisor(
-    const std::string& path);  // throws Invalid with file, line and field
+/// Throws ConfigError with file, line and field.
+supervisor::SupervisorSettings load_supervisor(const std::string& path);
 
 }  // namespace cressledge::config
