--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The command line of cressledge.
+// The command line of cressledge: parses it and runs the one sub-command. Exit status 2 stands for bad use.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -12,9 +12,12 @@
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <random>
+#include <string>
+#include <vector>
 
 #include "command/roll.hpp"
 #include "command/supervise.hpp"
+#include "config/file.hpp"
 #include "config/inventory.hpp"
 #include "config/node.hpp"
 #include "config/operator.hpp"
@@ -28,152 +31,306 @@
 
 namespace {
 
+namespace base = cressledge::base;
+namespace command = cressledge::command;
+namespace config = cressledge::config;
+namespace learned_state = cressledge::learned_state;
+namespace net = cressledge::net;
+namespace platform = cressledge::platform;
+namespace store = cressledge::store;
+namespace upstream = cressledge::upstream;
+
 constexpr const char* version = "0.2.0";
+constexpr int exit_success = 0;
+constexpr int exit_check_failed = 1;
+constexpr int exit_bad_use = 2;
+/// Names of each kind in the text of an inventory's diff.
+constexpr std::size_t max_names_in_diff = 1000;
 
-namespace config = cressledge::config;
+using Arguments = std::vector<std::string>;
+
+/// What was asked for. Values that were not given are missing or empty.
+struct CommandLine {
+    std::string command;
+    /// The words behind the command.
+    std::optional<Arguments> arguments;
+    bool prints_json = false;
+    bool rolls_back = false;
+    std::optional<std::string> state_directory, node_config_path, operator_path;
+    std::string report_path;
+};
 
-int serve(const std::string& path) {
-    cressledge::base::TimerQueue timers;
-    cressledge::net::Loop loop(timers);
-    std::optional<cressledge::platform::PlatformNode> node;
-    // Taken before the file is read: a signal that comes meanwhile has it read once more, and ends nothing.
+// ---- serve ----
+
+int serve_node(const std::string& path) {
+    base::TimerQueue timers;
+    net::Loop loop(timers);
+    std::optional<platform::PlatformNode> node;
+    // Handled before the file is read: a signal that comes meanwhile has it read once more, and ends nothing.
     loop.on_signal(SIGHUP, [&] { node->reload(path); });
     config::NodeConfig settings = config::load_node_config(path);
-    settings.descriptors_at_start = cressledge::net::count_open_descriptors();
-    settings.inherited_listener_fd = cressledge::net::inherited_listening_socket("NODE_ACCEPT_FD");
-    if (const char* control = std::getenv("NODE_CONTROL"); control != nullptr && *control != '\0')
-        settings.admin_address = control;
+    settings.descriptors_at_start = net::count_open_descriptors();
+    settings.inherited_listener_fd = net::inherited_listening_socket("NODE_ACCEPT_FD");
+    if (const char* address = std::getenv("NODE_CONTROL"); address != nullptr && *address != '\0')
+        settings.admin_address = address;
     node.emplace(loop, timers, settings);
     node->start();
     loop.run();
-    return 0;
+    return exit_success;
 }
 
-int serve_operator(const std::string& path) {
+int serve_gateway(const std::string& path) {
     config::OperatorConfig settings = config::load_operator_config(path);
     settings.inherited_sockets = config::inherited_sockets();
-    cressledge::base::TimerQueue timers;
-    cressledge::net::Loop loop(timers);
-    cressledge::upstream::UpstreamGateway gateway(loop, timers, loop, settings, std::random_device()());
+    base::TimerQueue timers;
+    net::Loop loop(timers);
+    upstream::UpstreamGateway gateway(loop, timers, loop, settings, std::random_device()());
     gateway.start();
     loop.run();
     gateway.save_learned_state();
-    return 0;
+    return exit_success;
 }
 
-// Says what each file is and what is in force with it; the first bad one ends it.
-int check(const std::vector<std::string>& files) {
-    if (files.empty())
+int run_serve(const CommandLine& line) {
+    if (line.operator_path) {
+        if (line.node_config_path)
+            throw config::ConfigError("serve: --config and --operator exclude each other");
+        return serve_gateway(*line.operator_path);
+    }
+    const char* environment = std::getenv("NODE_CONFIG");
+    if (!line.node_config_path && environment == nullptr)
+        throw config::ConfigError("serve: neither --config nor --operator nor NODE_CONFIG names a file");
+    return serve_node(line.node_config_path ? *line.node_config_path : environment);
+}
+
+// ---- check ----
+
+std::string describe_file(const std::string& path) {
+    const std::string extension = config::file_extension(path);
+    if (extension == ".json") {
+        const config::NodeConfig node = config::load_node_config(path);
+        return "configuration of node " + node.name + ", " +
+               std::to_string(node.policy_settings.classes.size()) + " classes";
+    }
+    if (extension == ".csv" || config::is_inventory_file(path))
+        return "inventory of " + std::to_string(config::load_inventory(path).size()) + " servers";
+    const std::size_t servers = upstream::load_servers(config::load_operator_config(path)).size();
+    return "operator's file, " + std::to_string(servers) + " servers in force";
+}
+
+// Says what each file is and what is in force with it. The first bad one ends it.
+int run_check(const Arguments& paths) {
+    if (paths.empty())
         throw config::ConfigError("check: no file named");
-    for (const std::string& path : files) {
-        const std::string ending = path.substr(std::min(path.rfind('.'), path.size()));
-        if (ending == ".json") {
-            const config::NodeConfig n = config::load_node_config(path);
-            std::cout << path << ": configuration of node " << n.name << ", "
-                      << n.policy_settings.classes.size() << " classes\n";
-        } else if (ending == ".csv" || config::is_inventory_file(path)) {
-            const std::size_t servers = config::load_inventory(path).size();
-            std::cout << path << ": inventory of " << servers << " servers\n";
-        } else {
-            const std::size_t servers =
-                cressledge::upstream::load_servers(config::load_operator_config(path)).size();
-            std::cout << path << ": operator's file, " << servers << " servers in force\n";
-        }
+    for (const std::string& path : paths) {
+        const std::string description = describe_file(path);
+        std::cout << path << ": " << description << '\n';
     }
-    return 0;
+    return exit_success;
 }
 
-// What is kept in a folder of the operator's file's section `learning`.
-int state(const std::vector<std::string>& words, bool as_json) {
+// ---- state ----
+
+void throw_if_failed(const std::string& directory, int error) {
+    if (error == 0)
+        return;
+    const char* reason = error == EWOULDBLOCK ? "in use by a process" : std::strerror(error);
+    throw config::ConfigError({directory, 0, {}}, reason);
+}
+
+void reset_state(store::PosixFileSystem& files, const std::string& directory) {
+    store::Store state(files);
+    throw_if_failed(directory, state.open());
+    throw_if_failed(directory, state.reset());
+    std::cout << directory << ": nothing is kept now\n";
+}
+
+void print_state_json(const store::Store& state, bool with_entries) {
+    nlohmann::json document = {{"generation", state.generation()},
+                               {"log_records", state.replayed_records()},
+                               {"entries", state.entries().size()},
+                               {"refused", state.skipped_files()}};
+    if (with_entries)
+        document["state"] = nlohmann::json::parse(learned_state::to_json(state.entries()));
+    std::cout << document.dump(2) << '\n';
+}
+
+void print_state(const store::Store& state, const std::string& directory, bool with_entries) {
+    std::cout << directory << ": generation " << state.generation() << ", " << state.replayed_records()
+              << " records of its log, " << state.entries().size() << " entries\n";
+    for (const std::string& reason : state.skipped_files())
+        std::cout << "refused: " << reason << '\n';
+    if (with_entries)
+        std::cout << learned_state::to_json(state.entries()) << '\n';
+}
+
+// What is saved in the folder of the operator's file's section `learning`.
+int run_state(const Arguments& arguments, bool prints_json) {
     static const std::vector<std::string> verbs = {"show", "check", "export", "reset"};
-    if (words.size() != 2 || std::find(verbs.begin(), verbs.end(), words[0]) == verbs.end())
+    if (arguments.size() != 2 || std::find(verbs.begin(), verbs.end(), arguments[0]) == verbs.end())
         throw config::ConfigError("state: show, check, export or reset, and a folder");
-    const std::string& verb = words[0];
-    namespace store = cressledge::store;
-    store::PosixFileSystem files(words[1]);
-    store::Store kept(files);
-    const auto must = [&](int bad) {
-        if (bad != 0)
-            throw config::ConfigError(words[1] + ": " +
-                                      (bad == EWOULDBLOCK ? "in use by a process" : std::strerror(bad)));
-    };
-    must(kept.open_read_only());
-    const auto& entries = kept.entries();
-    if (verb == "reset") {
-        store::Store own(files);
-        must(own.open());
-        must(own.reset());
-        std::cout << words[1] << ": nothing is kept now\n";
-    } else if (verb == "export") {
-        std::cout << cressledge::learned_state::to_json(entries) << '\n';
-    } else if (as_json) {
-        nlohmann::json j = {{"generation", kept.generation()},
-                            {"log_records", kept.replayed_records()},
-                            {"entries", entries.size()},
-                            {"refused", kept.skipped_files()}};
-        if (verb == "show")
-            j["state"] = nlohmann::json::parse(cressledge::learned_state::to_json(entries));
-        std::cout << j.dump(2) << '\n';
-    } else {
-        std::cout << words[1] << ": generation " << kept.generation() << ", " << kept.replayed_records()
-                  << " records of its log, " << entries.size() << " entries\n";
-        for (const std::string& why : kept.skipped_files())
-            std::cout << "refused: " << why << '\n';
-        if (verb == "show")
-            std::cout << cressledge::learned_state::to_json(entries) << '\n';
+    const std::string& verb = arguments[0];
+    const std::string& directory = arguments[1];
+    store::PosixFileSystem files(directory);
+    store::Store state(files);
+    throw_if_failed(directory, state.open_read_only());
+    if (verb == "reset")
+        reset_state(files, directory);
+    else if (verb == "export")
+        std::cout << learned_state::to_json(state.entries()) << '\n';
+    else if (prints_json)
+        print_state_json(state, verb == "show");
+    else
+        print_state(state, directory, verb == "show");
+    return verb == "check" && !state.skipped_files().empty() ? exit_check_failed : exit_success;
+}
+
+// ---- inventory ----
+
+void print_diff(const config::InventoryDiff& difference, bool prints_json) {
+    if (prints_json) {
+        const nlohmann::json document = {
+            {"added", difference.added}, {"removed", difference.removed}, {"changed", difference.changed}};
+        std::cout << document.dump(2) << '\n';
+        return;
     }
-    return verb == "check" && !kept.skipped_files().empty() ? 1 : 0;
+    std::cout << difference.summary(max_names_in_diff) << '\n';
+}
+
+void print_servers_json(const std::vector<config::Upstream>& servers) {
+    nlohmann::json all = nlohmann::json::array();
+    for (const config::Upstream& server : servers)
+        all.push_back({{"name", server.name},
+                       {"address", server.address},
+                       {"protocol", server.protocol},
+                       {"group", server.group},
+                       {"data_centre", server.data_centre},
+                       {"model", server.machine_model},
+                       {"weight", server.weight},
+                       {"drained", server.is_drained},
+                       {"tags", server.tags}});
+    std::cout << all.dump(2) << '\n';
+}
+
+void print_servers(const std::vector<config::Upstream>& servers) {
+    const auto or_dash = [](const std::string& text) { return text.empty() ? "-" : text; };
+    for (const config::Upstream& server : servers)
+        std::cout << server.name << ' ' << server.address << ' ' << server.protocol << ' ' << server.group
+                  << " data centre " << or_dash(server.data_centre) << " model "
+                  << or_dash(server.machine_model) << " weight " << server.weight
+                  << (server.is_drained ? " drained" : "") << '\n';
 }
 
-// Inventories: what is wrong with one, what is in one, what differs between two.
-int inventory(const std::vector<std::string>& words, bool as_json) {
-    const bool two = !words.empty() && words[0] == "diff";
-    if (words.size() != (two ? 3U : 2U) || (!two && words[0] != "check" && words[0] != "show"))
+void run_inventory_verb(const Arguments& arguments, bool prints_json) {
+    const std::string& verb = arguments[0];
+    const std::string& path = arguments[1];
+    const auto servers = config::load_inventory(path);
+    if (verb == "diff")
+        print_diff(config::diff_inventories(servers, config::load_inventory(arguments[2])), prints_json);
+    else if (verb == "check")
+        std::cout << path << ": inventory of " << servers.size() << " servers\n";
+    else if (prints_json)
+        print_servers_json(servers);
+    else
+        print_servers(servers);
+}
+
+// What is wrong with an inventory, what is in one, what differs between two.
+int run_inventory(const Arguments& arguments, bool prints_json) {
+    const bool is_diff = !arguments.empty() && arguments[0] == "diff";
+    const std::size_t expected = is_diff ? 3 : 2;
+    if (arguments.size() != expected || (!is_diff && arguments[0] != "check" && arguments[0] != "show"))
         throw config::ConfigError("inventory: check or show and a file, or diff and two");
     try {
-        const auto first = config::load_inventory(words[1]);
-        if (two) {
-            const auto d = config::diff_inventories(first, config::load_inventory(words[2]));
-            if (as_json)
-                std::cout << nlohmann::json{
-                    {"added", d.added},
-                    {"removed", d.removed},
-                    {"changed",
-                     d.changed}}.dump(2);
-            else
-                std::cout << d.summary(1'000);
-            std::cout << '\n';
-            return 0;
-        }
-        if (words[0] == "check") {
-            std::cout << words[1] << ": inventory of " << first.size() << " servers\n";
-            return 0;
-        }
-        nlohmann::json all = nlohmann::json::array();
-        for (const auto& u : first) {
-            if (!as_json)
-                std::cout << u.name << ' ' << u.address << ' ' << u.protocol << ' ' << u.group
-                          << " data centre " << (u.data_centre.empty() ? "-" : u.data_centre) << " model "
-                          << (u.machine_model.empty() ? "-" : u.machine_model) << " weight " << u.weight
-                          << (u.is_drained ? " drained" : "") << '\n';
-            all.push_back({{"name", u.name},
-                           {"address", u.address},
-                           {"protocol", u.protocol},
-                           {"group", u.group},
-                           {"data_centre", u.data_centre},
-                           {"model", u.machine_model},
-                           {"weight", u.weight},
-                           {"drained", u.is_drained},
-                           {"tags", u.tags}});
-        }
-        if (as_json)
-            std::cout << all.dump(2) << '\n';
-        return 0;
-    } catch (const config::InventoryError& e) {
-        for (const std::string& row : e.row_errors)
+        run_inventory_verb(arguments, prints_json);
+        return exit_success;
+    } catch (const config::InventoryError& error) {
+        for (const std::string& row : error.row_errors)
             std::cerr << "cressledge: " << row << '\n';
-        return 2;
+        return exit_bad_use;
+    }
+}
+
+// ---- supervise and roll ----
+
+const std::string& only_argument(const CommandLine& line, const Arguments& arguments) {
+    if (arguments.size() != 1)
+        throw config::ConfigError(line.command + ": needs one file");
+    return arguments[0];
+}
+
+int run_roll(const CommandLine& line, const Arguments& arguments) {
+    const std::string& plan_path = only_argument(line, arguments);
+    if (!line.state_directory)
+        throw config::ConfigError("roll: --state names no folder");
+    return command::roll(plan_path, *line.state_directory, line.report_path, line.rolls_back);
+}
+
+// ---- the command line ----
+
+cxxopts::Options make_options() {
+    cxxopts::Options options("cressledge", "Map server of Sentiers du Sahel Cartographie");
+    options.positional_help("[serve|check|inventory|state|supervise|roll|version] [FILE...]");
+    auto add = options.add_options();
+    add("command",
+        "serve: the default; check: read files and say what is wrong; "
+        "inventory check|show FILE, diff FILE FILE; "
+        "state show|check|export|reset FOLDER: what was learned; "
+        "supervise FILE: keep processes up; roll PLAN: change a fleet in stages; version",
+        cxxopts::value<std::string>()->default_value("serve"));
+    add("files", "the files to check", cxxopts::value<Arguments>()->default_value(""));
+    add("json", "state, inventory: print JSON");
+    add("state", "roll: the folder of its state", cxxopts::value<std::string>());
+    add("report", "roll: where its report goes", cxxopts::value<std::string>()->default_value(""));
+    add("take-back", "roll: take the change back");
+    add("c,config", "serve: the node's configuration instead of $NODE_CONFIG", cxxopts::value<std::string>());
+    add("o,operator", "serve: an operator's file, for SCGI and an inventory", cxxopts::value<std::string>());
+    add("h,help", "print this");
+    options.parse_positional({"command", "files"});
+    return options;
+}
+
+std::optional<std::string> text_option(const cxxopts::ParseResult& given, const char* name) {
+    if (given.count(name) == 0)
+        return std::nullopt;
+    return given[name].as<std::string>();
+}
+
+CommandLine to_command_line(const cxxopts::ParseResult& given) {
+    CommandLine line;
+    line.command = given["command"].as<std::string>();
+    if (given.count("files") != 0)
+        line.arguments = given["files"].as<Arguments>();
+    line.prints_json = given.count("json") != 0;
+    line.rolls_back = given.count("take-back") != 0;
+    line.state_directory = text_option(given, "state");
+    line.node_config_path = text_option(given, "config");
+    line.operator_path = text_option(given, "operator");
+    line.report_path = given["report"].as<std::string>();
+    return line;
+}
+
+int run(const CommandLine& line) {
+    const Arguments arguments = line.arguments.value_or(Arguments());
+    if (line.command == "check")
+        return run_check(arguments);
+    if (line.command == "state")
+        return run_state(arguments, line.prints_json);
+    if (line.command == "inventory")
+        return run_inventory(arguments, line.prints_json);
+    if (line.command == "supervise")
+        return command::supervise(only_argument(line, arguments));
+    if (line.command == "roll")
+        return run_roll(line, arguments);
+    if (line.arguments)
+        throw config::ConfigError(line.command + ": takes no files");
+    if (line.command == "version") {
+        std::cout << "cressledge " << version << '\n';
+        return exit_success;
     }
+    if (line.command != "serve")
+        throw config::ConfigError("no such command: " + line.command);
+    return run_serve(line);
 }
 
 }  // namespace
@@ -182,74 +339,15 @@
     spdlog::set_default_logger(spdlog::stderr_logger_st("cressledge"));
     spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
     try {
-        cxxopts::Options options("cressledge", "Map server of Sentiers du Sahel Cartographie");
-        options.positional_help("[serve|check|inventory|state|supervise|roll|version] [FILE...]");
-        options.add_options()(
-            "command",
-            "serve: the default; check: read files and say what is wrong; "
-            "inventory check|show FILE, diff FILE FILE; "
-            "state show|check|export|reset FOLDER: what was learned; "
-            "supervise FILE: keep processes up; roll PLAN: change a fleet in stages; version",
-            cxxopts::value<std::string>()->default_value("serve"))(
-            "files", "the files to check", cxxopts::value<std::vector<std::string>>()->default_value(""))(
-            "json", "state, inventory: print JSON")("state", "roll: the folder of its state",
-                                                    cxxopts::value<std::string>())(
-            "report", "roll: where its report goes", cxxopts::value<std::string>()->default_value(""))(
-            "take-back", "roll: take the change back")(
-            "c,config", "serve: the node's configuration instead of $NODE_CONFIG",
-            cxxopts::value<std::string>())("o,operator",
-                                           "serve: an operator's file, for SCGI and an inventory",
-                                           cxxopts::value<std::string>())("h,help", "print this");
-        options.parse_positional({"command", "files"});
+        cxxopts::Options options = make_options();
         const auto given = options.parse(argc, argv);
         if (given.count("help") != 0) {
             std::cout << options.help();
-            return 0;
-        }
-        const auto command = given["command"].as<std::string>();
-        if (command == "check")
-            return check(given.count("files") != 0 ? given["files"].as<std::vector<std::string>>()
-                                                   : std::vector<std::string>());
-        if (command == "state")
-            return state(given.count("files") != 0 ? given["files"].as<std::vector<std::string>>()
-                                                   : std::vector<std::string>(),
-                         given.count("json") != 0);
-        if (command == "inventory")
-            return inventory(given.count("files") != 0 ? given["files"].as<std::vector<std::string>>()
-                                                       : std::vector<std::string>(),
-                             given.count("json") != 0);
-        if (command == "supervise" || command == "roll") {
-            const auto files = given.count("files") != 0 ? given["files"].as<std::vector<std::string>>()
-                                                         : std::vector<std::string>();
-            if (files.size() != 1)
-                throw config::ConfigError(command + ": needs one file");
-            if (command == "supervise")
-                return cressledge::command::supervise(files[0]);
-            if (given.count("state") == 0)
-                throw config::ConfigError("roll: --state names no folder");
-            return cressledge::command::roll(files[0], given["state"].as<std::string>(),
-                                             given["report"].as<std::string>(),
-                                             given.count("take-back") != 0);
-        }
-        if (given.count("files") != 0)
-            throw config::ConfigError(command + ": takes no files");
-        if (command == "version") {
-            std::cout << "cressledge " << version << '\n';
-            return 0;
-        }
-        if (command != "serve")
-            throw config::ConfigError("no such command: " + command);
-        if (given.count("operator") != 0) {
-            if (given.count("config") != 0)
-                throw config::ConfigError("serve: --config and --operator exclude each other");
-            return serve_operator(given["operator"].as<std::string>());
+            return exit_success;
         }
-        const char* env = std::getenv("NODE_CONFIG");
-        if (given.count("config") == 0 && env == nullptr)
-            throw config::ConfigError("serve: neither --config nor --operator nor NODE_CONFIG names a file");
-        return serve(given.count("config") != 0 ? given["config"].as<std::string>() : env);
-    } catch (const std::exception& e) {
-        std::cerr << "cressledge: " << e.what() << '\n';
-        return 2;
+        return run(to_command_line(given));
+    } catch (const std::exception& error) {
+        std::cerr << "cressledge: " << error.what() << '\n';
+        return exit_bad_use;
     }
 }
