--- a/tests/cressledge/config_test.cpp
+++ b/tests/cressledge/config_test.cpp
@@ -1,4 +1,4 @@
-// Files of the operator: what is read from them, and what is said of bad ones.
+// Node configuration, operators' files and inventories: what is read from them, and which error a bad one gives.
 #include "config/inventory.hpp"
 #include "config/node.hpp"
 #include "config/operator.hpp"
@@ -18,7 +18,7 @@
     return "none";
 }
 
-TEST_CASE("a CSV inventory, columns in any order") {
+TEST_CASE("inventory: CSV columns come in any order") {
     TemporaryDirectory f;
     const auto all = config::load_inventory(f.write_file(
         "i.csv",
@@ -29,7 +29,7 @@
     CHECK(all[1].address == "[::1]:9");
 }
 
-TEST_CASE("bad CSV rows are named by file, line and field") {
+TEST_CASE("inventory: an error of a CSV row names file, line and field") {
     TemporaryDirectory f;
     const std::string head = "name,address,protocol,group\na,127.0.0.1:1,http,g\n";
     const auto of = [&](const std::string& row) {
@@ -47,7 +47,7 @@
           "i.csv:1: row: no header row");
 }
 
-TEST_CASE("a YAML inventory: groups hand their vars down") {
+TEST_CASE("inventory: YAML groups pass their vars to hosts and children") {
     TemporaryDirectory f;
     const auto all = config::load_inventory(f.write_file("i.yaml", R"(all:
   vars: {protocol: scgi}
@@ -73,7 +73,7 @@
     CHECK((all[3].protocol == "scgi" && all[3].group == "thies"));
 }
 
-TEST_CASE("bad YAML inventories are named by file, line and field") {
+TEST_CASE("inventory: an error of a YAML host names file, line and field") {
     TemporaryDirectory f;
     const auto of = [&](const std::string& text) {
         return config_error_of([&] { config::load_inventory(f.write_file("i.yaml", text)); });
@@ -89,7 +89,7 @@
     CHECK(of("all: [\n").rfind("i.yaml:2: yaml: ", 0) == 0);
 }
 
-TEST_CASE("an operator's file, and what is wrong with it") {
+TEST_CASE("operator's file: values and errors of the top level") {
     TemporaryDirectory f;
     const std::string good = R"(listen: {scgi: "127.0.0.1:4000"}
 inventory: i.csv
@@ -112,7 +112,7 @@
     CHECK(of("inventory: i.csv\n") == "o.yaml:1: listen: missing");
 }
 
-TEST_CASE("the section on admission, and what is wrong with it") {
+TEST_CASE("operator's file: values and errors of the section admission") {
     TemporaryDirectory f;
     const std::string head = R"(listen: {scgi: "127.0.0.1:4000"}
 inventory: i.csv
@@ -157,7 +157,8 @@
 }
 
 TEST_CASE(
-    "the sections on learning and routing, the inventory's further fields, and what is wrong with them") {
+    "operator's file: values and errors of the sections learning and routing; optional fields of an "
+    "inventory") {
     TemporaryDirectory f;
     const std::string head = R"(listen: {scgi: "127.0.0.1:4000"}
 inventory: i.csv
@@ -211,7 +212,7 @@
     CHECK(config::exceeds_removal_limit(config::diff_inventories(all, {}), 2, 0.5));
 }
 
-TEST_CASE("the section on the fleet, and what is wrong with it") {
+TEST_CASE("operator's file: values and errors of the section fleet") {
     TemporaryDirectory f;
     const std::string head = R"(listen: {scgi: "127.0.0.1:4000", control: "127.0.0.1:4100"}
 inventory: inventory.yaml
@@ -251,7 +252,7 @@
           "o.yaml:8: gossip: no address that others can reach: name one in advertise");
 }
 
-TEST_CASE("the node's configuration") {
+TEST_CASE("node configuration: values, and errors with their lines") {
     const std::string good =
         R"({"name":"n3","listen":"127.0.0.1:0","engine":"e","lookup":"l","records":"r","seed":"8c1f30d27a5be964",)"
         R"("stop_ms":3200,"limits":{"sockets":512},"settings":{"classes":[{"name":"a","effect":"single_shot","deadline":900}],)"
--- /dev/null
+++ b/tests/cressledge/frontend_descriptor_test.cpp
@@ -0,0 +1,123 @@
+// A process or system out of file descriptors: what waits, what is sent once, and what a drain still answers.
+#include <random>
+
+#include "gateway_fixture.hpp"
+#include "system_call_faults.hpp"
+
+namespace {
+
+using namespace cressledge::testing;
+
+TEST_CASE("frontend: a connection left in the backlog without a descriptor is served once there is one") {
+    GatewayFixture fixture;
+    // Two connections and one in between.
+    fixture.config.max_descriptors = net::count_open_descriptors() + 2 + 2 + 2 + 32 + 3;
+    fixture.start();
+    CHECK(take_log().find("room for 2 of 128 connections") != std::string::npos);
+    auto& descriptors = fixture.gateway->descriptors();
+    std::vector<connection_admission::FileDescriptorBudget::Lease> others;
+    while (auto lease =
+               descriptors.try_acquire(wall_clock_now(), connection_admission::DescriptorPurpose::frontend))
+        others.push_back(std::move(lease));
+    BoundClient client("127.0.0.9", fixture.gateway->scgi_port());
+    client.unsent = scgi_request("trail-sheet", "body-1.");
+    fixture.test_loop.run_until(
+        [&] {
+            return client.step(1'000),
+                   descriptors.denied(connection_admission::DescriptorPurpose::frontend) > 1;
+        },
+        false);
+    CHECK(client.received.empty());
+    CHECK(client.is_open);
+    others.clear();
+    fixture.run_until_closed(client);
+    CHECK(client.status() == 200);
+}
+
+TEST_CASE("gateway: a write without a descriptor for its call is sent once there is one, and once only") {
+    GatewayFixture fixture;
+    fixture.start();
+    BoundClient client("127.0.0.9", fixture.gateway->scgi_port());
+    client.unsent = scgi_request("map-order", "body-7.");
+    Faults faults;
+    faults.fail(Call::socket, EMFILE, 3);
+    fixture.run_until_closed(client);
+    CHECK(client.status() == 200);
+    CHECK(faults.failed(Call::socket) == 3);
+    CHECK(fixture.upstream_host.run_counts == std::map<std::string, int>{{"7.", 1}});
+}
+
+TEST_CASE("gateway: an accept or a file without a descriptor ends nothing") {
+    GatewayFixture fixture;
+    fixture.start();
+    Faults faults;
+    for (const int error : {EMFILE, ENFILE}) {
+        faults.fail(Call::accept, error, 1);
+        // Waits in the backlog until there is a descriptor for it.
+        BoundClient waiting("127.0.0.9", fixture.gateway->http_port());
+        waiting.unsent = http_request("trail-sheet", "body-" + std::to_string(error) + '.');
+        fixture.test_loop.run_until([&] { return waiting.step(1'000), waiting.status() == 200; }, false);
+    }
+    CHECK(fixture.gateway->descriptors().system_exhaustions() == 2);
+    CHECK(take_log().find("no descriptor for a new connection") != std::string::npos);
+    faults.fail(Call::open, EMFILE, 1);
+    fixture.gateway->reload();
+    CHECK(take_log().find("inventory: the old one stays in force") != std::string::npos);
+    BoundClient client("127.0.0.9", fixture.gateway->scgi_port());
+    client.unsent = scgi_request("trail-sheet", "body-1.");
+    fixture.run_until_closed(client);
+    CHECK(client.status() == 200);
+}
+
+TEST_CASE(
+    "gateway: descriptors exhausted during a drain cost no request its response, 200 seeds, either "
+    "protocol") {
+    for (std::uint32_t seed = 1; seed <= 200; ++seed) {
+        INFO("seed " << seed);
+        std::mt19937 random(seed);
+        GatewayFixture fixture;
+        fixture.config.policy_settings.cores = 4;
+        fixture.config.max_descriptors =
+            net::count_open_descriptors() + 2 + 2 + 2 + 8 + 1 + 4 + random() % 10;
+        fixture.start();
+        std::vector<BoundClient> callers;
+        for (int i = 0; i < 16; ++i) {
+            const bool over_scgi = i % 2 == 0;
+            callers.emplace_back("127.0.0." + std::to_string(3 + i),
+                                 over_scgi ? fixture.gateway->scgi_port() : fixture.gateway->http_port());
+            const std::string class_name = i % 3 == 0 ? "map-order" : "trail-sheet";
+            const std::string body = "body-" + std::to_string(i) + '.';
+            callers.back().unsent =
+                over_scgi ? scgi_request(class_name, body) : http_request(class_name, body);
+        }
+        Faults faults(seed);
+        faults.fail(Call::socket, random() % 2 == 0 ? EMFILE : ENFILE, 6, 2);
+        faults.fail(Call::accept, EMFILE, static_cast<int>(random() % 3), 4);
+        const std::uint32_t shutdown_turn = random() % 12;
+        std::uint32_t turn = 0;
+        // Until each has its response, or was closed without being read.
+        const auto& counts = fixture.gateway->request_manager().counts();
+        fixture.test_loop.run_until(
+            [&] {
+                if (turn++ == shutdown_turn)
+                    fixture.gateway->begin_graceful_shutdown();
+                std::uint64_t responses = 0, waiting = 0;
+                for (BoundClient& client : callers) {
+                    client.step(1 + random() % 400);
+                    responses += client.status() != 0 ? 1 : 0;
+                    waiting += client.is_open && client.status() == 0 ? 1 : 0;
+                }
+                return turn > shutdown_turn && waiting == 0 && responses == counts.received;
+            },
+            false);
+        for (const BoundClient& client : callers)
+            REQUIRE(client.status() >= 0);
+        for (const auto& [body, times] : fixture.upstream_host.run_counts)
+            REQUIRE(times == 1);
+        REQUIRE(counts.served == fixture.upstream_host.run_counts.size());
+        fixture.limiter().check_invariants();
+        REQUIRE(fixture.gateway->descriptors().used() <= fixture.gateway->descriptors().limit());
+    }
+}
+
+}  // namespace
--- a/tests/cressledge/frontend_fixture.hpp
+++ b/tests/cressledge/frontend_fixture.hpp
@@ -1,5 +1,5 @@
-// A front before a core whose runs the test ends, and clients that act by plain system calls while the loop stands still:
-// with them a crossing is forced, not hoped for.
+/// A frontend before a request manager whose runs the test ends, and clients that act by plain system calls while the loop
+/// stands still: with them a race is forced, not hoped for.
 #pragma once
 
 #include <arpa/inet.h>
@@ -17,7 +17,7 @@
 
 namespace cressledge::testing {
 
-// A client that acts while the loop does not turn. The system completes its connection in the backlog.
+/// A client that acts while the loop does not turn. The system completes its connection in the backlog.
 class RawClient {
 public:
     explicit RawClient(int port, int receive_buffer_bytes = 0)
@@ -26,7 +26,7 @@
         address.sin_family = AF_INET;
         address.sin_port = htons(static_cast<std::uint16_t>(port));
         address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        // What it sends is on its way when send() returns: the system must not hold a second small write back.
+        // Sent bytes have to be on their way when send() returns: the system must not hold a second small write back.
         const int on = 1;
         ::setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
         if (receive_buffer_bytes > 0)
@@ -39,65 +39,72 @@
     void send(const std::string& bytes) const {
         REQUIRE(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
     }
-    void try_send(
-        const std::string& bytes) {  // the system tells of a reset once: here, if this is the first to ask
+    /// Sends on a connection that may have been reset. The system tells of a reset once, perhaps here.
+    void try_send(const std::string& bytes) {
         if (::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0)
             was_reset = was_reset || errno == ECONNRESET;
     }
     void half_close() const { ::shutdown(fd_, SHUT_WR); }
     void close() { ::close(std::exchange(fd_, -1)); }
-    void read_available() {  // what has come so far
+    /// Reads what has come so far.
+    void read_available() {
         if (fd_ < 0)
             return;
-        char b[4096];
-        ssize_t n = 0;
-        while ((n = ::recv(fd_, b, sizeof b, MSG_DONTWAIT)) > 0)
-            received.append(b, static_cast<std::size_t>(n));
-        is_closed = is_closed || n == 0;
-        was_reset = was_reset || (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
-    }
-    bool is_over() { return read_available(), is_closed || was_reset; }
+        char buffer[4096];
+        ssize_t size = 0;
+        while ((size = ::recv(fd_, buffer, sizeof buffer, MSG_DONTWAIT)) > 0)
+            received.append(buffer, static_cast<std::size_t>(size));
+        is_closed = is_closed || size == 0;
+        was_reset = was_reset || (size < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
+    }
+    bool is_over() {
+        read_available();
+        return is_closed || was_reset;
+    }
     bool has_received(const std::string& text) {
-        return read_available(), received.find(text) != std::string::npos;
+        read_available();
+        return received.find(text) != std::string::npos;
     }
 
     std::string received;
-    bool connect_refused = false, is_closed = false, was_reset = false;
+    bool connect_refused = false;
+    bool is_closed = false;
+    bool was_reset = false;
 
 private:
     int fd_;
 };
 
-// Runs everything at once, a repeat excepted: it shares the outcome of the run that it repeats.
-struct RunAllController final : cressledge::policy::AdmissionController {
-    explicit RunAllController(cressledge::policy::Settings settings) : policy_settings(std::move(settings)) {}
-    const cressledge::policy::Settings policy_settings;
-    std::optional<cressledge::policy::RequestArrived> last_request;
-    void handle(Timestamp, const cressledge::policy::Event& e,
-                std::vector<cressledge::policy::Action>& out) override {
-        const auto* r = std::get_if<cressledge::policy::RequestArrived>(&e);
+/// Runs everything at once, except a repeat: it shares the result of the request that it repeats.
+struct RunAllController final : policy::AdmissionController {
+    explicit RunAllController(policy::Settings settings) : policy_settings(std::move(settings)) {}
+    const policy::Settings policy_settings;
+    std::optional<policy::RequestArrived> last_request;
+    void handle(Timestamp, const policy::Event& e, std::vector<policy::Action>& out) override {
+        const auto* r = std::get_if<policy::RequestArrived>(&e);
         if (r == nullptr)
             return;
         last_request = *r;
-        const cressledge::policy::RequestClass& c = policy_settings.classes[r->class_index];
+        const policy::RequestClass& c = policy_settings.classes[r->class_index];
         if (r->repeated_id != 0)
-            return out.emplace_back(cressledge::policy::ReplayResult{r->id}), void();
-        if (c.idempotency == cressledge::policy::Idempotency::with_key)
-            out.emplace_back(cressledge::policy::RetainKey{r->id, c.idempotency_window - r->age});
-        out.emplace_back(cressledge::policy::Run{r->id});
+            return out.emplace_back(policy::ReplayResult{r->id}), void();
+        if (c.idempotency == policy::Idempotency::with_key)
+            out.emplace_back(policy::RetainKey{r->id, c.idempotency_window - r->age});
+        out.emplace_back(policy::Run{r->id});
     }
 };
 
 enum class Protocol { http, scgi };
 inline constexpr Protocol all_protocols[] = {Protocol::http, Protocol::scgi};
 
-// One front before a core whose runs the test ends.
+/// One frontend before a request manager whose runs the test ends.
 struct FrontendFixture : request::Executor, request::DependencyClient, request::ConnectionSettingsSink {
     TestLoop test_loop;
     const Protocol protocol;
     connection_admission::DescriptorPlan plan;
     connection_admission::FileDescriptorBudget descriptors;
-    RunAllController* controller;  // the core has it
+    /// Owned by `server`.
+    RunAllController* controller;
     request::RequestManager server;
     frontend::ConnectionAdmitter admitter;
     frontend::FieldDefaults defaults{7, 24.0};
@@ -110,7 +117,7 @@
         needs.rejection_slots = 4;
         return connection_admission::plan_descriptors(256, 0, needs, connections);
     }
-    // `sends`: bytes that the system takes from the program for each connection before the peer does; 0: its own measure.
+    /// `send_buffer_bytes`: what the system takes from the program for each connection before the peer does; 0: its default.
     static net::ListenEndpoint make_listening(int send_buffer_bytes) {
         if (send_buffer_bytes == 0)
             return net::ListenEndpoint{loopback_address(0)};
@@ -127,14 +134,14 @@
     }
     explicit FrontendFixture(Protocol protocol_under_test, frontend::Frontend::Limits limits = {},
                              std::uint32_t connections = 64, Duration stop_delay = Duration(3'000'000),
-                             const cressledge::policy::Settings& policy_settings = test_settings(),
+                             const policy::Settings& policy_settings = test_settings(),
                              int send_buffer_bytes = 0)
         : protocol(protocol_under_test),
           plan(make_plan(connections)),
           descriptors(plan),
           controller(new RunAllController(policy_settings)),
-          server(policy_settings, std::unique_ptr<cressledge::policy::AdmissionController>(controller),
-                 test_loop.loop, test_loop.timers),
+          server(policy_settings, std::unique_ptr<policy::AdmissionController>(controller), test_loop.loop,
+                 test_loop.timers),
           admitter(test_loop.timers, server, descriptors, make_admission_settings(plan), 1),
           shutdown_coordinator(test_loop.loop, test_loop.timers, server, stop_delay) {
         server.attach(*this, *this, *this);
@@ -161,7 +168,7 @@
 
     frontend::Frontend& frontend() { return shutdown_coordinator.last_frontend(); }
     std::uint64_t requests_read() const { return server.counts().received; }
-    // `more`: fields by their names on the wire, with their values.
+    /// A whole request of the fixture's protocol. `extra_fields`: names on the wire, and values.
     std::string request(const std::string& class_name = "map-order", const std::string& body = "x",
                         const std::vector<std::pair<std::string, std::string>>& extra_fields = {}) {
         if (protocol == Protocol::http) {
@@ -180,25 +187,26 @@
         }
         return std::to_string(head.size()) + ':' + head + ',' + body;
     }
-    // A connection that has been accepted and has nothing in hand: over HTTP one that has been answered before.
-    // `receives`: bytes that the system takes for it before it reads.
+    /// A connection that has been accepted and has no request in flight: over HTTP one that has had a response.
+    /// `receive_buffer_bytes`: what the system takes for it before it reads; 0: its default.
     std::unique_ptr<RawClient> open_idle_connection(int receive_buffer_bytes = 0) {
-        auto r = std::make_unique<RawClient>(frontend().port(), receive_buffer_bytes);
-        const std::size_t had = open_connections();
-        test_loop.run_until([&] { return open_connections() == had + 1; }, true);
+        auto client = std::make_unique<RawClient>(frontend().port(), receive_buffer_bytes);
+        const std::size_t open_before = open_connections();
+        test_loop.run_until([&] { return open_connections() == open_before + 1; }, true);
         if (protocol == Protocol::scgi)
-            return r;
-        r->send("GET /healthz HTTP/1.1\r\n\r\n");
-        test_loop.run_until([&] { return r->has_received("\r\n\r\n"); });
-        r->received.clear();
-        return r;
+            return client;
+        client->send("GET /healthz HTTP/1.1\r\n\r\n");
+        test_loop.run_until([&] { return client->has_received("\r\n\r\n"); });
+        client->received.clear();
+        return client;
     }
     std::size_t open_connections() { return admitter.limiter().open_connections(); }
     void finish_all() {
-        for (const request::RequestId no : std::exchange(running_ids, {}))
-            server.run_finished(no, request::RunResult::succeeded, "a whole map");
+        for (const request::RequestId id : std::exchange(running_ids, {}))
+            server.run_finished(id, request::RunResult::succeeded, "a whole map");
     }
-    void expect_served(RawClient& client) {  // one whole answer, then a clean end
+    /// One whole response, then a clean end.
+    void expect_served(RawClient& client) {
         test_loop.run_until([&] { return client.is_over(); });
         INFO(client.received);
         CHECK(client.has_received(" 200 OK\r\n"));
--- a/tests/cressledge/main.cpp
+++ b/tests/cressledge/main.cpp
@@ -1,3 +1,4 @@
+// Runs the tests with the program's log kept in memory.
 #define CATCH_CONFIG_RUNNER
 #include <spdlog/sinks/ostream_sink.h>
 #include <spdlog/spdlog.h>
@@ -18,6 +19,6 @@
 
 int main(int argc, char** argv) {
     const auto sink = std::make_shared<spdlog::sinks::ostream_sink_st>(log_lines);
-    spdlog::set_default_logger(std::make_shared<spdlog::logger>("story", sink));
+    spdlog::set_default_logger(std::make_shared<spdlog::logger>("test", sink));
     return Catch::Session().run(argc, argv);
 }
--- a/tests/cressledge/protocol_parity_test.cpp
+++ b/tests/cressledge/protocol_parity_test.cpp
@@ -1,269 +1,348 @@
-// The proof for two fronts: one scripted Friday evening, played over HTTP and again over SCGI, against a stand-in
-// server on loopback. The script drives the core's clock: each step ends when all that it set off has come to
-// rest, so that the machine's speed has no part in the verdict.
+// Parity of the two protocols: one scripted load with an overload and a drain, played over HTTP and again over SCGI
+// against a fake upstream host on loopback. The script drives the clock, and each step ends when all that it set off has
+// settled, so that the machine's speed has no part in the result.
 #include <algorithm>
-#include <map>
+#include <array>
+#include <cstring>
+#include <iterator>
 #include <random>
 
-#include "support.hpp"
-#include "upstream/gateway.hpp"
+#include "frontend_fixture.hpp"
+#include "gateway_fixture.hpp"
 
 namespace {
 
 using namespace cressledge::testing;
 
-struct ScriptedRequest {  // one request of the script
+constexpr const char* class_names[] = {"trail-sheet", "route-profile", "map-order"};
+constexpr std::size_t class_count = 3;
+constexpr std::size_t order_class = 2;
+constexpr int script_ms = 14'000;
+constexpr int shutdown_ms = 11'000;
+constexpr int step_ms = 5;
+/// After the grace of the drain only orders come, and none of them may run.
+constexpr int late_ms = shutdown_ms + 2'000;
+
+struct ScriptedRequest {
     Timestamp send_at{0};
     std::size_t class_index = 0;
     int work_ms = 0;
-    Duration caller_timeout{0};  // its client closes then, unless it is answered
+    /// The client disconnects then, unless it has its response.
+    Duration caller_timeout{0};
 };
 
-const char* const kinds[] = {"trail-sheet", "route-profile", "map-order"};
-constexpr int day_ms = 14'000, leave_ms = 11'000, step_ms = 5;
+/// Light load, then 1.6 times what the upstream's four cores can do, then light load again, and a drain at the end.
+class RequestScript {
+public:
+    std::vector<ScriptedRequest> make() {
+        std::vector<ScriptedRequest> script;
+        for (int ms = 0; ms < script_ms - 550; ms += step_ms) {
+            const bool is_late = ms > late_ms;
+            const bool is_light = ms < 2'500 || ms > 8'500;
+            const int per_second = !is_late && is_light ? 9 : 26;
+            if (below(1'000 / step_ms) < per_second)
+                script.push_back(make_request(ms, is_late));
+        }
+        return script;
+    }
 
-// Calm, then 1.6 times what the stand-in's four cores do, then calm again, and a drain at the end.
-std::vector<ScriptedRequest> make_request_script() {
-    std::mt19937 random(5);  // the same numbers on every machine, unlike the library's distributions
-    const auto below = [&random](unsigned n) { return static_cast<int>(random() % n); };
-    std::vector<ScriptedRequest> all;
-    for (int ms = 0; ms < day_ms - 550; ms += step_ms) {
-        const bool late =
-            ms > leave_ms + 2'000;  // past the grace of the drain: orders only, none of which may run
-        const int per_second = !late && (ms < 2'500 || ms > 8'500) ? 9 : 26;
-        if (below(1'000 / step_ms) >= per_second)
-            continue;
+private:
+    ScriptedRequest make_request(int ms, bool is_late) {
         const int dice = below(100);
-        ScriptedRequest a;
-        a.send_at = Timestamp(ms * 1000);
-        a.class_index = late ? 2 : dice < 46 ? 0 : dice < 90 ? 1 : 2;
-        a.work_ms = (a.class_index == 0 ? 200 : a.class_index == 1 ? 120 : 300) + below(150);
-        a.caller_timeout = below(12) == 0 ? Duration(400'000) : Duration(60'000'000);
-        all.push_back(a);
+        ScriptedRequest request;
+        request.send_at = Timestamp(ms * 1000);
+        request.class_index = is_late ? order_class : class_of(dice);
+        constexpr int base_work_ms[class_count] = {200, 120, 300};
+        request.work_ms = base_work_ms[request.class_index] + below(150);
+        request.caller_timeout = below(12) == 0 ? Duration(400'000) : Duration(60'000'000);
+        return request;
     }
-    return all;
-}
+    static std::size_t class_of(int dice) {
+        if (dice < 46)
+            return 0;
+        return dice < 90 ? 1 : order_class;
+    }
+    int below(unsigned limit) { return static_cast<int>(random_() % limit); }
 
-struct
-    FakeMultiCoreUpstream {  // four cores, shared by all that is in hand; answers when the script's clock says so
-    struct Job {
-        std::unique_ptr<StreamPeer> peer;
-        double left_ms = -1.0;  // below 0: the call is not whole yet
-        std::string body;
-        bool done = false;
-    };
-    TestLoop& test_loop;
-    const bool uses_scgi;
-    std::vector<std::unique_ptr<Job>> jobs;
-    std::unique_ptr<net::Listener> listener;
-    std::size_t received = 0;
+    /// The same numbers on every machine, unlike the library's distributions.
+    std::mt19937 random_{5};
+};
+
+/// Four cores, shared by all calls in flight; responds when the script's clock says so.
+class FakeMultiCoreUpstream {
+public:
+    FakeMultiCoreUpstream(TestLoop& test_loop, bool uses_scgi)
+        : uses_scgi_(uses_scgi), listener_(test_loop.loop.uv(), loopback_address(0), [this] { accept(); }) {}
 
-    FakeMultiCoreUpstream(TestLoop& world, bool speaks_scgi) : test_loop(world), uses_scgi(speaks_scgi) {
-        listener = std::make_unique<net::Listener>(test_loop.loop.uv(), loopback_address(0), [this] {
-            jobs.push_back(std::make_unique<Job>());
-            jobs.back()->peer = std::make_unique<StreamPeer>();
-            StreamPeer& p = *jobs.back()->peer;
-            p.stream = net::Stream::accept(*listener, p);
-        });
+    int port() const { return listener_.port(); }
+    std::size_t received_calls() const { return received_calls_; }
+    std::size_t open_calls() const {
+        return static_cast<std::size_t>(
+            std::count_if(calls_.begin(), calls_.end(), [](const auto& call) { return call->is_running(); }));
     }
-    void
-    read_calls() {  // takes in the calls that have come whole: their body is the work, and ends in a stop
-        for (auto& j : jobs) {
-            if (j->left_ms >= 0.0 || j->peer->received.empty() || j->peer->received.back() != '.')
+    /// Takes in the calls that are complete: their body is the work in milliseconds, and ends in a full stop.
+    void read_calls() {
+        for (auto& call : calls_) {
+            const std::string& received = call->peer.received;
+            if (call->left_ms >= 0.0 || received.empty() || received.back() != '.')
                 continue;
-            const std::size_t from =
-                uses_scgi ? j->peer->received.rfind(',') + 1 : j->peer->received.rfind('\n') + 1;
-            j->body = j->peer->received.substr(from);
-            j->left_ms = std::stod(j->body);
-            ++received;
+            call->body = received.substr(received.rfind(uses_scgi_ ? ',' : '\n') + 1);
+            call->left_ms = std::stod(call->body);
+            ++received_calls_;
         }
     }
-    std::size_t open() const {
-        return static_cast<std::size_t>(std::count_if(jobs.begin(), jobs.end(), [](const auto& j) {
-            return j->left_ms >= 0.0 && !j->done && !j->peer->is_closed;
-        }));
-    }
     void advance(double ms) {
-        const double share = std::min(1.0, 4.0 / std::max(1.0, static_cast<double>(open())));
-        for (auto& j : jobs) {
-            if (j->left_ms < 0.0 || j->done || j->peer->is_closed)
-                continue;
-            j->left_ms = std::max(0.0, j->left_ms - ms * share);
-            if (j->left_ms > 0.0)
+        const double core_share = std::min(1.0, cores / std::max(1.0, static_cast<double>(open_calls())));
+        for (auto& call : calls_) {
+            if (!call->is_running())
                 continue;
-            j->done = true;
-            const std::string result = "map of " + j->body;
-            const std::string start = uses_scgi ? "Status: 200 OK\r\n" : "HTTP/1.1 200 OK\r\n";
-            j->peer->send(start + "Content-Length: " + std::to_string(result.size()) + "\r\n\r\n" + result);
-            j->peer->stream->shut_down_writes();
+            call->left_ms = std::max(0.0, call->left_ms - ms * core_share);
+            if (call->left_ms <= 0.0)
+                respond(*call);
         }
     }
+
+private:
+    static constexpr double cores = 4.0;
+
+    struct Call {
+        StreamPeer peer;
+        /// Below 0: the call is incomplete.
+        double left_ms = -1.0;
+        std::string body;
+        bool has_response = false;
+        bool is_running() const { return left_ms >= 0.0 && !has_response && !peer.is_closed; }
+    };
+
+    void accept() {
+        calls_.push_back(std::make_unique<Call>());
+        StreamPeer& peer = calls_.back()->peer;
+        peer.stream = net::Stream::accept(listener_, peer);
+    }
+    void respond(Call& call) const {
+        call.has_response = true;
+        const std::string result = "map of " + call.body;
+        const std::string status = uses_scgi_ ? "Status: 200 OK\r\n" : "HTTP/1.1 200 OK\r\n";
+        call.peer.send(status + "Content-Length: " + std::to_string(result.size()) + "\r\n\r\n" + result);
+        call.peer.stream->shut_down_writes();
+    }
+
+    const bool uses_scgi_;
+    std::vector<std::unique_ptr<Call>> calls_;
+    std::size_t received_calls_ = 0;
+    net::Listener listener_;
 };
 
-struct Figures {
-    std::map<std::string, int> finals;  // by class and outcome
-    double asked = 0.0, earned = 0.0;
-    int late_orders = 0, late_orders_refused = 0, odd_results = 0;
-    double service() const { return earned / asked; }
-    int count(const std::string& outcome) const {
-        int n = 0;
-        for (const auto& [what, times] : finals)
-            if (what.find(outcome) != std::string::npos)
-                n += times;
-        return n;
+enum class Outcome { served, rejected, failed, cancelled };
+constexpr Outcome all_outcomes[] = {Outcome::served, Outcome::rejected, Outcome::failed, Outcome::cancelled};
+
+const char* to_string(Outcome outcome) {
+    constexpr const char* names[] = {"served", "rejected", "failed", "cancelled"};
+    return names[static_cast<std::size_t>(outcome)];
+}
+
+/// What a run of the script came to.
+struct Totals {
+    std::array<std::array<int, std::size(all_outcomes)>, class_count> counts{};
+    double offered_weight = 0.0;
+    double earned_weight = 0.0;
+    int late_orders = 0;
+    int late_orders_rejected = 0;
+    int wrong_results = 0;
+
+    double earned_fraction() const { return earned_weight / offered_weight; }
+    int count(std::size_t class_index, Outcome outcome) const {
+        return counts[class_index][static_cast<std::size_t>(outcome)];
+    }
+    int count(Outcome outcome) const {
+        int total = 0;
+        for (std::size_t i = 0; i < class_count; ++i)
+            total += count(i, outcome);
+        return total;
+    }
+    int count() const {
+        int total = 0;
+        for (const Outcome outcome : all_outcomes)
+            total += count(outcome);
+        return total;
+    }
+    std::string summary() const {
+        std::string text;
+        for (const Outcome outcome : all_outcomes)
+            text += std::string(to_string(outcome)) + ' ' + std::to_string(count(outcome)) + ", ";
+        return text + "earned " + std::to_string(earned_fraction());
     }
 };
 
-struct ProtocolRun {
-    TestLoop test_loop;
-    ManualClock clock;
-    base::TimerQueue timers;
-    TemporaryDirectory directory;
-    FakeMultiCoreUpstream upstream_server;
-    std::unique_ptr<upstream::UpstreamGateway> gateway;
-    const bool uses_scgi;
+/// The script played over one protocol.
+class ProtocolRun {
+public:
+    explicit ProtocolRun(Protocol protocol)
+        : uses_scgi_(protocol == Protocol::scgi), upstream_host_(test_loop_, uses_scgi_) {
+        config::OperatorConfig config;
+        config.inventory_path = directory_.write_file(
+            "s.csv",
+            "name,address,protocol,group\nstand-in,127.0.0.1:" + std::to_string(upstream_host_.port()) + ',' +
+                (uses_scgi_ ? "scgi" : "http") + ",all\n");
+        config.policy_settings = test_settings();
+        for (auto& request_class : config.policy_settings.classes)
+            request_class.late_priority_weight = request_class.priority_weight < 5 ? 0.2 : 0.0;
+        (uses_scgi_ ? config.scgi_address : config.http_address) = "127.0.0.1:0";
+        gateway_ = std::make_unique<upstream::UpstreamGateway>(test_loop_.loop, timers_, clock_, config, 11);
+    }
+
+    Totals play() {
+        const std::vector<ScriptedRequest> script = RequestScript().make();
+        std::size_t next = 0;
+        for (int ms = 0; ms < script_ms; ms += step_ms) {
+            clock_.now = start_ + Duration(ms * 1000);
+            upstream_host_.advance(step_ms);
+            settle();
+            if (ms == shutdown_ms)
+                gateway_->begin_graceful_shutdown();
+            for (; next < script.size() && script[next].send_at <= Timestamp(ms * 1000); ++next)
+                send(script[next]);
+            cancel_timed_out();
+        }
+        return totals_;
+    }
+
+private:
     struct Client {
-        ScriptedRequest asked;
+        ScriptedRequest request;
         std::string body;
         std::unique_ptr<StreamPeer> peer;
         bool is_done = false;
     };
-    std::vector<Client> clients;
-    Figures figures;
-    std::size_t answer_count = 0, cancelled_count = 0;
 
-    explicit ProtocolRun(bool over_scgi) : upstream_server(test_loop, over_scgi), uses_scgi(over_scgi) {
-        config::OperatorConfig o;
-        o.inventory_path =
-            directory.write_file("s.csv", "name,address,protocol,group\nstand-in,127.0.0.1:" +
-                                              std::to_string(upstream_server.listener->port()) + ',' +
-                                              (uses_scgi ? "scgi" : "http") + ",all\n");
-        o.policy_settings = test_settings();
-        for (auto& c : o.policy_settings.classes)
-            c.late_priority_weight = c.priority_weight < 5 ? 0.2 : 0.0;
-        (uses_scgi ? o.scgi_address : o.http_address) = "127.0.0.1:0";
-        gateway = std::make_unique<upstream::UpstreamGateway>(test_loop.loop, timers, clock, o, 11);
+    const policy::RequestClass& class_of(const ScriptedRequest& request) const {
+        return gateway_->request_manager().settings().classes[request.class_index];
     }
-    void settle() {  // until nothing is on its way between client, core and stand-in
-        const auto& n = gateway->request_manager().counts();
-        test_loop.run_until(
+
+    /// Until nothing is on its way between clients, gateway and upstream host.
+    void settle() {
+        test_loop_.run_until(
             [&] {
-                timers.run_due(clock.now);
-                upstream_server.read_calls();
-                take_answers();
-                const bool due = timers.next_due() && *timers.next_due() <= clock.now;
-                return !due && answer_count == n.served + n.rejected + n.failed &&
-                       cancelled_count == n.cancelled && upstream_server.received == n.runs_started &&
-                       upstream_server.open() == n.runs_started - n.runs_finished;
+                timers_.run_due(clock_.now);
+                upstream_host_.read_calls();
+                read_responses();
+                return is_settled();
             },
             false);
     }
-    void take_answers() {
-        for (Client& c : clients) {
-            if (c.is_done || !c.peer)
-                continue;
-            const std::size_t head = c.peer->received.find("\r\n\r\n");
-            if (head == std::string::npos || (uses_scgi && !c.peer->is_closed))
-                continue;
-            const std::string result = c.peer->received.substr(head + 4), wanted = "map of " + c.body;
-            const std::string status = c.peer->received.substr(uses_scgi ? 8 : 9, 3);
-            if (status == "200" && result.size() < wanted.size())
-                continue;
-            c.is_done = true;
-            ++answer_count;
-            const auto& k = gateway->request_manager().settings().classes[c.asked.class_index];
-            const Duration took = clock.now - start - c.asked.send_at;
-            if (status == "200") {
-                figures.odd_results += result != wanted;
-                figures.earned +=
-                    k.priority_weight * (took <= k.latency_objective ? 1.0 : k.late_priority_weight);
-            }
-            const bool late = c.asked.send_at > Timestamp((leave_ms + 2'000) * 1000);
-            figures.late_orders += late;
-            figures.late_orders_refused += late && status == "503";
-            const char* how = status == "200" ? "served" : status == "503" ? "refused" : "failed";
-            ++figures.finals[std::string(kinds[c.asked.class_index]) + ' ' + how];
-            c.peer->close();
-        }
+    bool is_settled() {
+        const auto& counts = gateway_->request_manager().counts();
+        const bool is_timer_due = timers_.next_due() && *timers_.next_due() <= clock_.now;
+        return !is_timer_due && response_count_ == counts.served + counts.rejected + counts.failed &&
+               cancelled_count_ == counts.cancelled &&
+               upstream_host_.received_calls() == counts.runs_started &&
+               upstream_host_.open_calls() == counts.runs_started - counts.runs_finished;
+    }
+
+    void read_responses() {
+        for (Client& client : clients_)
+            if (!client.is_done && client.peer)
+                read_response(client);
     }
-    void send_request(const ScriptedRequest& a) {
-        Client& c = clients.emplace_back();
-        c.asked = a;
-        c.body = std::to_string(a.work_ms) + '.';
-        figures.asked += gateway->request_manager().settings().classes[a.class_index].priority_weight;
-        c.peer = connect_peer(test_loop, uses_scgi ? gateway->scgi_port() : gateway->http_port());
-        const std::string path = std::string("/v1/") + kinds[a.class_index],
-                          length = std::to_string(c.body.size());
-        if (uses_scgi) {
-            std::string head = binary_literal("CONTENT_LENGTH\0");
-            head += length +
-                    std::string(
-                        "\0SCGI\0"
-                        "1\0REQUEST_METHOD\0POST\0REQUEST_URI\0",
-                        40) +
-                    path + '\0';
-            c.peer->send(std::to_string(head.size()) + ':' + head + ',' + c.body);
-        } else {
-            c.peer->send("POST " + path + " HTTP/1.1\r\nContent-Length: " + length + "\r\n\r\n" + c.body);
+    void read_response(Client& client) {
+        const std::string& received = client.peer->received;
+        const std::size_t head_end = received.find("\r\n\r\n");
+        if (head_end == std::string::npos || (uses_scgi_ && !client.peer->is_closed))
+            return;
+        const std::string result = received.substr(head_end + 4);
+        const std::string expected = "map of " + client.body;
+        const std::string status = received.substr(std::strlen(uses_scgi_ ? "Status: " : "HTTP/1.1 "), 3);
+        if (status == "200" && result.size() < expected.size())
+            return;
+        ++response_count_;
+        if (status == "200") {
+            totals_.wrong_results += result != expected;
+            totals_.earned_weight += earned_weight(client.request);
         }
-        const std::size_t read = clients.size();
-        test_loop.run_until([&] { return gateway->request_manager().counts().received == read; });
+        const bool is_late = client.request.send_at > Timestamp(late_ms * 1000);
+        totals_.late_orders += is_late;
+        totals_.late_orders_rejected += is_late && status == "503";
+        finish(client, outcome_of(status));
+    }
+    static Outcome outcome_of(const std::string& status) {
+        if (status == "200")
+            return Outcome::served;
+        return status == "503" ? Outcome::rejected : Outcome::failed;
+    }
+    double earned_weight(const ScriptedRequest& request) const {
+        const policy::RequestClass& request_class = class_of(request);
+        const Duration latency = clock_.now - start_ - request.send_at;
+        const bool is_late = latency > request_class.latency_objective;
+        return request_class.priority_weight * (is_late ? request_class.late_priority_weight : 1.0);
+    }
+    void finish(Client& client, Outcome outcome) {
+        client.is_done = true;
+        ++totals_.counts[client.request.class_index][static_cast<std::size_t>(outcome)];
+        client.peer->close();
+    }
+
+    void send(const ScriptedRequest& request) {
+        Client& client = clients_.emplace_back();
+        client.request = request;
+        client.body = std::to_string(request.work_ms) + '.';
+        totals_.offered_weight += class_of(request).priority_weight;
+        client.peer = connect_peer(test_loop_, uses_scgi_ ? gateway_->scgi_port() : gateway_->http_port());
+        const char* class_name = class_names[request.class_index];
+        client.peer->send(uses_scgi_ ? scgi_request(class_name, client.body)
+                                     : http_request(class_name, client.body));
+        const std::size_t sent = clients_.size();
+        test_loop_.run_until([&] { return gateway_->request_manager().counts().received == sent; });
         settle();
     }
-    Figures play() {
-        const std::vector<ScriptedRequest> script = make_request_script();
-        std::size_t next = 0;
-        for (int ms = 0; ms < day_ms; ms += step_ms) {
-            clock.now = start + Duration(ms * 1000);
-            upstream_server.advance(step_ms);
+    void cancel_timed_out() {
+        for (Client& client : clients_) {
+            const Timestamp timeout = client.request.send_at + client.request.caller_timeout;
+            if (client.is_done || clock_.now - start_ < timeout)
+                continue;
+            ++cancelled_count_;
+            finish(client, Outcome::cancelled);
             settle();
-            if (ms == leave_ms)
-                gateway->begin_graceful_shutdown();
-            for (; next < script.size() && script[next].send_at <= Timestamp(ms * 1000); ++next)
-                send_request(script[next]);
-            for (Client& c : clients) {
-                if (c.is_done || clock.now - start < c.asked.send_at + c.asked.caller_timeout)
-                    continue;
-                c.is_done = true;
-                ++cancelled_count;
-                ++figures.finals[std::string(kinds[c.asked.class_index]) + " gone"];
-                c.peer->close();
-                settle();
-            }
         }
-        return figures;
     }
-    const Timestamp start = clock.now;
+
+    const bool uses_scgi_;
+    TestLoop test_loop_;
+    ManualClock clock_;
+    const Timestamp start_ = clock_.now;
+    base::TimerQueue timers_;
+    TemporaryDirectory directory_;
+    FakeMultiCoreUpstream upstream_host_;
+    std::unique_ptr<upstream::UpstreamGateway> gateway_;
+    std::vector<Client> clients_;
+    Totals totals_;
+    std::size_t response_count_ = 0;
+    std::size_t cancelled_count_ = 0;
 };
 
-TEST_CASE("a Friday evening fares alike over HTTP and over SCGI") {
-    const Figures http = ProtocolRun(false).play(), scgi = ProtocolRun(true).play();
-    const int all = http.count("");
-    INFO("HTTP: served " << http.count("served") << ", refused " << http.count("refused") << ", failed "
-                         << http.count("failed") << ", gone " << http.count("gone") << ", service "
-                         << http.service());
-    INFO("SCGI: served " << scgi.count("served") << ", refused " << scgi.count("refused") << ", failed "
-                         << scgi.count("failed") << ", gone " << scgi.count("gone") << ", service "
-                         << scgi.service());
-    // The evening has to be worth comparing.
+TEST_CASE("HTTP and SCGI: one scripted load gets the same outcomes over either protocol") {
+    const Totals http = ProtocolRun(Protocol::http).play();
+    const Totals scgi = ProtocolRun(Protocol::scgi).play();
+    const int all = http.count();
+    INFO("HTTP: " << http.summary());
+    INFO("SCGI: " << scgi.summary());
+    // The load has to be worth comparing.
     CHECK(all > 150);
-    CHECK(http.count("served") > all / 2);
-    CHECK(http.count("refused") > all / 50);
-    CHECK(http.count("gone") > 0);
-    CHECK(scgi.count("") == all);
-    for (const char* kind : kinds)
-        for (const char* how : {" served", " refused", " failed", " gone"}) {
-            INFO(kind << how);
-            const int a = http.count(kind + std::string(how)), b = scgi.count(kind + std::string(how));
-            CHECK(std::abs(a - b) <= 0.02 * all);
+    CHECK(http.count(Outcome::served) > all / 2);
+    CHECK(http.count(Outcome::rejected) > all / 50);
+    CHECK(http.count(Outcome::cancelled) > 0);
+    CHECK(scgi.count() == all);
+    for (std::size_t i = 0; i < class_count; ++i)
+        for (const Outcome outcome : all_outcomes) {
+            INFO(class_names[i] << ' ' << to_string(outcome));
+            CHECK(std::abs(http.count(i, outcome) - scgi.count(i, outcome)) <= 0.02 * all);
         }
-    CHECK(std::abs(http.service() - scgi.service()) <= 0.02 * http.service());
-    CHECK(http.odd_results + scgi.odd_results == 0);
+    CHECK(std::abs(http.earned_fraction() - scgi.earned_fraction()) <= 0.02 * http.earned_fraction());
+    CHECK(http.wrong_results + scgi.wrong_results == 0);
     CHECK(http.late_orders > 0);
-    CHECK(http.late_orders_refused == http.late_orders);
-    CHECK(scgi.late_orders_refused == http.late_orders);
-    WARN("served " << http.count("served") << " and " << scgi.count("served") << " of " << all << ", service "
-                   << http.service() << " and " << scgi.service());
+    CHECK(http.late_orders_rejected == http.late_orders);
+    CHECK(scgi.late_orders_rejected == http.late_orders);
+    WARN("served " << http.count(Outcome::served) << " and " << scgi.count(Outcome::served) << " of " << all
+                   << ", earned " << http.earned_fraction() << " and " << scgi.earned_fraction());
 }
 
 }  // namespace
--- a/tests/cressledge/scgi_test.cpp
+++ b/tests/cressledge/scgi_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the operator's set-up: small SCGI clients and servers of our own, on loopback.
+// The gateway over SCGI: protocol, errors and calls to hosts of an inventory; clients and hosts are sockets on loopback.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -16,10 +16,11 @@
     std::unique_ptr<upstream::UpstreamGateway> gateway;
     config::OperatorConfig config;
 
-    explicit ScgiGatewayFixture(const std::string& protocol = "scgi", Duration whole = Duration(5'000'000)) {
+    explicit ScgiGatewayFixture(const std::string& protocol = "scgi",
+                                Duration request_timeout = Duration(5'000'000)) {
         config.scgi_address = config.http_address = "127.0.0.1:0";
         config.inventory_path = write_inventory(protocol);
-        config.request_timeout = whole;
+        config.request_timeout = request_timeout;
         config.stop_delay = Duration(900'000);
         config.policy_settings = test_settings();
         gateway = std::make_unique<upstream::UpstreamGateway>(test_loop.loop, test_loop.timers,
@@ -53,39 +54,40 @@
     }
 };
 
-TEST_CASE("an old client that knows no platform fields reaches a server over SCGI, byte for byte") {
-    ScgiGatewayFixture o;
+TEST_CASE("SCGI: a request without platform fields reaches the upstream host byte for byte") {
+    ScgiGatewayFixture fixture;
     const std::string body = binary_literal("\0,1:\r\n"), result = binary_literal("\r\n\r\n\0x");
     const std::string request = ScgiGatewayFixture::scgi_request("/maps/trail-sheet?x=1", body);
-    auto c = o.client();
+    auto c = fixture.client();
     for (const char byte : request) {  // however it is split
         c->send(std::string(1, byte));
-        o.test_loop.loop.run_once(false);
+        fixture.test_loop.loop.run_once(false);
     }
-    o.test_loop.run_until([&] { return o.upstream_server.has_received("," + body); });
-    StreamPeer& up = o.upstream_server.latest_peer();
+    fixture.test_loop.run_until([&] { return fixture.upstream_server.has_received("," + body); });
+    StreamPeer& up = fixture.upstream_server.latest_peer();
     CHECK(up.has_received(binary_literal("REQUEST_URI\0/v1/trail-sheet\0")));
     CHECK(up.has_received("HTTP_TRACE_ID"));
     up.send("Status: 200 OK\r\nContent-Length: 6\r\n");
     up.send("\r\n" + result);
-    CHECK(o.read_status(*c) == "Status: 200 OK");
+    CHECK(fixture.read_status(*c) == "Status: 200 OK");
     CHECK(c->has_received("Content-Length: 6\r\n\r\n" + result));
 }
 
-TEST_CASE("an SCGI client reaches a new server that speaks HTTP") {
-    ScgiGatewayFixture o("http");
-    auto c = o.send_request(ScgiGatewayFixture::scgi_request("/route-profile", "x"));
-    o.test_loop.run_until([&] { return o.upstream_server.has_received("\r\n\r\nx"); });
-    CHECK(o.upstream_server.latest_peer().received.rfind("POST /v1/route-profile HTTP/1.1\r\n", 0) == 0);
-    o.upstream_server.latest_peer().send(
+TEST_CASE("SCGI: a request is translated for an upstream host that speaks HTTP") {
+    ScgiGatewayFixture fixture("http");
+    auto c = fixture.send_request(ScgiGatewayFixture::scgi_request("/route-profile", "x"));
+    fixture.test_loop.run_until([&] { return fixture.upstream_server.has_received("\r\n\r\nx"); });
+    CHECK(fixture.upstream_server.latest_peer().received.rfind("POST /v1/route-profile HTTP/1.1\r\n", 0) ==
+          0);
+    fixture.upstream_server.latest_peer().send(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nmap\r\n0\r\n\r\n");
-    CHECK(o.read_status(*c) == "Status: 200 OK");
+    CHECK(fixture.read_status(*c) == "Status: 200 OK");
     CHECK(c->has_received("\r\n\r\nmap"));
 }
 
-TEST_CASE("malformed and oversized headers are refused at once, and others keep moving") {
-    ScgiGatewayFixture o;
-    auto stalled = o.send_request("70:CONTENT_LENGTH");  // says no more, and is not waited for
+TEST_CASE("SCGI: malformed and oversized headers are rejected at once, and other connections go on") {
+    ScgiGatewayFixture fixture;
+    auto stalled = fixture.send_request("70:CONTENT_LENGTH");  // says no more, and is not waited for
     const std::string good = ScgiGatewayFixture::scgi_request("/trail-sheet", "");
     const auto net = [](const std::string& block, char end = ',') {
         return std::to_string(block.size()) + ':' + block + end;
@@ -116,51 +118,57 @@
     };
     for (const std::string& bad : bads) {
         INFO(bad);
-        auto c = o.send_request(bad);
-        CHECK(o.read_status(*c) == "Status: 400 Bad Request");
+        auto c = fixture.send_request(bad);
+        CHECK(fixture.read_status(*c) == "Status: 400 Bad Request");
     }
-    auto large = o.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", std::string(2049, 'x')));
-    CHECK(o.read_status(*large) == "Status: 413 Payload Too Large");
-    auto lost = o.send_request(ScgiGatewayFixture::scgi_request("/no-such-class", ""));
-    CHECK(o.read_status(*lost) == "Status: 404 Not Found");
-    auto wrong = o.send_request(
+    auto large =
+        fixture.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", std::string(2049, 'x')));
+    CHECK(fixture.read_status(*large) == "Status: 413 Payload Too Large");
+    auto lost = fixture.send_request(ScgiGatewayFixture::scgi_request("/no-such-class", ""));
+    CHECK(fixture.read_status(*lost) == "Status: 404 Not Found");
+    auto wrong = fixture.send_request(
         ScgiGatewayFixture::scgi_request("/trail-sheet", "", binary_literal("HTTP_TRACE_ID\0zz\0")));
-    CHECK(o.read_status(*wrong) == "Status: 400 Bad Request");
+    CHECK(fixture.read_status(*wrong) == "Status: 400 Bad Request");
     CHECK(stalled->received.empty());
-    auto c = o.send_request(good);
-    o.test_loop.run_until([&] { return o.upstream_server.peers.size() == 1; });
+    auto c = fixture.send_request(good);
+    fixture.test_loop.run_until([&] { return fixture.upstream_server.peers.size() == 1; });
 }
 
-TEST_CASE("a truncated header is refused when its client ends it, or by an absolute deadline") {
-    ScgiGatewayFixture o("scgi", Duration(150'000));
-    auto silent = o.client();
-    auto cut = o.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "body").substr(0, 40));
-    CHECK(o.read_status(*cut) == "Status: 400 Bad Request");
-    CHECK(o.read_status(*silent) == "Status: 400 Bad Request");
-    auto half = o.send_request("70:CONT");
+TEST_CASE("SCGI: a truncated header is rejected at the client's end of input, or by an absolute deadline") {
+    ScgiGatewayFixture fixture("scgi", Duration(150'000));
+    auto silent = fixture.client();
+    auto cut = fixture.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "body").substr(0, 40));
+    CHECK(fixture.read_status(*cut) == "Status: 400 Bad Request");
+    CHECK(fixture.read_status(*silent) == "Status: 400 Bad Request");
+    auto half = fixture.send_request("70:CONT");
     half->stream->shut_down_writes();
-    CHECK(o.read_status(*half) == "Status: 400 Bad Request");
-    CHECK(o.gateway->request_manager().counts().received == 0);
+    CHECK(fixture.read_status(*half) == "Status: 400 Bad Request");
+    CHECK(fixture.gateway->request_manager().counts().received == 0);
 }
 
-TEST_CASE("a reset after sending proves nothing: the write fails, and no other server is tried") {
-    ScgiGatewayFixture o;
-    o.directory.write_file("servers.csv", "name,address,protocol,group\nup," + o.upstream_server.address() +
-                                              ",scgi,maps\nspare," + o.spare_server.address() +
-                                              ",scgi,maps\n");
-    o.gateway->reload();
-    auto c = o.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
-    const auto both = [&] { return o.upstream_server.peers.size() + o.spare_server.peers.size(); };
-    o.test_loop.run_until(
-        [&] { return o.upstream_server.has_received(",pay") || o.spare_server.has_received(",pay"); });
-    (o.upstream_server.peers.empty() ? o.spare_server : o.upstream_server).latest_peer().close();
-    CHECK(o.read_status(*c) == "Status: 502 Bad Gateway");
+TEST_CASE("gateway: a write whose connection breaks after sending fails, and no other host is tried") {
+    ScgiGatewayFixture fixture;
+    fixture.directory.write_file("servers.csv", "name,address,protocol,group\nup," +
+                                                    fixture.upstream_server.address() + ",scgi,maps\nspare," +
+                                                    fixture.spare_server.address() + ",scgi,maps\n");
+    fixture.gateway->reload();
+    auto c = fixture.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
+    const auto both = [&] {
+        return fixture.upstream_server.peers.size() + fixture.spare_server.peers.size();
+    };
+    fixture.test_loop.run_until([&] {
+        return fixture.upstream_server.has_received(",pay") || fixture.spare_server.has_received(",pay");
+    });
+    (fixture.upstream_server.peers.empty() ? fixture.spare_server : fixture.upstream_server)
+        .latest_peer()
+        .close();
+    CHECK(fixture.read_status(*c) == "Status: 502 Bad Gateway");
     CHECK(both() == 1);
 }
 
 namespace {
 
-// A server that acts by plain system calls: it can break a connection off by a reset, which a Peer cannot.
+// An upstream host on plain system calls: it can reset a connection, which a StreamPeer cannot.
 struct RawServer {
     int listener_fd = net::open_listening_socket(loopback_address(0)), connection_fd = -1;
     std::string received;
@@ -188,133 +196,133 @@
 
 }  // namespace
 
-TEST_CASE(
-    "an answer up to the connection's end that a reset cuts off is no answer, and what is unsafe is never "
-    "called again") {
+TEST_CASE("gateway: a close-delimited response cut off by a reset is a failure, and a write is not retried") {
     for (const std::string& protocol : {std::string("scgi"), std::string("http")}) {
-        ScgiGatewayFixture o;
+        ScgiGatewayFixture fixture;
         RawServer raw;
         const bool scgi = protocol == "scgi";
-        o.directory.write_file(
+        fixture.directory.write_file(
             "servers.csv", "name,address,protocol,group\nup," + raw.address() + ',' + protocol + ",maps\n");
-        o.gateway->reload();
-        auto c = o.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
-        o.test_loop.run_until([&] { return raw.has_received(scgi ? ",pay" : "\r\n\r\npay"); }, false);
+        fixture.gateway->reload();
+        auto c = fixture.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
+        fixture.test_loop.run_until([&] { return raw.has_received(scgi ? ",pay" : "\r\n\r\npay"); }, false);
         raw.send(std::string(scgi ? "Status: 200 OK" : "HTTP/1.1 200 OK") + "\r\n\r\nhalf a rec");
         // The program has read the half before the reset comes: nothing but the reset tells that it is one.
         for (int i = 0; i < 5; ++i)
-            o.test_loop.loop.run_once(false);
+            fixture.test_loop.loop.run_once(false);
         raw.reset_connection();
-        CHECK(o.read_status(*c) == "Status: 502 Bad Gateway");
+        CHECK(fixture.read_status(*c) == "Status: 502 Bad Gateway");
         CHECK(c->received.find("half") == std::string::npos);
         CHECK_FALSE(raw.has_received("never"));
         CHECK(raw.calls == 1);
-        CHECK(o.gateway->request_manager().counts().failed == 1);
+        CHECK(fixture.gateway->request_manager().counts().failed == 1);
         // The same bytes, ended by the server itself, are an answer.
-        auto d = o.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
+        auto d = fixture.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
         raw.received.clear();
-        o.test_loop.run_until([&] { return raw.has_received(scgi ? ",pay" : "\r\n\r\npay"); }, false);
+        fixture.test_loop.run_until([&] { return raw.has_received(scgi ? ",pay" : "\r\n\r\npay"); }, false);
         raw.send(std::string(scgi ? "Status: 200 OK" : "HTTP/1.1 200 OK") + "\r\n\r\nhalf a rec");
         ::close(std::exchange(raw.connection_fd, -1));
-        CHECK(o.read_status(*d) == "Status: 200 OK");
+        CHECK(fixture.read_status(*d) == "Status: 200 OK");
         CHECK(d->has_received("half a rec"));
     }
 }
 
-TEST_CASE("a refused connection proves that nothing ran: the next server is called") {
-    ScgiGatewayFixture o;
-    o.directory.write_file("servers.csv", "name,address,protocol,group\nup," + o.upstream_server.address() +
-                                              ",scgi,maps\nspare," + o.spare_server.address() +
-                                              ",scgi,maps\n");
-    o.gateway->reload();
-    o.upstream_server.listener->close();
+TEST_CASE("gateway: a refused connection proves that nothing ran, and the next host is called") {
+    ScgiGatewayFixture fixture;
+    fixture.directory.write_file("servers.csv", "name,address,protocol,group\nup," +
+                                                    fixture.upstream_server.address() + ",scgi,maps\nspare," +
+                                                    fixture.spare_server.address() + ",scgi,maps\n");
+    fixture.gateway->reload();
+    fixture.upstream_server.listener->close();
     for (int i = 0; i < 2; ++i) {  // whichever is first in turn
-        const std::size_t before = o.spare_server.peers.size();
-        auto c = o.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
-        o.test_loop.run_until(
-            [&] { return o.spare_server.peers.size() > before && o.spare_server.has_received(",pay"); });
-        o.spare_server.latest_peer().send("Status: 200 OK\r\n\r\nreceipt");
-        o.spare_server.latest_peer().stream->shut_down_writes();
-        CHECK(o.read_status(*c) == "Status: 200 OK");
+        const std::size_t before = fixture.spare_server.peers.size();
+        auto c = fixture.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
+        fixture.test_loop.run_until([&] {
+            return fixture.spare_server.peers.size() > before && fixture.spare_server.has_received(",pay");
+        });
+        fixture.spare_server.latest_peer().send("Status: 200 OK\r\n\r\nreceipt");
+        fixture.spare_server.latest_peer().stream->shut_down_writes();
+        CHECK(fixture.read_status(*c) == "Status: 200 OK");
     }
-    o.spare_server.listener->close();
-    auto c = o.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
-    CHECK(o.read_status(*c) == "Status: 502 Bad Gateway");
+    fixture.spare_server.listener->close();
+    auto c = fixture.send_request(ScgiGatewayFixture::scgi_request("/map-order", "pay"));
+    CHECK(fixture.read_status(*c) == "Status: 502 Bad Gateway");
 }
 
-TEST_CASE("a server's answer that is cut short or says failure is a failure") {
+TEST_CASE("gateway: a truncated or failed upstream response is a failure") {
     for (const std::string& answer :
          {std::string("Status: 200 OK\r\nContent-Length: 9\r\n\r\ncut"),
           std::string("Status: 500 No\r\n\r\n"), std::string("nonsense\r\n\r\n")}) {
-        ScgiGatewayFixture o;
-        auto c = o.send_request(ScgiGatewayFixture::scgi_request("/route-profile", "x"));
-        o.test_loop.run_until([&] { return o.upstream_server.has_received(",x"); });
-        o.upstream_server.latest_peer().send(answer);
-        o.upstream_server.latest_peer().stream->shut_down_writes();
-        CHECK(o.read_status(*c) == "Status: 502 Bad Gateway");
+        ScgiGatewayFixture fixture;
+        auto c = fixture.send_request(ScgiGatewayFixture::scgi_request("/route-profile", "x"));
+        fixture.test_loop.run_until([&] { return fixture.upstream_server.has_received(",x"); });
+        fixture.upstream_server.latest_peer().send(answer);
+        fixture.upstream_server.latest_peer().stream->shut_down_writes();
+        CHECK(fixture.read_status(*c) == "Status: 502 Bad Gateway");
     }
 }
 
-TEST_CASE("out of time is told at once as 504, and a client that goes cancels its call") {
-    ScgiGatewayFixture o;
-    auto late = o.send_request(
+TEST_CASE("SCGI: a missed deadline is a 504 at once, and a client's disconnect cancels the upstream call") {
+    ScgiGatewayFixture fixture;
+    auto late = fixture.send_request(
         ScgiGatewayFixture::scgi_request("/route-profile", "x",
                                          binary_literal("HTTP_ACCEPTED_AT_MS\0") +
                                              std::to_string(wall_clock_now().count() / 1000 - 1000) + '\0'));
-    o.test_loop.run_until([&] { return o.upstream_server.has_received(",x"); });
-    auto c = o.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "y"));
-    o.test_loop.run_until(
-        [&] { return o.upstream_server.peers.size() == 2 && o.upstream_server.has_received(",y"); });
+    fixture.test_loop.run_until([&] { return fixture.upstream_server.has_received(",x"); });
+    auto c = fixture.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "y"));
+    fixture.test_loop.run_until([&] {
+        return fixture.upstream_server.peers.size() == 2 && fixture.upstream_server.has_received(",y");
+    });
     c->close();
-    o.test_loop.run_until([&] { return o.upstream_server.latest_peer().is_closed; });
-    CHECK(o.read_status(*late) == "Status: 504 Gateway Timeout");
-    CHECK(o.upstream_server.peers[0]->is_closed);
+    fixture.test_loop.run_until([&] { return fixture.upstream_server.latest_peer().is_closed; });
+    CHECK(fixture.read_status(*late) == "Status: 504 Gateway Timeout");
+    CHECK(fixture.upstream_server.peers[0]->is_closed);
 }
 
-TEST_CASE("refused is 503 with Retry-After, and a drain treats a write over SCGI as one over HTTP") {
-    ScgiGatewayFixture o;
-    o.gateway->begin_graceful_shutdown();
+TEST_CASE("SCGI: a rejection is a 503 with Retry-After, and a drain treats a write as HTTP does") {
+    ScgiGatewayFixture fixture;
+    fixture.gateway->begin_graceful_shutdown();
     // Accepted before the notice, or within its grace, a write may run; the controller says which.
-    auto c = o.send_request(ScgiGatewayFixture::scgi_request(
+    auto c = fixture.send_request(ScgiGatewayFixture::scgi_request(
         "/map-order", "a",
         binary_literal("HTTP_ACCEPTED_AT_MS\0") + std::to_string(wall_clock_now().count() / 1000 - 11'500) +
             '\0'));
-    CHECK(o.read_status(*c) == "Status: 503 Service Unavailable");
+    CHECK(fixture.read_status(*c) == "Status: 503 Service Unavailable");
     CHECK(c->has_received("\r\nRetry-After: 1\r\n"));
-    auto h = connect_peer(o.test_loop, o.gateway->http_port());
+    auto h = connect_peer(fixture.test_loop, fixture.gateway->http_port());
     h->send("POST /v1/map-order HTTP/1.1\r\nAccepted-At-Ms: " +
             std::to_string(wall_clock_now().count() / 1000 - 11'500) + "\r\nContent-Length: 1\r\n\r\na");
-    o.test_loop.run_until([&] { return h->has_received("\r\n\r\n"); });
+    fixture.test_loop.run_until([&] { return h->has_received("\r\n\r\n"); });
     CHECK(h->received.rfind("HTTP/1.1 503 ", 0) == 0);
-    CHECK(o.upstream_server.peers.empty());
+    CHECK(fixture.upstream_server.peers.empty());
 }
 
-TEST_CASE("a bad inventory leaves the old one in force") {
-    ScgiGatewayFixture o;
-    o.directory.write_file("servers.csv", "name,address,protocol,group\nup,nowhere,scgi,maps\n");
-    o.gateway->reload();
-    auto c = o.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "x"));
-    o.test_loop.run_until([&] { return o.upstream_server.has_received(",x"); });
+TEST_CASE("gateway: a bad inventory leaves the old one in force") {
+    ScgiGatewayFixture fixture;
+    fixture.directory.write_file("servers.csv", "name,address,protocol,group\nup,nowhere,scgi,maps\n");
+    fixture.gateway->reload();
+    auto c = fixture.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "x"));
+    fixture.test_loop.run_until([&] { return fixture.upstream_server.has_received(",x"); });
 }
 
-TEST_CASE("over SCGI too, an open request's id is refused to another, and silent clients make room") {
-    ScgiGatewayFixture o;
+TEST_CASE("SCGI: the id of an open request is rejected, and silent connections are evicted") {
+    ScgiGatewayFixture fixture;
     const std::string id = binary_literal(
         "HTTP_TRACE_ID\0"
         "00000000000000aa\0");
-    auto c = o.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "x", id));
-    o.test_loop.run_until([&] { return o.upstream_server.has_received(",x"); });
-    auto thief = o.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "y", id));
-    CHECK(o.read_status(*thief) == "Status: 400 Bad Request");
+    auto c = fixture.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "x", id));
+    fixture.test_loop.run_until([&] { return fixture.upstream_server.has_received(",x"); });
+    auto thief = fixture.send_request(ScgiGatewayFixture::scgi_request("/trail-sheet", "y", id));
+    CHECK(fixture.read_status(*thief) == "Status: 400 Bad Request");
     std::vector<std::unique_ptr<StreamPeer>> silent;
-    for (std::size_t i = 0; i < o.config.admission.max_connections; ++i)
-        silent.push_back(o.client());
-    o.test_loop.run_until([&] { return silent[0]->is_closed; });
+    for (std::size_t i = 0; i < fixture.config.admission.max_connections; ++i)
+        silent.push_back(fixture.client());
+    fixture.test_loop.run_until([&] { return silent[0]->is_closed; });
     CHECK_FALSE(c->is_closed);
-    auto late = o.send_request(ScgiGatewayFixture::scgi_request("/healthz", ""));
-    CHECK(o.read_status(*late) == "Status: 200 OK");
-    o.upstream_server.latest_peer().send("Status: 200 OK\r\nContent-Length: 1\r\n\r\nz");
-    CHECK(o.read_status(*c) == "Status: 200 OK");
+    auto late = fixture.send_request(ScgiGatewayFixture::scgi_request("/healthz", ""));
+    CHECK(fixture.read_status(*late) == "Status: 200 OK");
+    fixture.upstream_server.latest_peer().send("Status: 200 OK\r\nContent-Length: 1\r\n\r\nz");
+    CHECK(fixture.read_status(*c) == "Status: 200 OK");
 }
 
 }  // namespace
--- a/tests/cressledge/system_call_faults.hpp
+++ b/tests/cressledge/system_call_faults.hpp
@@ -1,5 +1,5 @@
-// Failures of the system, caused on demand: the calls below fail as told while a Faults lives, in the program and in
-// the libraries it is linked with.
+/// Fault injection in system calls: while a Faults lives, the calls below fail as it says, in the program and in the
+/// libraries it is linked with. One at a time.
 #pragma once
 
 #include <cstdint>
@@ -15,15 +15,20 @@
     ~Faults();
     Faults(const Faults&) = delete;
     Faults& operator=(const Faults&) = delete;
-    // The next `times` calls fail with `error`; of `one_in` calls one does, as the seed says.
+
+    /// The next `times` calls that are struck fail with the errno `error`; on average one of `one_in` calls is struck.
     void fail(Call call, int error, int times, std::uint32_t one_in = 1);
+    /// How many calls have failed.
     int failed(Call call) const;
 
-    bool strikes(Call call);  // called by the calls themselves; sets errno
+    /// Whether this call fails, with errno set. For the replaced system calls.
+    bool strikes(Call call);
 
 private:
     struct Plan {
-        int error = 0, times = 0, failed = 0;
+        int error = 0;
+        int times = 0;
+        int failed = 0;
         std::uint32_t one_in = 1;
     };
     Plan plans_[3];
