--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -43,7 +43,7 @@
     if (error != 0) {
         connections_.erase(connection_id);
         if (error != UV_EAGAIN)
-            spdlog::warn("control: accept: {}", uv_strerror(error));
+            spdlog::warn("admin: accept failed error=\"{}\"", uv_strerror(error));
         return false;
     }
     accept_order_.push_back(connection_id);
--- a/src/frontend/http/http_session.cpp
+++ b/src/frontend/http/http_session.cpp
@@ -61,7 +61,7 @@
 }
 
 void HttpSession::reject(const Rejection& rejection, bool close) {
-    spdlog::debug("http: answered {} {}", rejection.status, rejection.reason);
+    spdlog::debug("http: request rejected status={} reason=\"{}\"", rejection.status, rejection.reason);
     const std::string status = std::to_string(rejection.status) + ' ' + rejection.reason;
     parser_.reset();
     reject_malformed(format_message(status, {}, {}, close), close);
@@ -105,7 +105,7 @@
     static base::LogRateLimiter log_limiter;
     std::uint64_t suppressed = 0;
     if (log_limiter.try_acquire(frontend_.server().now(), suppressed))
-        spdlog::info("http: bad request, wrong or missing: {}; {} more like it", invalid.name, suppressed);
+        spdlog::info("http: invalid field name=\"{}\" suppressed={}", invalid.name, suppressed);
 }
 
 std::string HttpSession::format_response(const request::Response& response, bool close) {
--- a/src/frontend/scgi/scgi_session.cpp
+++ b/src/frontend/scgi/scgi_session.cpp
@@ -54,7 +54,8 @@
     static base::LogRateLimiter log_limiter;
     std::uint64_t suppressed = 0;
     if (log_limiter.try_acquire(frontend_.server().now(), suppressed))
-        spdlog::info("scgi: answered {}: {}; {} more like it", status, reason, suppressed);
+        spdlog::info("scgi: request rejected status=\"{}\" reason=\"{}\" suppressed={}", status, reason,
+                     suppressed);
     is_finished_ = true;
     reject_malformed(format_message(status, {}, {}), true);
 }
--- a/src/frontend/shutdown_coordinator.cpp
+++ b/src/frontend/shutdown_coordinator.cpp
@@ -46,7 +46,7 @@
         return;
     const base::Timestamp now = server_.now();
     const base::Timestamp stop_time = now + stop_delay_;
-    spdlog::info("notice to leave: {} requests unanswered, stop in {} ms", server_.unanswered_count(),
+    spdlog::info("frontend: graceful shutdown started unanswered={} stop_ms={}", server_.unanswered_count(),
                  stop_delay_.count() / 1000);
     server_.drain(stop_time);
     for (const auto& frontend : frontends_)
@@ -98,8 +98,9 @@
 
 void ShutdownCoordinator::stop() {
     const auto& counts = server_.counts();
-    spdlog::info("left: read {}, served {}, refused {}, failed {}, gone {}", counts.received, counts.served,
-                 counts.rejected, counts.failed, counts.cancelled);
+    spdlog::info(
+        "frontend: graceful shutdown finished received={} served={} rejected={} failed={} cancelled={}",
+        counts.received, counts.served, counts.rejected, counts.failed, counts.cancelled);
     loop_.stop();
 }
 
