--- a/src/platform/engine_client.cpp
+++ b/src/platform/engine_client.cpp
@@ -35,7 +35,7 @@
 
 void EngineClient::write(std::string_view bytes) {
     if (stream_ != nullptr && !stream_->write(bytes))
-        drop_link("it reads nothing");
+        drop_link("write buffer full");
 }
 
 void EngineClient::send_command(request::RequestId request_id, std::string bytes, CommandKind kind) {
@@ -129,13 +129,13 @@
 void EngineClient::on_end(bool refused) {
     stream_ = nullptr;
     if (synchronized_ || !refused)
-        spdlog::warn("engine: link lost after notice {}", last_notice_);
+        spdlog::warn("engine: link lost last_notice={}", last_notice_);
     mark_unsynchronized();
     schedule_reconnect();
 }
 
 void EngineClient::drop_link(const char* reason) {
-    spdlog::warn("engine: link given up, {}", reason);
+    spdlog::warn("engine: link closed: {}", reason);
     mark_unsynchronized();
     disconnect();
     schedule_reconnect();
@@ -187,7 +187,7 @@
         if (run->halt_requested)
             bytes += engine_protocol::encode_halt(run->name);
     }
-    spdlog::info("engine: link up, last notice {}, {} commands sent again", last_notice_, runs.size());
+    spdlog::info("engine: link synchronized last_notice={} resent_commands={}", last_notice_, runs.size());
     if (!bytes.empty())
         write(bytes);
     timers_.schedule(now + confirmation_timeout, [this, epoch = link_epoch_] {
--- a/src/platform/engine_client_messages.cpp
+++ b/src/platform/engine_client_messages.cpp
@@ -24,7 +24,7 @@
         if (status == LineReader::Status::incomplete)
             return;
         if (status == LineReader::Status::malformed)
-            return drop_link("what it says cannot be read");
+            return drop_link("protocol error detail=\"malformed message\"");
         if (line.words.empty())
             continue;
         std::visit([this](const auto& message) { handle(message); },
@@ -33,7 +33,7 @@
 }
 
 void EngineClient::handle(const engine_protocol::MalformedNotice&) {
-    drop_link("a notice without a number");
+    drop_link("protocol error detail=\"notice without a number\"");
 }
 
 void EngineClient::handle(const engine_protocol::Notice& notice) {
@@ -88,7 +88,7 @@
     write(engine_protocol::encode_gauges_query(synchronization_tag()));
     if (request_manager_.started())
         return;
-    spdlog::info("engine: up, {}, {} ms ago", hello.state, hello.uptime_ms);
+    spdlog::info("engine: up state={} uptime_ms={}", hello.state, hello.uptime_ms);
     // A cold engine has warmed up since its start. The age of one that started with its data loaded says nothing.
     const base::Duration uptime(
         std::llround(std::min(hello.uptime_ms, max_uptime_ms) * microseconds_per_millisecond));
@@ -101,8 +101,8 @@
 void EngineClient::handle(const engine_protocol::CommandRejected& rejection) {
     std::uint64_t suppressed = 0;
     if (log_limiter_.try_acquire(loop_.unix_now(), suppressed))
-        spdlog::warn("engine: not carried out: {} {}; {} more like it", rejection.command, rejection.run_name,
-                     suppressed);
+        spdlog::warn("engine: command rejected command={} request={} suppressed={}", rejection.command,
+                     rejection.run_name, suppressed);
     if (!rejection.is_run)
         return;
     // A run that never began still owes its caller a response.
--- a/src/platform/platform_node.cpp
+++ b/src/platform/platform_node.cpp
@@ -113,7 +113,7 @@
     loop_.on_signal(SIGUSR1, [this] { connection_admitter_.log_report(max_reported_sources); });
     engine_client_.connect();
     directory_reporter_.report(DirectoryReporter::Mode::open);
-    spdlog::info("serving");
+    spdlog::info("platform: serving");
 }
 
 void PlatformNode::reload(const std::string& path) {
@@ -136,7 +136,7 @@
     const net::Address engine = parse_address("engine", fresh.engine_address);
     const net::Address records = records_address(fresh);
     const net::Address directory = parse_address("lookup", fresh.directory_address);
-    spdlog::info("configuration: in force: engine {}, records {}, lookup {}", fresh.engine_address,
+    spdlog::info("configuration: applied engine={} records={} directory={}", fresh.engine_address,
                  fresh.records_address, fresh.directory_address);
     engine_client_.set_address(engine);
     records_client_.set_address(records);
--- a/src/platform/records_client.cpp
+++ b/src/platform/records_client.cpp
@@ -86,8 +86,7 @@
     void on_malformed_reply() {
         std::uint64_t suppressed = 0;
         if (client.log_limiter_.try_acquire(client.loop_.unix_now(), suppressed))
-            spdlog::warn("records: a reply that cannot be read, its connection closed; {} more like it",
-                         suppressed);
+            spdlog::warn("records: malformed reply suppressed={}", suppressed);
         client.on_connection_lost(*this, false);
     }
 };
@@ -207,7 +206,8 @@
         return;
     std::uint64_t suppressed = 0;
     if (log_limiter_.try_acquire(loop_.unix_now(), suppressed))
-        spdlog::warn("records: {} under a call; {} more like it", refused ? "refused" : "broken", suppressed);
+        spdlog::warn("records: {} suppressed={}", refused ? "connection refused" : "connection lost",
+                     suppressed);
     fail_call(request_id, it->second.progress == Progress::sent ? Outcome::reset : Outcome::connect_failed);
 }
 
--- a/src/upstream/executor.cpp
+++ b/src/upstream/executor.cpp
@@ -122,8 +122,9 @@
 void UpstreamExecutor::log_host_change(const HostStateChange& change) {
     std::uint64_t suppressed = 0;
     if (change_log_limiter_.try_acquire(request_manager_.now(), suppressed))
-        spdlog::info("upstream {}: {} after {}: {}; {} more changes", hosts_.at(change.host_id).spec.name,
-                     to_string(change.new_state), to_string(change.old_state), change.reason, suppressed);
+        spdlog::info("upstream: host state changed host={} from={} to={} reason=\"{}\" suppressed={}",
+                     hosts_.at(change.host_id).spec.name, to_string(change.old_state),
+                     to_string(change.new_state), change.reason, suppressed);
 }
 
 void UpstreamExecutor::keep_connection(HostId host_id, HostConnection connection) {
--- a/src/upstream/executor_attempts.cpp
+++ b/src/upstream/executor_attempts.cpp
@@ -104,7 +104,7 @@
         return;
     std::uint64_t suppressed = 0;
     if (failure_log_limiter_.try_acquire(request_manager_.now(), suppressed))
-        spdlog::warn("upstream: no server took {}; {} more like it", request.external_id, suppressed);
+        spdlog::warn("upstream: no host available request={} suppressed={}", request.external_id, suppressed);
     fail(request);
 }
 
--- a/src/upstream/executor_results.cpp
+++ b/src/upstream/executor_results.cpp
@@ -66,11 +66,13 @@
     const std::string& request_name = attempt.request().external_id;
     const int status = attempt.response() != nullptr ? attempt.response()->status : 0;
     if (result == CallResult::connection_refused)
-        spdlog::warn("upstream {}: no connection; {} more like it", name, suppressed);
+        spdlog::warn("upstream: connection refused host={} suppressed={}", name, suppressed);
     else if (status != 0)
-        spdlog::info("upstream {}: {} for {}; {} more like it", name, status, request_name, suppressed);
+        spdlog::info("upstream: call failed host={} status={} request={} suppressed={}", name, status,
+                     request_name, suppressed);
     else
-        spdlog::warn("upstream {}: no whole answer for {}; {} more like it", name, request_name, suppressed);
+        spdlog::warn("upstream: incomplete response host={} request={} suppressed={}", name, request_name,
+                     suppressed);
 }
 
 void UpstreamExecutor::record_stale_connection(Attempt& attempt, base::Timestamp now) {
--- a/src/upstream/gateway.cpp
+++ b/src/upstream/gateway.cpp
@@ -155,7 +155,7 @@
     loop_.on_signal(SIGUSR2, [this] { hand_over(); });
     loop_.on_signal(SIGHUP, [this] { reload(); });
     loop_.on_signal(SIGUSR1, [this] { log_report(); });
-    spdlog::info("serving: scgi port {}, http port {}", scgi_port_, http_port_);
+    spdlog::info("gateway: serving scgi_port={} http_port={}", scgi_port_, http_port_);
 }
 
 void UpstreamGateway::begin_graceful_shutdown() {
--- a/src/upstream/probe_runner.hpp
+++ b/src/upstream/probe_runner.hpp
@@ -18,7 +18,7 @@
 /// Owns the probes under way. A probe whose host has got another address meanwhile counts for nothing.
 class ProbeRunner final : private ProbeObserver {
 public:
-    /// Receives the results. All calls come on a later turn of the loop, but for on_probe_response.
+    /// Receives the results. What is said of a finished probe comes on a later turn of the loop than its last byte.
     class ResultObserver {
     public:
         virtual ~ResultObserver() = default;
--- a/tests/cressledge/records_client_test.cpp
+++ b/tests/cressledge/records_client_test.cpp
@@ -13,7 +13,8 @@
     fixture.records.listener->close();
     take_log();
     fixture.engine.latest_peer().send("NEED 1 " + run + " 1\r\nq\r\n");
-    fixture.test_loop.run_until([] { return take_log().find("records: refused") != std::string::npos; });
+    fixture.test_loop.run_until(
+        [] { return take_log().find("records: connection refused") != std::string::npos; });
     fixture.records.listen(fixture.test_loop.loop, port);
     fixture.test_loop.run_until([&] { return fixture.records.has_received("OP " + run); });
     fixture.records.latest_peer().close();
