--- a/src/gossip/exchange_manager.hpp
+++ b/src/gossip/exchange_manager.hpp
@@ -33,6 +33,7 @@
     GossipStatistics& statistics;
 };
 
+/// Owns the connections of full exchanges. Each is ended when its exchange is over or its time has run out.
 class ExchangeManager final : private ExchangeConnection::Handler {
 public:
     /// Connections at once, each way.
--- a/src/gossip/gossip_node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -36,6 +36,7 @@
     GossipNode(const GossipNode&) = delete;
     GossipNode& operator=(const GossipNode&) = delete;
 
+    /// Takes new settings and seeds over without leaving the fleet.
     void reconfigure(const membership::MembershipSettings& settings,
                      const std::vector<membership::Endpoint>& seeds) {
         membership_->reconfigure(settings, seeds);
--- a/src/gossip/gossip_settings.hpp
+++ b/src/gossip/gossip_settings.hpp
@@ -9,6 +9,7 @@
 
 namespace cressledge::gossip {
 
+/// What a gossip node is started with.
 struct Settings {
     std::string fleet_name;
     std::string member_id;
--- a/src/gossip/gossip_statistics.hpp
+++ b/src/gossip/gossip_statistics.hpp
@@ -10,6 +10,7 @@
 
 namespace cressledge::gossip {
 
+/// Totals and rates of a node's datagrams and exchanges.
 struct GossipStatistics {
     void count_drop(membership::DropReason reason) { ++dropped_by_reason[static_cast<std::size_t>(reason)]; }
 
--- a/src/gossip/gossip_status.hpp
+++ b/src/gossip/gossip_status.hpp
@@ -10,6 +10,7 @@
 
 namespace cressledge::gossip {
 
+/// How much of the table the status document shows.
 enum class StatusDetail : std::uint8_t { summary, members };
 
 /// Appends the metrics `fleet.*`. `unsent_datagrams`: what the socket could not send at once.
--- a/src/gossip/member_change_log.cpp
+++ b/src/gossip/member_change_log.cpp
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include <nlohmann/json.hpp>
+#include <string>
 #include <utility>
 
 namespace cressledge::gossip {
@@ -10,6 +10,20 @@
 
 constexpr std::int64_t microseconds_per_second = 1'000'000;
 
+/// `from` is left out for a member that was not known before. Ids have no character that needs quoting.
+std::string format_fields(const membership::MemberChange& change, std::uint64_t suppressed_lines) {
+    std::string fields = "member=" + change.id;
+    if (change.old_state && !change.displaced)
+        fields += fmt::format(" from={}", membership::to_string(*change.old_state));
+    if (!change.displaced)
+        fields += fmt::format(" to={}", membership::to_string(change.new_state));
+    fields +=
+        fmt::format(" incarnation={} address={}", change.incarnation, membership::to_string(change.endpoint));
+    if (suppressed_lines > 0)
+        fields += fmt::format(" suppressed_lines={}", suppressed_lines);
+    return fields;
+}
+
 }  // namespace
 
 bool MemberChangeLog::try_acquire_line(base::Timestamp now) {
@@ -28,20 +42,11 @@
 void MemberChangeLog::write(base::Timestamp now, const membership::MemberChange& change) {
     if (!try_acquire_line(now))
         return;
-    nlohmann::json fields = {{"member", change.id},
-                             {"address", membership::to_string(change.endpoint)},
-                             {"to", membership::to_string(change.new_state)},
-                             {"incarnation", change.incarnation}};
-    if (change.old_state)
-        fields["from"] = membership::to_string(*change.old_state);
-    if (change.displaced)
-        fields["displaced"] = true;
-    if (suppressed_lines_ > 0)
-        fields["passed"] = std::exchange(suppressed_lines_, 0);
+    const std::string fields = format_fields(change, std::exchange(suppressed_lines_, 0));
     if (change.displaced)
-        spdlog::error("fleet: {}", fields.dump());
+        spdlog::error("membership: local member displaced {}", fields);
     else
-        spdlog::info("fleet: {}", fields.dump());
+        spdlog::info("membership: member state changed {}", fields);
 }
 
 }  // namespace cressledge::gossip
--- a/src/gossip/member_change_log.hpp
+++ b/src/gossip/member_change_log.hpp
@@ -11,6 +11,7 @@
 /// Writes one line for each change, with a bound: a partition changes the whole fleet at once.
 class MemberChangeLog {
 public:
+    /// Writes a line, or counts it as suppressed.
     void write(base::Timestamp now, const membership::MemberChange& change);
 
 private:
--- a/src/gossip/traffic_meter.hpp
+++ b/src/gossip/traffic_meter.hpp
@@ -12,7 +12,9 @@
 /// Totals, and the rate over the last ten whole seconds.
 class TrafficMeter {
 public:
+    /// Counts bytes of a connection.
     void add_stream_bytes(base::Timestamp now, std::size_t bytes);
+    /// Counts one datagram and its bytes.
     void add_datagram(base::Timestamp now, std::size_t bytes);
 
     /// Mean over the last ten whole seconds; the present second is left out.
--- a/src/membership/broadcast_queue.hpp
+++ b/src/membership/broadcast_queue.hpp
@@ -18,6 +18,7 @@
     MemberIndex member = no_member;
 };
 
+/// Orders broadcasts by their rank.
 struct BroadcastRankOrder {
     bool operator()(const BroadcastRank& a, const BroadcastRank& b) const {
         if (a.transmissions != b.transmissions)
@@ -32,6 +33,7 @@
     /// Queues the member's state anew, as if it had never been sent.
     void push(MemberIndex member);
 
+    /// Stops the member's broadcast, if there is one.
     void remove(MemberIndex member);
     void clear();
 
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -123,7 +123,7 @@
     return value.size() >= update_field_count && read_id(value[accuser_field], result.accuser_id);
 }
 
-/// Checks version and fleet, which stand first so that other protocols and fleets are told apart from damage.
+/// Checks version and fleet, which stand first so that other protocols and fleets are distinguished from damage.
 std::variant<json, DropReason> read_envelope(std::string_view bytes, std::string_view fleet_name) {
     StructureValidator validator(bytes.size());
     if (!json::sax_parse(bytes.begin(), bytes.end(), &validator, json::input_format_t::msgpack))
--- a/src/membership/disseminator.cpp
+++ b/src/membership/disseminator.cpp
@@ -115,13 +115,13 @@
                                      std::uint64_t recipient_start_time_us) {
     DatagramFiller filler(message);
     // Whom a claim concerns hears it first and can refute it at once (Lifeguard, section 4.3).
-    const bool is_recipient_told = needs_update_about_itself(recipient, recipient_start_time_us) &&
-                                   filler.try_append(update_of(recipient, state_.records.at(recipient)));
+    const bool is_recipient_notified = needs_update_about_itself(recipient, recipient_start_time_us) &&
+                                       filler.try_append(update_of(recipient, state_.records.at(recipient)));
     std::vector<MemberIndex> transmitted;
     for (const BroadcastRank& rank : broadcasts_.ranked()) {
         // The sender's own state is in every message.
         const bool is_contained =
-            rank.member == state_.local_index || (is_recipient_told && rank.member == recipient);
+            rank.member == state_.local_index || (is_recipient_notified && rank.member == recipient);
         if (!is_contained && !filler.try_append(update_of(rank.member, state_.records.at(rank.member))))
             break;
         transmitted.push_back(rank.member);
@@ -166,7 +166,7 @@
         if (recipients.insert(member).second)
             send(state_.records.at(member).endpoint, make_message(MessageType::gossip, 0), member, effects);
     }
-    // Nobody is left to be told.
+    // No live member is left to notify.
     if (state_.is_leaving && state_.records.live_count() == 0)
         broadcasts_.remove(state_.local_index);
 }
--- a/src/membership/disseminator.hpp
+++ b/src/membership/disseminator.hpp
@@ -64,7 +64,7 @@
     /// Adds updates to the message and sends it. `recipient`: `no_member` if it is not known.
     void send(const Endpoint& destination, Message message, MemberIndex recipient, Effects& effects);
 
-    /// As `send`, to a process that gave its start time: it is told if a later one holds its id.
+    /// As `send`, to a process that gave its start time: it is notified if a later one holds its id.
     void send(const Endpoint& destination, Message message, MemberIndex recipient,
               std::uint64_t recipient_start_time_us, Effects& effects);
 
--- a/src/membership/membership_table.hpp
+++ b/src/membership/membership_table.hpp
@@ -1,7 +1,7 @@
 /// One process's table of the members of its fleet: SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
 /// Infection-style Process Group Membership Protocol", DSN 2002) with suspicion and incarnations, and of Lifeguard
 /// (Dadgar, Phillips, Currey, 2017) the suspicion time that shrinks with independent confirmations, the local health
-/// and the claims that are first told to whom they concern.
+/// and the buddy system: a suspect is the first to hear of its suspicion.
 ///
 /// A pure state machine: time, randomness and received messages go in; messages to send and changes to report come
 /// out. It has no I/O and no clock. Times are Unix microseconds; a clock that is set back stands still.
@@ -87,6 +87,7 @@
     /// For a table that starts in full knowledge: nothing is to be spread, and no exchange is due soon.
     void assume_converged();
 
+    /// Takes new settings and seeds over; members and suspicions stay.
     void reconfigure(const MembershipSettings& settings, std::vector<Endpoint> seeds);
 
     const LocalMember& local_member() const { return state_.local; }
--- a/src/membership/probe_order.hpp
+++ b/src/membership/probe_order.hpp
@@ -20,6 +20,7 @@
     /// Puts the member at a random place among those that are still to come in this round.
     void insert(MemberIndex index);
 
+    /// Takes the member out, for one that is forgotten.
     void erase(MemberIndex index);
 
     /// The next live member of the round; a new round begins where the last one is over. `no_member`: none is live.
--- a/src/membership/suspicion_table.hpp
+++ b/src/membership/suspicion_table.hpp
@@ -50,6 +50,7 @@
 /// Invariant: each suspicion has exactly one timer, at its `next_deadline()`.
 class SuspicionTable {
 public:
+    /// What the owner has to do for a suspicion whose deadline has come.
     enum class DueAction : std::uint8_t { recheck, declare_dead };
     struct Due {
         MemberIndex member;
--- a/tests/cressledge/gossip_test.cpp
+++ b/tests/cressledge/gossip_test.cpp
@@ -98,7 +98,7 @@
     fixture.nodes[3].reset();
     fixture.run_until([&] { return fixture.agreed(2); });
     CHECK(fixture.nodes[0]->membership().state_of("n4") == membership::MemberState::left);
-    CHECK(take_log().find(R"("from":"suspect","incarnation":0,"member":"n3","to":"dead")") !=
+    CHECK(take_log().find("membership: member state changed member=n3 from=suspect to=dead incarnation=0 ") !=
           std::string::npos);
     CHECK(fixture.metric(*fixture.nodes[0], "bytes_sent") > 0);
     CHECK(fixture.metric(*fixture.nodes[0], "probes") > 0);
@@ -178,7 +178,7 @@
     REQUIRE(members.size() == 1);
     CHECK(members[0].endpoint == second.membership().local_member().endpoint);
     CHECK(nlohmann::json::parse(first.status_json(true))["self"]["displaced"] == true);
-    CHECK(take_log().find("\"displaced\":true") != std::string::npos);
+    CHECK(take_log().find("membership: local member displaced member=twin ") != std::string::npos);
     fixture.nodes[2].reset();
     fixture.run_until([&] { return !first.membership().is_displaced() && fixture.agreed(2); });
 }
