--- a/src/rollout/fleet_client.cpp
+++ b/src/rollout/fleet_client.cpp
@@ -112,7 +112,8 @@
                                  observe_processes(index, status);
                                  ++answer_count;
                              } catch (const json::exception& error) {
-                                 spdlog::warn("roll: {}: {}", supervisors_[index].name, error.what());
+                                 spdlog::warn("rollout: malformed status supervisor={} error=\"{}\"",
+                                              supervisors_[index].name, error.what());
                              }
                          });
     }
@@ -178,7 +179,8 @@
             supervisors_[supervisor_index].address, "POST", "/v1/processes/" + update.process_id, body.dump(),
             answer_by, [process_id = update.process_id](const HttpClient::Response& response) {
                 if (response.status != http_accepted)
-                    spdlog::warn("roll: {} was not told: {} {}", process_id, response.status, response.body);
+                    spdlog::warn("rollout: spec update not accepted process={} status={} body={}", process_id,
+                                 response.status, response.body);
             });
     }
     wait_for_replies();
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -40,7 +40,7 @@
     while (!is_interrupted_) {
         const base::Timestamp next_step_at = loop_.unix_now() + settings_.observation_interval;
         if (const auto conflict = fleet_.take_leases()) {
-            spdlog::error("roll: refused: {}", conflict->message);
+            spdlog::error("rollout: rejected reason=\"{}\"", conflict->message);
             if (!state_machine_)
                 fleet_.release_leases();
             return RolloutResult::rejected;
--- a/src/rollout/rollout_state_machine.cpp
+++ b/src/rollout/rollout_state_machine.cpp
@@ -1,7 +1,6 @@
 #include "rollout/rollout_state_machine.hpp"
 
 #include <algorithm>
-#include <cmath>
 #include <pcg_random.hpp>
 #include <utility>
 
@@ -11,10 +10,6 @@
 using nlohmann::ordered_json;
 using supervisor::ChangeStatus;
 
-/// Before a process that has not begun what it was sent is sent it again.
-constexpr Duration update_retry_interval{1'000'000};
-/// Share of either group that may be unseen when a stage is analyzed.
-constexpr double max_unseen_fraction = 0.1;
 constexpr std::uint64_t order_stream = 17;
 
 /// Fisher-Yates, with a generator whose sequence is the same on every platform.
@@ -24,29 +19,6 @@
         std::swap(targets[i - 1], targets[random(static_cast<std::uint32_t>(i))]);
 }
 
-bool exceeds_unseen_fraction(std::size_t unseen, std::size_t all) {
-    return static_cast<double>(unseen) > max_unseen_fraction * static_cast<double>(all);
-}
-
-/// Counts of one group of processes.
-struct Visibility {
-    std::size_t processes = 0;
-    std::size_t unseen = 0;
-
-    bool is_poor() const { return exceeds_unseen_fraction(unseen, processes); }
-};
-
-/// Whether the processes are split between membership tables: `process_counts` is by digest.
-bool is_partitioned(const std::map<std::string, std::size_t>& process_counts) {
-    std::size_t all = 0;
-    std::size_t largest = 0;
-    for (const auto& [digest, count] : process_counts) {
-        all += count;
-        largest = std::max(largest, count);
-    }
-    return exceeds_unseen_fraction(all - largest, all);
-}
-
 }  // namespace
 
 RolloutStateMachine::RolloutStateMachine(const RolloutPlan& plan, const std::vector<ProcessAssignment>& fleet)
@@ -87,7 +59,7 @@
     if (actions.must_save_state)
         actions.spec_updates.clear();
     for (const ProcessAssignment& update : actions.spec_updates)
-        last_update_requests_[update.process_id] = now;
+        updates_.mark_requested(now, update.process_id);
     actions.is_finished = !actions.must_save_state && is_final(state_.phase);
     return actions;
 }
@@ -132,8 +104,7 @@
 void RolloutStateMachine::enter_phase(Timestamp now, Phase phase, RolloutActions& actions) {
     state_.phase = phase;
     phase_started_at_ = now;
-    last_update_requests_.clear();
-    confirmed_targets_.clear();
+    updates_.reset();
     actions.must_save_state = true;
 }
 
@@ -164,8 +135,8 @@
         if (observation != nullptr && observation->active_spec == target.updated_spec &&
             observation->change_status != ChangeStatus::in_progress &&
             observation->serving_generation != supervisor::no_generation)
-            confirmed_targets_.insert(target.id);
-        if (confirmed_targets_.contains(target.id))
+            updates_.confirm(target.id);
+        if (updates_.is_confirmed(target.id))
             continue;
         ++missing_count;
         last_missing = target.id;
@@ -201,156 +172,22 @@
                                               const Observations& observations) const {
     const ProcessObservation* const observation = find_reachable(observations, target.id);
     return observation != nullptr && observation->change_status == ChangeStatus::failed &&
-           last_update_requests_.contains(target.id) && observation->active_spec == target.original_spec &&
+           updates_.was_requested(target.id) && observation->active_spec == target.original_spec &&
            target.original_spec != target.updated_spec;
 }
 
-void RolloutStateMachine::start_bake(Timestamp now, const Observations& observations, std::size_t stage_size,
-                                     RolloutActions& actions) {
-    for (const RolloutTarget& target : state_.targets) {
-        if (!target.is_updated)
-            traffic_.add_to_prior(target.id);
-    }
-    traffic_.start_bake();
-    crashes_.start_bake();
-    observe(now, observations);
-    next_analysis_at_ = now + plan_.bake_time;
-    current_report().bake_started_at = now;
-    enter_phase(now, Phase::baking, actions);
-    log_event(
-        actions, "baking",
-        {{"changed", stage_size}, {"of", state_.targets.size()}, {"ms", plan_.bake_time.count() / 1000}});
-}
-
-void RolloutStateMachine::step_baking(Timestamp now, const Observations& observations,
-                                      RolloutActions& actions) {
-    StageReport& report = ensure_report(now);
-    // The stage was continued from a stored state.
-    if (report.bake_started_at == Timestamp(0))
-        report.bake_started_at = now;
-    const CrashFinding crashes = crashes_.assess(now, phase_started_at_, state_.targets);
-    if (crashes == CrashFinding::excess) {
-        start_rollback(now, "the changed processes end by themselves", actions);
-        return;
-    }
-    if (now < next_analysis_at_)
-        return;
-    const CanaryAnalysis analysis = analyze();
-    report.analysis = analysis;
-    if (analysis.verdict == CanaryVerdict::fail) {
-        start_rollback(now, analysis.reason, actions);
-        return;
-    }
-    if (const auto reason = wait_reason(now, observations, crashes, analysis))
-        extend_bake(now, *reason, actions);
-    else
-        finish_stage(now, analysis, actions);
-}
-
-CanaryAnalysis RolloutStateMachine::analyze() const {
-    const GroupedMetrics metrics = traffic_.metrics_of(state_.targets);
-    if (reports_.back().baseline_count > 0)
-        return analyze_canary(metrics.canary, metrics.baseline, plan_.tolerances);
-    CanaryAnalysis analysis;
-    analysis.verdict = CanaryVerdict::pass;
-    analysis.reason = "nobody is left to compare with";
-    for (const ProcessMetrics& process : metrics.canary)
-        analysis.canary += process.window;
-    return analysis;
-}
-
-/// Why the stage can be neither passed nor failed now; none where it passes.
-std::optional<std::string> RolloutStateMachine::wait_reason(Timestamp now, const Observations& observations,
-                                                            CrashFinding crashes,
-                                                            const CanaryAnalysis& analysis) const {
-    const bool is_wait_over = is_suspect_wait_over(now);
-    if (crashes == CrashFinding::suspect && !is_wait_over)
-        return "a changed process has ended by itself";
-    if (const auto problem = visibility_problem(now, observations))
-        return problem;
-    if (analysis.verdict != CanaryVerdict::inconclusive)
-        return std::nullopt;
-    if (!analysis.is_suspect)
-        return analysis.reason;
-    if (is_wait_over)
-        return std::nullopt;
-    return "suspect: " + analysis.reason;
-}
-
-/// For so long a stage waits for what is no more than suspect; then the next stage, with more processes, has to tell.
-bool RolloutStateMachine::is_suspect_wait_over(Timestamp now) const {
-    return now - phase_started_at_ > plan_.bake_time + plan_.max_inconclusive_time * 3 / 4;
-}
-
-std::optional<std::string> RolloutStateMachine::visibility_problem(Timestamp now,
-                                                                   const Observations& observations) const {
-    Visibility canary;
-    Visibility baseline;
-    std::map<std::string, std::size_t> counts_by_digest;
-    for (const RolloutTarget& target : state_.targets) {
-        const ProcessObservation* const observation = find_reachable(observations, target.id);
-        const std::optional<Timestamp> last_seen_at = traffic_.last_seen_at(target.id);
-        const bool is_seen =
-            observation != nullptr && last_seen_at && now - *last_seen_at <= plan_.bake_time / 2;
-        Visibility& group = target.is_updated ? canary : baseline;
-        ++group.processes;
-        if (!is_seen)
-            ++group.unseen;
-        else if (!observation->membership_digest.empty())
-            ++counts_by_digest[observation->membership_digest];
-    }
-    if (canary.is_poor())
-        return std::to_string(canary.unseen) + " changed processes are out of sight";
-    if (baseline.is_poor())
-        return std::to_string(baseline.unseen) + " unchanged processes are out of sight";
-    if (is_partitioned(counts_by_digest))
-        return "the processes do not see one fleet: a partition";
-    return std::nullopt;
-}
-
-void RolloutStateMachine::extend_bake(Timestamp now, const std::string& reason, RolloutActions& actions) {
-    std::vector<std::string>& known_reasons = current_report().wait_reasons;
-    if (std::find(known_reasons.begin(), known_reasons.end(), reason) == known_reasons.end()) {
-        known_reasons.push_back(reason);
-        log_event(actions, "hold", {{"why", reason}});
-    }
-    if (now - phase_started_at_ > plan_.bake_time + plan_.max_inconclusive_time)
-        start_rollback(now, "held too long: " + reason, actions);
-    else
-        next_analysis_at_ = now + plan_.bake_time / 4;
-}
-
-void RolloutStateMachine::finish_stage(Timestamp now, const CanaryAnalysis& analysis,
-                                       RolloutActions& actions) {
-    StageReport& report = current_report();
-    report.verdict = CanaryVerdict::pass;
-    report.reason = analysis.reason;
-    report.ended_at = now;
-    log_event(actions, "go",
-              {{"changed", report.canary_count},
-               {"requests", std::llround(sum_over_classes(analysis.canary).total())}});
-    if (state_.stage_index + 1 >= plan_.stages.size()) {
-        enter_phase(now, Phase::completed, actions);
-        log_event(actions, "done", {{"changed", report.canary_count}});
-        return;
-    }
-    ++state_.stage_index;
-    enter_phase(now, Phase::updating, actions);
-}
-
 void RolloutStateMachine::step_rolling_back(Timestamp now, const Observations& observations,
                                             RolloutActions& actions) {
     ConcurrencySlots free_slots = std::max<std::size_t>(plan_.max_concurrent_updates, state_.targets.size());
     std::size_t missing_count = 0;
     for (const RolloutTarget& target : state_.targets) {
-        if (!target.is_updated || confirmed_targets_.contains(target.id))
+        if (!target.is_updated || updates_.is_confirmed(target.id))
             continue;
         const ProcessObservation* const observation = find_reachable(observations, target.id);
         // A process with its original spec is sent it all the same, once: an earlier update may still be on its way.
         if (observation != nullptr && observation->active_spec == target.original_spec &&
-            observation->change_status != ChangeStatus::in_progress &&
-            last_update_requests_.contains(target.id)) {
-            confirmed_targets_.insert(target.id);
+            observation->change_status != ChangeStatus::in_progress && updates_.was_requested(target.id)) {
+            updates_.confirm(target.id);
             continue;
         }
         ++missing_count;
@@ -370,12 +207,8 @@
     if (observation == nullptr || free_slots == 0)
         return;
     --free_slots;
-    if (observation->change_status == ChangeStatus::in_progress)
-        return;
-    const auto last_request = last_update_requests_.find(target.id);
-    if (last_request != last_update_requests_.end() && now - last_request->second < update_retry_interval)
-        return;
-    actions.spec_updates.push_back({target.id, spec});
+    if (updates_.is_request_due(now, target.id, *observation))
+        actions.spec_updates.push_back({target.id, spec});
 }
 
 /// The report of the current stage, which is begun where there is none.
--- a/src/rollout/rollout_state_machine.hpp
+++ b/src/rollout/rollout_state_machine.hpp
@@ -18,10 +18,8 @@
 
 #include <cstddef>
 #include <cstdint>
-#include <map>
 #include <nlohmann/json.hpp>
 #include <optional>
-#include <set>
 #include <string>
 #include <vector>
 
@@ -32,6 +30,7 @@
 #include "rollout/rollout_state.hpp"
 #include "rollout/stage_report.hpp"
 #include "rollout/traffic_monitor.hpp"
+#include "rollout/update_tracker.hpp"
 
 namespace cressledge::rollout {
 
@@ -94,7 +93,6 @@
     CanaryAnalysis analyze() const;
     std::optional<std::string> wait_reason(Timestamp now, const Observations& observations,
                                            CrashFinding crashes, const CanaryAnalysis& analysis) const;
-    std::optional<std::string> visibility_problem(Timestamp now, const Observations& observations) const;
     bool is_suspect_wait_over(Timestamp now) const;
     void extend_bake(Timestamp now, const std::string& reason, RolloutActions& actions);
     void finish_stage(Timestamp now, const CanaryAnalysis& analysis, RolloutActions& actions);
@@ -114,11 +112,7 @@
     bool has_started_ = false;
     Timestamp phase_started_at_{0};
     Timestamp next_analysis_at_{0};
-    /// When each process was last sent a spec in this phase.
-    std::map<std::string, Timestamp> last_update_requests_;
-    /// Processes that were once seen in this phase to have what it asks for. Observations get lost, so that hundreds of
-    /// processes are hardly ever seen to have it at one moment.
-    std::set<std::string> confirmed_targets_;
+    UpdateTracker updates_;
     TrafficMonitor traffic_;
     CrashMonitor crashes_;
     std::vector<StageReport> reports_;
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -82,7 +82,7 @@
         process->lifecycle.start_current(loop_.unix_now(), actions);
         execute(*process, actions);
     }
-    spdlog::info("supervising {} processes, control port {}", processes_.size(), admin_server_.port());
+    spdlog::info("supervisor: started processes={} admin_port={}", processes_.size(), admin_server_.port());
 }
 
 void Supervisor::shut_down() {
@@ -151,7 +151,8 @@
     try {
         write_live_settings(process.settings.settings_file, spec.overlay);
     } catch (const LiveSettingsError& error) {
-        spdlog::error("{}: {}", process.settings.id, error.what());
+        spdlog::error("supervisor: settings not written process={} error=\"{}\"", process.settings.id,
+                      error.what());
     }
 }
 
@@ -167,7 +168,8 @@
     process.children[generation] = std::move(owned_child);
     if (error == 0)
         return;
-    spdlog::error("{}: {}: {}", process.settings.id, spec.program, uv_strerror(error));
+    spdlog::error("supervisor: process not started process={} program={} error=\"{}\"", process.settings.id,
+                  spec.program, uv_strerror(error));
     // Reported on the next turn of the loop: the lifecycle that asked for the start is still on the stack.
     timers_.schedule(Timestamp(0), [this, &process, generation] {
         on_exited(process, generation, {ChildProcess::cannot_start_code, 0});
--- a/tests/cressledge/canary_analysis_test.cpp
+++ b/tests/cressledge/canary_analysis_test.cpp
@@ -29,23 +29,26 @@
               .reason.rfind("errors of trail-sheet: 0.0220 against 0.0020", 0) == 0);
     CHECK(analyze_canary({process(metrics(1000, 2, 60))}, baseline, tolerances).verdict ==
           CanaryVerdict::fail);
+    // All answers are slower.
     CHECK(analyze_canary({process(metrics(1000, 2, 5, 44))}, baseline, tolerances).verdict ==
-          CanaryVerdict::fail);  // all answers, slower
+          CanaryVerdict::fail);
+    // A few answers are much slower.
     CHECK(analyze_canary({process(metrics(1000, 2, 5, 40, 0.04))}, baseline, tolerances).verdict ==
-          CanaryVerdict::fail);  // a few, much slower
+          CanaryVerdict::fail);
+    // Better than the baseline.
     CHECK(analyze_canary({process(metrics(1000, 0, 0, 36))}, baseline, tolerances).verdict ==
-          CanaryVerdict::pass);  // better is no reason
+          CanaryVerdict::pass);
     CHECK(analyze_canary({process(metrics(100, 50, 0))}, baseline, tolerances).verdict ==
           CanaryVerdict::inconclusive);
     CHECK(analyze_canary({process(metrics(1000, 22, 5))}, {baseline[0], baseline[0]}, tolerances).verdict ==
           CanaryVerdict::inconclusive);
-    // Machines as uneven as these explain it; one request more than chance does not make a case.
+    // Processes that differ as much as these explain it.
     std::vector<ProcessMetrics> uneven;
     for (int i = 0; i < 10; ++i)
         uneven.push_back(process(metrics(1000, 4 + 6 * i, 5, 40 + i % 5)));
     CHECK(analyze_canary({process(metrics(1000, 52, 5, 43))}, uneven, tolerances).verdict ==
           CanaryVerdict::pass);
-    // Nor does a machine that has always been slow; one that was not before its change does.
+    // A process that had as many errors before its change is not worse; one that had not is.
     const auto same_prior = [&process](double errors) {
         return process(metrics(1000, errors, 5), metrics(1000, errors, 5));
     };
@@ -58,7 +61,8 @@
           CanaryVerdict::fail);
     CHECK(analyze_canary({process(metrics(200, 2, 1))}, baseline, tolerances).verdict == CanaryVerdict::pass);
     MetricsByClass idle = metrics(1000, 2, 5);
-    idle["map-order"] = {};  // a class that nobody asked for
+    // A class without requests.
+    idle["map-order"] = {};
     CHECK(analyze_canary({process(idle)}, baseline, tolerances).verdict == CanaryVerdict::pass);
 }
 
--- a/tests/cressledge/process_lifecycle_test.cpp
+++ b/tests/cressledge/process_lifecycle_test.cpp
@@ -53,7 +53,8 @@
     fixture.lifecycle.start_current(seconds(0), fixture.actions);
     CHECK(fixture.take_actions() == "start 1 old;");
     fixture.lifecycle.request_spec(seconds(0), {"new", ""}, fixture.actions);
-    CHECK(fixture.take_actions().empty());  // no process is ready that could go on if the change failed
+    // No process is ready that could go on if the change failed.
+    CHECK(fixture.take_actions().empty());
     fixture.lifecycle.on_ready(seconds(1), 1, fixture.actions);
     CHECK(fixture.take_actions() == "start 2 new;");
     CHECK((fixture.lifecycle.serving_generation() == 1 &&
@@ -62,7 +63,8 @@
     CHECK(fixture.take_actions() == "hand-over 1 ;");
     CHECK((fixture.lifecycle.serving_generation() == 2 && fixture.lifecycle.active_spec().program == "new" &&
            fixture.lifecycle.change_status() == ChangeStatus::succeeded));
-    fixture.lifecycle.on_exited(seconds(4), 1, fixture.actions);  // after it has drained
+    // It has drained.
+    fixture.lifecycle.on_exited(seconds(4), 1, fixture.actions);
     CHECK((fixture.take_actions().empty() && fixture.lifecycle.crash_count() == 0));
     fixture.lifecycle.request_spec(seconds(5), {"bad", ""}, fixture.actions);
     fixture.actions.clear();
@@ -80,8 +82,8 @@
     CHECK((fixture.lifecycle.serving_generation() == 2 && fixture.lifecycle.crash_count() == 0));
     fixture.lifecycle.request_spec(seconds(17), {"other", ""}, fixture.actions);
     fixture.actions.clear();
-    fixture.lifecycle.request_spec(seconds(17.1), {"new", ""},
-                                   fixture.actions);  // withdrawn while its process starts
+    // Withdrawn while its process starts.
+    fixture.lifecycle.request_spec(seconds(17.1), {"new", ""}, fixture.actions);
     fixture.lifecycle.on_ready(seconds(18), 5, fixture.actions);
     CHECK(fixture.take_actions() == "hand-over 2 ;start 6 new;");
 }
--- a/tests/cressledge/rollout_state_machine_test.cpp
+++ b/tests/cressledge/rollout_state_machine_test.cpp
@@ -26,14 +26,14 @@
     CHECK(fleet.updated_count() == 10);
     CHECK(fleet.save_count >= 6);
     REQUIRE(fleet.state_machine->reports().size() == 3);
-    for (const auto& r : fleet.state_machine->reports())
-        CHECK((r.verdict == CanaryVerdict::pass && r.ended_at - r.bake_started_at >= test_plan().bake_time));
-    CHECK(fleet.now_s >= 40.0);  // one bake before the first change, and three
-    FakeFleet other_seed(10, [] {
-        auto p = test_plan();
-        p.order_seed = 2;
-        return p;
-    }());
+    for (const rollout::StageReport& report : fleet.state_machine->reports())
+        CHECK((report.verdict == CanaryVerdict::pass &&
+               report.ended_at - report.bake_started_at >= test_plan().bake_time));
+    // One bake time before the first stage, and one for each of three.
+    CHECK(fleet.now_s >= 40.0);
+    rollout::RolloutPlan reordered_plan = test_plan();
+    reordered_plan.order_seed = 2;
+    FakeFleet other_seed(10, reordered_plan);
     CHECK(other_seed.state_machine->state().targets[0].id + other_seed.state_machine->state().targets[1].id !=
           fleet.state_machine->state().targets[0].id + fleet.state_machine->state().targets[1].id);
 }
@@ -52,16 +52,19 @@
     const std::string first = crash.state_machine->state().targets[0].id;
     for (int i = 0; i < 5; ++i)
         crash.step();
-    ++crash.crashes[first], ++crash.generation[first];
+    ++crash.crashes[first];
+    ++crash.generation[first];
     for (int i = 0; i < 6; ++i)
         crash.step();
-    CHECK(crash.state_machine->state().phase == Phase::baking);  // one crash may be chance
+    // One crash may be chance.
+    CHECK(crash.state_machine->state().phase == Phase::baking);
     CHECK(crash.log_lines.back().find("has ended by itself") != std::string::npos);
-    ++crash.crashes[first], ++crash.generation[first];
+    ++crash.crashes[first];
+    ++crash.generation[first];
     REQUIRE(crash.step_until(Phase::rolled_back));
     CHECK(crash.state_machine->state().rollback_reason == "the changed processes end by themselves");
 
-    FakeFleet crashed_once(10);  // and never again
+    FakeFleet crashed_once(10);
     crashed_once.step_until(Phase::baking);
     ++crashed_once.crashes[crashed_once.state_machine->state().targets[0].id];
     ++crashed_once.crashes[crashed_once.state_machine->state().targets[7].id];
@@ -103,7 +106,7 @@
     REQUIRE(partly_unreachable.step_until(Phase::rolled_back));
     CHECK(partly_unreachable.state_machine->state().rollback_reason ==
           "held too long: 4 unchanged processes are out of sight");
-    // One that is out of sight while it is rolled back is waited for.
+    // A process that is unreachable during the rollback is waited for.
     FakeFleet returning(10);
     returning.step_until(Phase::baking);
     const std::string first = returning.state_machine->state().targets[0].id;
--- a/tests/cressledge/rollout_test.cpp
+++ b/tests/cressledge/rollout_test.cpp
@@ -14,27 +14,27 @@
 TEST_CASE(
     "rollout emulation: a good change completes on noisy machines, and each bad one is rolled back in an "
     "early stage") {
-    emulator::RollCase c;
-    c.processes = 60;
-    c.plan.name = "r";
-    c.plan.stages = {{0.0, 1}, {0.25, 0}, {1.0, 0}};
-    c.plan.bake_time = Duration(60'000'000);
-    const auto with = [&c](const emulator::Version& v, std::uint64_t seed) {
-        c.fresh = v;
-        c.seed = seed;
-        return emulator::run(c);
+    emulator::RollCase roll_case;
+    roll_case.processes = 60;
+    roll_case.plan.name = "r";
+    roll_case.plan.stages = {{0.0, 1}, {0.25, 0}, {1.0, 0}};
+    roll_case.plan.bake_time = Duration(60'000'000);
+    const auto run_with = [&roll_case](const emulator::Version& version, std::uint64_t seed) {
+        roll_case.fresh = version;
+        roll_case.seed = seed;
+        return emulator::run(roll_case);
     };
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        c.cut_off = seed % 2 == 0;
-        CHECK(with({}, seed).done);
-        c.cut_off = false;
+        roll_case.cut_off = seed % 2 == 0;
+        CHECK(run_with({}, seed).done);
+        roll_case.cut_off = false;
         for (const emulator::Version& bad :
              {emulator::Version{.slow_share = 0.03, .slow_ms = 3000.0}, emulator::Version{.errors = 0.02},
               emulator::Version{.refusals = 0.05}, emulator::Version{.crash_after_s = 30.0}}) {
-            const auto o = with(bad, seed);
-            CHECK(o.reverted);
+            const emulator::RollOutcome outcome = run_with(bad, seed);
+            CHECK(outcome.reverted);
             // Two errors in a hundred of one class may take the second stage to tell from a machine that fails more.
-            CHECK(o.stage <= (bad.errors > 0.0 ? 1U : 0U));
+            CHECK(outcome.stage <= (bad.errors > 0.0 ? 1U : 0U));
         }
     }
 }
@@ -85,7 +85,8 @@
     CHECK(fixture.rehearsal->astray(settings, true).empty());
     for (const auto& p : fixture.rehearsal->processes())
         CHECK(p["overlay"] == "routing: {policy: round-robin}\n");
-    CHECK(fixture.run_rollout(settings) == 0);  // it has finished already
+    // It has finished already.
+    CHECK(fixture.run_rollout(settings) == 0);
     const std::string program =
         fixture.rehearsal->plan("program", "{program: " + fixture.rehearsal->faulty("none") + '}');
     CHECK(fixture.run_rollout(program) == 0);
@@ -110,10 +111,10 @@
 TEST_CASE(
     "rollout of real processes: a killed controller continues, and another rollout is rejected meanwhile") {
     RehearsalFixture fixture;
-    const std::string plan = fixture.rehearsal->plan("first",
-                                                     "{program: " + fixture.rehearsal->faulty("none") + '}'),
-                      second = fixture.rehearsal->plan(
-                          "second", "{program: " + fixture.rehearsal->faulty("also-none") + '}');
+    const std::string plan =
+        fixture.rehearsal->plan("first", "{program: " + fixture.rehearsal->faulty("none") + '}');
+    const std::string second =
+        fixture.rehearsal->plan("second", "{program: " + fixture.rehearsal->faulty("also-none") + '}');
     auto controller = fixture.rehearsal->start(plan);
     const auto updated_count = [&fixture] {
         const auto all = fixture.rehearsal->processes();
@@ -125,7 +126,8 @@
     CHECK(fixture.rehearsal->wait(*controller, 10.0) == -1);
     CHECK(fixture.rehearsal->astray(plan, false).empty());
     CHECK(fixture.run_rollout(second) == 3);
-    fixture.rehearsal->wire(0).loss(0.3);  // of the calls of the controller
+    // Of the calls of the controller.
+    fixture.rehearsal->wire(0).loss(0.3);
     CHECK(fixture.run_rollout(plan) == 0);
     CHECK(updated_count() == 6);
     CHECK(fixture.rehearsal->astray(plan, true).empty());
