--- a/src/command/supervise.cpp
+++ b/src/command/supervise.cpp
@@ -2,12 +2,12 @@
 
 #include <csignal>
 
-#include "config/supervise.hpp"
+#include "supervisor/supervisor.hpp"
 
 namespace cressledge::command {
 
 int supervise(const std::string& config_path) {
-    const supervisor::SupervisorSettings settings = config::load_supervisor(config_path);
+    const supervisor::SupervisorSettings settings = supervisor::load_supervisor_settings(config_path);
     base::TimerQueue timers;
     net::Loop loop(timers);
     supervisor::Supervisor supervisor(loop, timers, settings);
--- a/src/rollout/rollout_settings.cpp
+++ b/src/rollout/rollout_settings.cpp
@@ -157,11 +157,3 @@
 }
 
 }  // namespace cressledge::rollout
-
-namespace cressledge::config {
-
-RolloutSettings load_rollout(const std::string& path) {
-    return rollout::load_rollout_settings(path);
-}
-
-}  // namespace cressledge::config
--- a/src/rollout/rollout_settings.hpp
+++ b/src/rollout/rollout_settings.hpp
@@ -20,11 +20,3 @@
 RolloutSettings load_rollout_settings(const std::string& path);
 
 }  // namespace cressledge::rollout
-
-namespace cressledge::config {
-
-/// The earlier names of `rollout::RolloutSettings` and `rollout::load_rollout_settings`.
-using rollout::RolloutSettings;
-RolloutSettings load_rollout(const std::string& path);
-
-}  // namespace cressledge::config
--- a/src/supervisor/supervisor_settings.cpp
+++ b/src/supervisor/supervisor_settings.cpp
@@ -62,11 +62,3 @@
 }
 
 }  // namespace cressledge::supervisor
-
-namespace cressledge::config {
-
-supervisor::SupervisorSettings load_supervisor(const std::string& path) {
-    return supervisor::load_supervisor_settings(path);
-}
-
-}  // namespace cressledge::config
--- a/src/supervisor/supervisor_settings.hpp
+++ b/src/supervisor/supervisor_settings.hpp
@@ -32,10 +32,3 @@
 SupervisorSettings load_supervisor_settings(const std::string& path);
 
 }  // namespace cressledge::supervisor
-
-namespace cressledge::config {
-
-/// The earlier name of `supervisor::load_supervisor_settings`.
-supervisor::SupervisorSettings load_supervisor(const std::string& path);
-
-}  // namespace cressledge::config
