--- /dev/null
+++ b/src/simulator_adapter/malformed_batch.hpp
@@ -0,0 +1,12 @@
+#pragma once
+
+#include <stdexcept>
+
+namespace cressledge::simulator_adapter {
+
+/// A line that is not a batch of the simulator, or lacks a field that is needed.
+struct MalformedBatch : std::runtime_error {
+    using std::runtime_error::runtime_error;
+};
+
+}  // namespace cressledge::simulator_adapter
--- a/src/simulator_adapter/simulator_adapter.hpp
+++ b/src/simulator_adapter/simulator_adapter.hpp
@@ -1,31 +1,34 @@
-// The bench's wire: batches of JSON events in, replies of JSON actions out. Translation only; no decisions.
+// The simulator's wire: batches of JSON events in, replies of JSON actions out. Translation only; no decisions.
 #pragma once
 
 #include <map>
 #include <memory>
 #include <set>
-#include <stdexcept>
 #include <string>
 #include <unordered_map>
 
 #include "policy/admission_controller.hpp"
+#include "simulator_adapter/malformed_batch.hpp"
 
 namespace cressledge::simulator_adapter {
 
-struct MalformedBatch : std::runtime_error {
-    using std::runtime_error::runtime_error;
-};
-
+/// One admission controller for each instance that the simulator has started. Instances share nothing.
 class SimulatorAdapter {
 public:
-    std::string handle_batch(const std::string& batch);  // one line in, one line out, without the newline
+    /// One line in, one line out, both without the newline. Throws MalformedBatch.
+    std::string handle_batch(const std::string& batch);
 
 private:
     struct Instance {
         std::unique_ptr<policy::AdmissionController> controller;
         std::unordered_map<std::string, std::size_t> class_indexes, tenant_indexes;
     };
-    void warn_once(const std::string& message);  // on stderr, once for each text
+    struct Message;
+
+    void start_instance(const Message& message);
+    std::vector<policy::Action> handle_message(policy::Timestamp now, const Message& message);
+    void warn_once(const std::string& warning);
+
     std::map<std::string, Instance> instances_;
     std::set<std::string> warnings_;
 };
