--- a/tests/policy/admission_controller_test.cpp
+++ b/tests/policy/admission_controller_test.cpp
@@ -1,4 +1,4 @@
-// The module by scripted events and a fake clock.
+// The admission controller by scripted events and a fake clock.
 #include "policy/admission_controller.hpp"
 
 #include <gtest/gtest.h>
@@ -53,11 +53,12 @@
         now = t;
         return send(e);
     }
-    std::vector<Action> request(RequestId id, std::size_t kind, RequestId repeats = 0, Duration age = 0s) {
+    std::vector<Action> request(RequestId id, std::size_t class_index, RequestId repeated_id = 0,
+                                Duration age = 0s) {
         RequestArrived r;
         r.id = id;
-        r.class_index = kind;
-        r.repeated_id = repeats;
+        r.class_index = class_index;
+        r.repeated_id = repeated_id;
         r.reserved_kb = 20;
         r.age = age;
         return send(r);
@@ -103,21 +104,21 @@
 };
 
 // -- ordinary path --
-TEST(Budget, RefusesOnArrivalWhatThePeriodCannotPay) {
+TEST(QuantumBudgetTest, RejectsOnArrivalWhatThePeriodCannotPay) {
     RecordingHost h(test_settings());
     h.advance_until(1200ms);  // cpu gauge: no free core
     for (RequestId id = 1; id <= 40; ++id)
         h.request(id, 0);
-    long refused = 0;
+    long rejected = 0;
     for (RequestId id = 1; id <= 40; ++id)
-        refused += h.count<Reject>(id);
-    EXPECT_GT(refused, 20);
-    EXPECT_LT(refused, 40);
+        rejected += h.count<Reject>(id);
+    EXPECT_GT(rejected, 20);
+    EXPECT_LT(rejected, 40);
     EXPECT_EQ(h.count<Reject>(1), 0);
     EXPECT_EQ(h.count<Reject>(40), 1);  // in the very batch in which it was read
 }
 
-TEST(Budget, WorthierBandHasRoomWhereTheLowerHasNone) {
+TEST(QuantumBudgetTest, HigherBandHasQuantaWhereTheLowerHasNone) {
     RecordingHost h(test_settings());
     h.advance_until(1200ms);
     for (RequestId id = 1; id <= 40; ++id)
@@ -126,7 +127,7 @@
     EXPECT_EQ(h.count<Reject>(50), 0);
 }
 
-TEST(Budget, NewPeriodGrantsNewRoom) {
+TEST(QuantumBudgetTest, NewPeriodGrantsNewQuanta) {
     RecordingHost h(test_settings());
     h.advance_until(1200ms);
     for (RequestId id = 1; id <= 20; ++id)
@@ -139,8 +140,8 @@
     EXPECT_EQ(h.count<Reject>(60), 0);
 }
 
-// ankara-later big-2: most requests within their tenant's share were refused beside a hold of one at most
-TEST(Budget, TopBandIsNotRefusedBesideAnEmptyHoldWhereAPeriodIsWorthFewPrices) {
+// On ankara-later big-2 most requests within their tenant's quota were rejected beside a queue of one at most.
+TEST(QuantumBudgetTest, TopBandIsNotRejectedBesideAnEmptyQueueWhereAPeriodIsWorthFewPrices) {
     Settings s = test_settings();
     s.classes[0].latency_objective = s.classes[1].latency_objective = s.classes[2].latency_objective = 1s;
     RecordingHost h(s);
@@ -158,7 +159,7 @@
     }
 }
 
-TEST(Budget, StaleFreeCoreGaugeLetsNoUnboundedBurstThrough) {
+TEST(QuantumBudgetTest, StaleFreeCoreGaugeAdmitsNoUnboundedBurst) {
     RecordingHost h(test_settings());
     h.advance_until(1200ms, 0.1);  // the gauge shows idle cores
     long taken = 0;
@@ -169,7 +170,7 @@
     EXPECT_LT(taken, 20);
 }
 
-TEST(Hold, WorthiestStartsFirst) {
+TEST(RunQueueTest, HighestBandStartsFirst) {
     RecordingHost h(test_settings());
     h.advance_until(1200ms);
     for (RequestId id = 1; id <= 3; ++id)
@@ -180,13 +181,13 @@
     EXPECT_EQ(h.count<Take>(3), 0);
 }
 
-TEST(Hold, NothingIsHeldThatCannotMeetItsTarget) {
+TEST(RunQueueTest, NothingIsQueuedThatCannotMeetItsObjective) {
     RecordingHost h(test_settings());
     h.request(1, 0, 0, 950ms);  // nearly all of its time went by before it was read
     EXPECT_EQ(h.count<Reject>(1), 1);
 }
 
-TEST(Hold, WhatCannotStartInTimeIsRefusedAndNotStarted) {
+TEST(RunQueueTest, WhatCannotStartInTimeIsRejectedAndNotStarted) {
     RecordingHost h(test_settings());
     for (RequestId id = 1; id <= 3; ++id)
         h.request(id, 2);
@@ -196,7 +197,7 @@
     EXPECT_EQ(h.count<Take>(3), 0);
 }
 
-TEST(RunLimit, StartsAtTheCoreCountAndGrowsWhileCoresIdle) {
+TEST(ConcurrencyLimiterTest, StartsAtTheCoreCountAndGrowsWhileCoresIdle) {
     RecordingHost h(test_settings());
     for (RequestId id = 1; id <= 3; ++id)
         h.request(id, 0);
@@ -205,7 +206,8 @@
     EXPECT_EQ(h.count<Take>(3), 1);
 }
 
-TEST(RunLimit, GrowsToFullCoresUnderPressureOnly) {  // mixco quiet: large requests late beside a third run
+TEST(ConcurrencyLimiterTest,
+     GrowsToFullCoresUnderPressureOnly) {  // mixco quiet: large requests late beside a third run
     RecordingHost light(test_settings());
     for (RequestId id = 1; id <= 3; ++id)
         light.request(id, 0);
@@ -224,7 +226,7 @@
     EXPECT_GT(begun, 2);
 }
 
-TEST(RunLimit, WaitersAtACallAreOutsideIt) {
+TEST(ConcurrencyLimiterTest, RequestsAwaitingACallDoNotCount) {
     RecordingHost h(test_settings());
     for (RequestId id = 1; id <= 3; ++id)
         h.request(id, 0);
@@ -233,7 +235,8 @@
     EXPECT_EQ(h.count<Take>(3), 1);
 }
 
-TEST(RunLimit, RunsThatWaitForADiskLeaveTheirCoreToOthers) {  // mixco overload: cores at 58 to 85%
+TEST(ConcurrencyLimiterTest,
+     RunsThatWaitForADiskLeaveTheirCoreToOthers) {  // mixco overload: cores at 58 to 85%
     RecordingHost busy(test_settings()), waiting(test_settings());
     const auto load = [](RecordingHost& h, double runnable) {
         for (RequestId id = 1; id <= 60; ++id) {
@@ -255,7 +258,7 @@
     EXPECT_GT(with_disk, with_cores);
 }
 
-TEST(Tenant, BeyondItsShareIsTheLowestBand) {
+TEST(TenantQuotaTest, RequestsOverItAreInTheLowestBand) {
     Settings s = test_settings();
     s.tenants = {{"a", 8.0}, {"b", 8.0}};  // two a second here
     s.over_quota_weight = 0.05;
@@ -284,14 +287,14 @@
         h.send(r);
         EXPECT_EQ(h.count<Reject>(r.id), 0) << "the part of a tenant within its share is protected";
     }
-    long refused = 0;
+    long rejected = 0;
     for (RequestId id = 1; id <= r.id; ++id)
-        refused += h.count<Reject>(id);
-    EXPECT_GT(refused, 20);
+        rejected += h.count<Reject>(id);
+    EXPECT_GT(rejected, 20);
 }
 
-// -- rule 1 --
-TEST(Due, RunningWorkIsAnsweredByItsDueTime) {
+// -- deadlines --
+TEST(DeadlineTest, RunningWorkIsAnsweredByIt) {
     Settings s = test_settings();
     s.preemption = Preemption::none;
     RecordingHost h(s);
@@ -303,7 +306,7 @@
     EXPECT_EQ(h.answer_count(1), 1);
 }
 
-TEST(Due, WorthlessWorkIsStoppedWhereAllowed) {
+TEST(DeadlineTest, WorthlessWorkIsSuspendedWherePreemptionIsAllowed) {
     RecordingHost h(test_settings());
     h.request(1, 0);
     h.advance_until(2010ms);
@@ -312,7 +315,7 @@
     EXPECT_EQ(h.count<Reject>(1), 0);
 }
 
-TEST(Due, CallersOwnDeadlineCounts) {
+TEST(DeadlineTest, CallersOwnCounts) {
     Settings s = test_settings();
     s.preemption = Preemption::none;
     RecordingHost h(s);
@@ -326,7 +329,7 @@
     EXPECT_EQ(h.answer_count(1), 1);
 }
 
-TEST(Due, GoneRequestsAreOwedNothing) {
+TEST(DeadlineTest, CancelledRequestsGetNoAnswer) {
     RecordingHost h(test_settings());
     for (RequestId id = 1; id <= 3; ++id)
         h.request(id, 0);
@@ -338,8 +341,8 @@
     EXPECT_EQ(h.answer_count(3), 0);
 }
 
-// -- rule 2 --
-TEST(Effects, KeyedIsKeptForItsWindowFromArrival) {
+// -- idempotency --
+TEST(IdempotencyKeysTest, KeyIsRetainedForItsWindowFromArrival) {
     RecordingHost h(test_settings());
     h.request(1, 1, 0, 500ms);
     ASSERT_EQ(h.count<RetainKey>(1), 1);
@@ -347,7 +350,7 @@
     EXPECT_LE(h.last<RetainKey>()->duration, Duration(19700ms));
 }
 
-TEST(Effects, RepeatOfARunKeyedRequestIsReplayed) {
+TEST(IdempotencyKeysTest, RepeatOfARequestThatRanIsReplayed) {
     RecordingHost h(test_settings());
     h.request(1, 1);
     h.request(2, 1, 1);
@@ -359,7 +362,7 @@
     EXPECT_EQ(h.count<Take>(2) + h.count<Take>(3) + h.answer_count(2) + h.answer_count(3), 0);
 }
 
-TEST(Effects, RepeatOfAHeldKeyedRequestTakesItsPlace) {
+TEST(IdempotencyKeysTest, RepeatOfAQueuedRequestTakesItsPlace) {
     RecordingHost h(test_settings());
     for (RequestId id = 1; id <= 2; ++id)
         h.request(id, 2);
@@ -374,16 +377,16 @@
     EXPECT_EQ(h.count<Take>(3), 0);
 }
 
-TEST(Effects, EntryOfWhatNeverRanIsFreedAndItsRepeatInTheSameBatchIsFresh) {
+TEST(IdempotencyKeysTest, RepeatInTheSameBatchOfWhatNeverRanIsRun) {
     RecordingHost h(test_settings());
-    h.request(1, 1, 0, 950ms);  // too late: refused
+    h.request(1, 1, 0, 950ms);  // too late: rejected
     ASSERT_EQ(h.count<Reject>(1), 1);
     h.request(2, 1, 1);
     EXPECT_EQ(h.count<ReplayResult>(2), 0);
     EXPECT_EQ(h.count<Take>(2), 1);
 }
 
-TEST(Effects, CallThatMayHaveRunIsNotRepeated) {
+TEST(IdempotencyTest, CallThatMayHaveRunIsNotRetried) {
     for (const Outcome o : {Outcome::error, Outcome::timeout, Outcome::reset}) {
         RecordingHost h(test_settings());
         h.request(1, 2);
@@ -396,7 +399,7 @@
     }
 }
 
-TEST(Effects, CallProvenNotToHaveRunIsRepeated) {
+TEST(IdempotencyTest, CallProvenNotToHaveRunIsRetried) {
     for (const Outcome o : {Outcome::rejected, Outcome::connect_failed}) {
         RecordingHost h(test_settings());
         h.request(1, 2);
@@ -408,7 +411,7 @@
     }
 }
 
-TEST(Effects, StoppedUnsafeRequestIsNeverTakenAgain) {
+TEST(IdempotencyTest, SuspendedRequestThatMayRunOnceIsNeverRunAgain) {
     RecordingHost h(test_settings());
     h.request(1, 2);
     h.advance_until(2010ms);
@@ -418,14 +421,14 @@
     EXPECT_EQ(h.count<Reject>(1), 0);
 }
 
-TEST(Effects, UnknownClassIsNeverRun) {
+TEST(IdempotencyTest, UnknownClassIsNeverRun) {
     RecordingHost h(test_settings());
     h.request(1, unknown_index);
     EXPECT_EQ(h.count<Take>(1), 0);
     EXPECT_EQ(h.count<Reject>(1), 1);
 }
 
-TEST(Effects, ReadsAreSharedOnlyWhereFresh) {
+TEST(IdempotencyTest, ResultsAreSharedOnlyWithATtl) {
     Settings s = test_settings();
     s.result_ttl = 500ms;
     RecordingHost h(s);
@@ -441,8 +444,8 @@
     EXPECT_EQ(without.count<RetainKey>(1), 0);
 }
 
-// -- rule 3 --
-TEST(Drain, NothingRunsThatCameLaterThanTheGrace) {
+// -- drain --
+TEST(DrainTest, NothingRunsThatCameLaterThanTheGrace) {
     RecordingHost h(test_settings());
     h.send(DrainStarted{h.now + 5s});
     h.advance_until(3100ms, 0.0);
@@ -451,7 +454,7 @@
     EXPECT_EQ(h.count<Reject>(1), 1);
 }
 
-TEST(Drain, AllIsAnsweredBeforeTheStop) {
+TEST(DrainTest, AllRequestsAreAnsweredBeforeTheDeadline) {
     Settings s = test_settings();
     s.preemption = Preemption::none;
     RecordingHost h(s);
@@ -464,9 +467,8 @@
     EXPECT_FALSE(h.last<SetHealth>()->healthy);
 }
 
-// -- rule 4 --
 // Found by the random run: what waited for the run it repeats, or at a call, was answered at its due time only.
-TEST(Drain, WhatWaitsForARunOrACallIsAnsweredBeforeTheStopToo) {
+TEST(DrainTest, WhatAwaitsAResultOrACallIsAnsweredBeforeTheDeadlineToo) {
     RecordingHost h(test_settings());
     h.request(1, 1);
     ASSERT_EQ(h.count<Take>(1), 1);
@@ -483,7 +485,7 @@
     EXPECT_EQ(h.answer_count(5), 1);
 }
 
-TEST(Drain, ASecondNoticeDoesNotRenewTheGrace) {
+TEST(DrainTest, ASecondNoticeDoesNotRenewTheGrace) {
     RecordingHost h(test_settings());
     h.advance_until(1200ms);
     h.send(DrainStarted{h.now + 20s});
@@ -495,7 +497,7 @@
 }
 
 // Found by the random run: repeats that wait took memory without limit.
-TEST(Memory, CrowdOfRepeatsOfOneRunStaysUnderTheLimit) {
+TEST(MemoryTest, RepeatsOfOneRunStayUnderTheLimit) {
     Settings s = test_settings();
     s.memory_kb = 600;
     RecordingHost h(s);
@@ -503,34 +505,34 @@
     ASSERT_EQ(h.count<Take>(1), 1);
     for (RequestId id = 2; id <= 80; ++id)
         h.request(id, 1, 1);
-    long waiting = 0, failed = 0, refused = 0;
+    long waiting = 0, failed = 0, rejected = 0;
     for (RequestId id = 2; id <= 80; ++id) {
         waiting += h.count<ReplayResult>(id);
         failed += h.count<Fail>(id);
-        refused += h.count<Reject>(id);
+        rejected += h.count<Reject>(id);
     }
     EXPECT_LE(20 * 4 + 20 * waiting + 2, 600);
     EXPECT_EQ(waiting + failed, 79);
-    EXPECT_EQ(refused, 0);  // its first try has run: failed, not turned away
+    EXPECT_EQ(rejected, 0);  // the original has run: failed, not rejected
 }
 
-TEST(Memory, StaysUnderTheLimit) {
+TEST(MemoryTest, StaysUnderTheLimit) {
     Settings s = test_settings();
     s.memory_kb = 500;
     RecordingHost h(s);
-    double held = 0.0;
+    double used_kb = 0.0;
     for (RequestId id = 1; id <= 40; ++id) {
         h.request(id, id % 2 == 0 ? 1 : 2);
-        held = 0.0;
+        used_kb = 0.0;
         for (RequestId i = 1; i <= id; ++i)
             if (h.answer_count(i) == 0)
-                held += 20 * (h.count<Take>(i) ? 4 : 1) + (h.count<RetainKey>(i) ? 2 : 0);
-        ASSERT_LE(held, s.memory_kb) << id;
+                used_kb += 20 * (h.count<Take>(i) ? 4 : 1) + (h.count<RetainKey>(i) ? 2 : 0);
+        ASSERT_LE(used_kb, s.memory_kb) << id;
     }
-    EXPECT_GT(held, 0.3 * s.memory_kb);
+    EXPECT_GT(used_kb, 0.3 * s.memory_kb);
 }
 
-TEST(Crowd, CallWaitersCountAsTheyMayReturnAtOnce) {
+TEST(MaxInFlightTest, CountsRequestsAwaitingCallsAsTheyMayReturnAtOnce) {
     Settings s = test_settings();
     s.cold_start = true;  // a fifth of the speed: (1 + 5 x 0.2) x 2 cores = 4
     s.memory_kb = 1e6;
@@ -548,7 +550,7 @@
     EXPECT_GE(run, 2);
 }
 
-TEST(Below, CallsInHandStayUnderThisServersPart) {
+TEST(DependencyLimiterTest, CallsInFlightStayUnderTheQuota) {
     Settings s = test_settings();
     s.dependency_call_quota = 2;
     s.max_runnable_per_core = 40;
@@ -564,11 +566,12 @@
     EXPECT_EQ(calls, 2);
 }
 
-// windhoek-later big-2: 300 servers with half a call each had one in hand each, the dependency fell over
-TEST(Below, PartUnderOneCallIsAPartOfTheTime) {
+// windhoek-later big-2: 300 servers with half a call each had one in flight each, and the dependency fell over
+TEST(DependencyLimiterTest, QuotaUnderOneCallIsAPartOfTheTime) {
     Settings s = test_settings();
     s.dependency_call_quota = 0.5;
-    s.classes[0].latency_objective = 4s;  // patient enough to hold a call for longer than the part allows
+    s.classes[0].latency_objective =
+        4s;  // patient enough to make a call that is longer than the quota allows
     s.classes[0].answer_deadline = 8s;
     s.max_runnable_per_core = 400;
     s.memory_kb = 1e6;
@@ -596,16 +599,16 @@
     }
     ASSERT_GE(calls.size(), 3U);
     for (Timestamp from = 1s; from < 20s; from += 250ms) {
-        double held = 0.0;
+        double call_seconds = 0.0;
         for (const auto& [start, end] : calls)
-            held += std::max(
+            call_seconds += std::max(
                 0.0, std::chrono::duration<double>(std::min(end, from + 5s) - std::max(start, from)).count());
-        EXPECT_LE(held, 0.5 * 5.0) << "in the 5 s from " << from.count();
+        EXPECT_LE(call_seconds, 0.5 * 5.0) << "in the 5 s from " << from.count();
     }
 }
 
 // windhoek-later big-2: requests were run up to their call and then waited for it until their time was over
-TEST(Below, CallsThatRunsAheadWillMakeCountAtAdmission) {
+TEST(DependencyLimiterTest, CallsThatRunsAheadWillMakeCountAtAdmission) {
     Settings s = test_settings();
     s.dependency_call_quota = 0.3;
     s.classes[2].calls_dependency = false;
@@ -634,7 +637,7 @@
     EXPECT_EQ(h.count<Take>(31), 1);
 }
 
-TEST(Below, NoPartMeansNoCallAndADefinedAnswer) {
+TEST(DependencyLimiterTest, NoQuotaMeansNoCallAndADefinedAnswer) {
     Settings s = test_settings();
     s.dependency_call_quota = 0;
     RecordingHost h(s);
@@ -645,7 +648,7 @@
     EXPECT_EQ(h.count<SkipDependencyCall>(1) + h.answer_count(1), 1);
 }
 
-TEST(Below, TheAnswerGoesOutWithoutTheCallBeforeItsTimeIsOver) {
+TEST(DependencyLimiterTest, CallIsSkippedInTimeForTheAnswer) {
     Settings s = test_settings();
     s.dependency_call_quota = 1;
     RecordingHost h(s);
@@ -659,8 +662,8 @@
     EXPECT_EQ(h.answer_count(2), 0);
 }
 
-TEST(Below,
-     CallThatCannotBeBackInTimeIsNotMade) {  // windhoek big-2: half of the calls in hand were lost ones
+TEST(DependencyLimiterTest,
+     CallThatCannotBeBackInTimeIsNotMade) {  // windhoek big-2: half of the calls in flight were lost ones
     Settings s = test_settings();
     s.dependency_call_quota = 1;
     s.max_runnable_per_core = 40;
@@ -683,8 +686,8 @@
     EXPECT_EQ(h.count<Fail>(3), 1);
 }
 
-// One call in hand while what lies below was slow for others' sake; cores idled beside forty waiters.
-TEST(Below, SlowDependencyKeepsAPartOfTheCalls) {
+// One call was in flight while the dependency was slow for others' sake; cores idled beside forty requests.
+TEST(DependencyLimiterTest, SlowDependencyKeepsAPartOfTheCalls) {
     Settings s = test_settings();
     s.dependency_call_quota = 16;
     s.max_runnable_per_core = 40;
@@ -708,7 +711,7 @@
     EXPECT_LE(calls, 16);
 }
 
-TEST(Below, WaitersThatFillTheCrowdSkipBesideIdleCores) {
+TEST(DependencyLimiterTest, RequestsAwaitingCallsSkipThemBesideIdleCores) {
     Settings s = test_settings();
     s.dependency_call_quota = 1;
     s.max_runnable_per_core = 4;  // six in flight at most
@@ -720,7 +723,7 @@
     }
     EXPECT_EQ(h.count<CallDependency>(1), 1);
     EXPECT_EQ(h.count<SkipDependencyCall>(6), 0);
-    h.request(7, 0);  // held: the crowd is full, and both cores idle
+    h.request(7, 0);  // queued: no more may be in flight, and both cores idle
     long skips = 0;
     for (RequestId id = 1; id <= 6; ++id)
         skips += h.count<SkipDependencyCall>(id);
@@ -728,7 +731,7 @@
     EXPECT_EQ(h.count<SkipDependencyCall>(1), 0);
 }
 
-TEST(Below, RunsThatWaitedForCallsDoNotMakeWhatMaySkipThemTooLongToStart) {
+TEST(DependencyLimiterTest, RunsThatWaitedForCallsDoNotKeepWhatCanSkipThemFromStarting) {
     Settings s = test_settings();
     s.classes[0].latency_objective = 1s;
     RecordingHost h(s);
@@ -746,8 +749,8 @@
     EXPECT_EQ(h.answer_count(101), 0);
 }
 
-// A churning day failed 264 trail sheets at 0.64 s, their calls in hand, which were due in 2.9 s.
-TEST(Below, CallThatIsOutTooLongIsGivenUpForTheAnswerWithoutIt) {
+// A churning day failed 264 trail sheets at 0.64 s, their calls in flight, though they were due in 2.9 s.
+TEST(DependencyLimiterTest, SlowCallTimesOutInTimeForTheAnswerWithoutIt) {
     RecordingHost h(test_settings());
     h.request(1, 0);
     h.send(DependencyCallRequested{1});
@@ -763,7 +766,8 @@
     EXPECT_EQ(h.answer_count(1), 0);
 }
 
-TEST(Below, PreciousRequestsDoNotCountTheCallsOfLesserOnesAhead) {  // jawa incident id7efce: 0.64 -> 0.46
+TEST(DependencyLimiterTest,
+     HigherBandsDoNotCountTheCallsOfLowerOnesAhead) {  // jawa incident id7efce: 0.64 -> 0.46
     Settings s = test_settings();
     s.dependency_call_quota = 1;
     s.max_runnable_per_core = 40;
@@ -776,7 +780,7 @@
     h.send(DependencyCallFinished{1, Outcome::ok, 300ms});
     h.send(RunFinished{1, Outcome::ok});
     h.request(20, 2);  // something runs: no idle probe
-    for (RequestId id = 2; id <= 7; ++id) {  // one call in hand, five queued: a second and a half
+    for (RequestId id = 2; id <= 7; ++id) {  // one call in flight, five queued: a second and a half
         h.request(id, 0);
         h.send(DependencyCallRequested{id});
     }
@@ -786,8 +790,8 @@
     EXPECT_EQ(h.count<Take>(9), 1);
 }
 
-// -- a sick server --
-TEST(Sick, FailingRunsTurnPreciousAwayUnrunWhileSafeOnesProbe) {
+// -- a failing server --
+TEST(FailureDetectorTest, FailingServerRejectsWhatMayRunOnceAndProbesWithTheRest) {
     RecordingHost h(test_settings());
     for (RequestId id = 1; id <= 8; ++id) {
         h.request(id, 0);
@@ -812,7 +816,7 @@
     EXPECT_EQ(h.count<Take>(99), 1);
 }
 
-TEST(Sick, FailuresOfWhatLiesBelowDoNotCount) {
+TEST(FailureDetectorTest, FailuresOfTheDependencyDoNotCount) {
     RecordingHost h(test_settings());
     for (RequestId id = 1; id <= 20; ++id) {
         h.request(id, 2);
@@ -824,7 +828,7 @@
     EXPECT_TRUE(h.last<SetHealth>()->healthy);
 }
 
-TEST(Sick, HungWorkTurnsNewcomersAwayUntilItMoves) {
+TEST(FailureDetectorTest, HungServerRejectsUntilARunEnds) {
     Settings s = test_settings();
     s.classes[0].latency_objective = 8s;
     s.classes[0].answer_deadline = 9s;
@@ -843,8 +847,8 @@
     EXPECT_EQ(h.count<Take>(5), 1);
 }
 
-// -- advice --
-TEST(Advice, LevelRisesUnderPressureAndFallsAfter) {
+// -- load advertisement --
+TEST(LoadAdvertisementTest, LevelRisesUnderPressureAndFallsAfter) {
     Settings s = test_settings();
     s.load_advertisement = LoadAdvertisement::level;
     RecordingHost h(s);
@@ -864,8 +868,9 @@
     EXPECT_EQ(h.last<AdvertiseLoad>()->value, 0.0);
 }
 
-TEST(Advice,
-     UnreadWaitTellsCallersToStayAwayAtOnce) {  // windhoek incident iefc54f: advice came when nobody heard it
+TEST(
+    LoadAdvertisementTest,
+    IntakeDelayRaisesRetryAfterAndLevelAtOnce) {  // windhoek incident iefc54f: the advertisement came too late to be read
     Settings s = test_settings();
     s.load_advertisement = LoadAdvertisement::level;
     RecordingHost h(s);
@@ -876,7 +881,8 @@
     EXPECT_GT(h.last<AdvertiseLoad>()->value, 0.8);
 }
 
-TEST(Advice, BusyServerWantsItsCallersWhileItsTopBandIsServed) {  // jawa lost precious work to blanket advice
+TEST(LoadAdvertisementTest,
+     NoRetryAfterWhileTheTopBandIsServed) {  // jawa lost high bands to a blanket Retry-After
     RecordingHost h(test_settings());
     h.advance_until(1200ms);
     for (RequestId id = 1; id <= 60; ++id) {
@@ -890,7 +896,7 @@
     EXPECT_EQ(h.last<Reject>()->retry_after, Duration(0));
 }
 
-TEST(Stall, SlowedServerRefusesBeforeDearRunsComplete) {
+TEST(StallDetectorTest, SlowedServerRejectsBeforeDearRunsComplete) {
     RecordingHost h(test_settings());
     RequestId id = 0;
     for (int i = 0; i < 40; ++i) {  // ten a second, each done at once
@@ -907,7 +913,7 @@
     EXPECT_EQ(h.count<Reject>(id), 1);
 }
 
-TEST(Sick, SafeRequestsStayWhileMostRunsSucceed) {
+TEST(FailureDetectorTest, WhatMayRunAgainIsAdmittedWhileMostRunsSucceed) {
     RecordingHost h(test_settings());
     for (RequestId id = 1; id <= 40; ++id) {  // one in three fails
         h.request(id, 0);
@@ -921,8 +927,8 @@
     EXPECT_TRUE(h.last<SetHealth>()->healthy);
 }
 
-// windhoek-later big-1: each refused request walked a dozen servers, reading took the cores (0.02 -> 0.56)
-TEST(Walk, RefusedFurtherTryAsksNotToTryElsewhere) {
+// On windhoek-later big-1 each rejected request was retried on a dozen servers, whose cores read (0.02 -> 0.56).
+TEST(DoNotRetryTest, RejectedRetryIsToldNotToRetry) {
     Settings s = test_settings();
     s.callers_mark_retries = true;
     s.replica_count = 300;
@@ -931,7 +937,7 @@
     for (RequestId id = 1; id <= 40; ++id)
         h.request(id, 0);
     ASSERT_EQ(h.count<Reject>(40), 1);
-    EXPECT_FALSE(h.last<Reject>()->do_not_retry);  // a first try may find room elsewhere
+    EXPECT_FALSE(h.last<Reject>()->do_not_retry);  // a first attempt may be admitted elsewhere
     RequestArrived again;
     again.id = 41;
     again.class_index = 0;
@@ -941,7 +947,7 @@
     EXPECT_TRUE(h.last<Reject>()->do_not_retry);
 }
 
-RecordingHost overloaded_host(Settings s, bool retry) {  // 200 safe reads at once, most of them refused
+RecordingHost overloaded_host(Settings s, bool retry) {  // 200 reads at once, most of them rejected
     s.replica_count = 300;
     RecordingHost h(s);
     h.advance_until(1200ms);
@@ -955,38 +961,37 @@
     return h;
 }
 
-TEST(Walk, FirstTriesStayWhereFurtherTriesAreMany) {
+TEST(DoNotRetryTest, RejectedFirstAttemptIsToldSoWhereRetriesAreMany) {
     Settings s = test_settings();
     s.callers_mark_retries = true;
     RecordingHost many = overloaded_host(s, true), few = overloaded_host(s, false);
-    ASSERT_EQ(many.count<Reject>(200), 1);  // a first try
+    ASSERT_EQ(many.count<Reject>(200), 1);  // a first attempt
     EXPECT_TRUE(many.last<Reject>()->do_not_retry);
     ASSERT_EQ(few.count<Reject>(200), 1);
-    EXPECT_FALSE(few.last<Reject>()->do_not_retry);  // others do not refuse: trouble is here alone
+    EXPECT_FALSE(few.last<Reject>()->do_not_retry);  // others do not reject: the fault is here alone
 }
 
-TEST(Walk,
-     WithoutMarksOwnRefusalsStandForThem) {  // jawa-later: 8 attempts a request; colombo: reading is dear
+TEST(DoNotRetryTest,
+     OwnRejectionsStandForRetriesWithoutMarks) {  // jawa-later: 8 attempts a request; colombo: reads are dear
     RecordingHost h = overloaded_host(test_settings(), false);
     ASSERT_EQ(h.count<Reject>(200), 1);
     EXPECT_TRUE(h.last<Reject>()->do_not_retry);
     for (RequestId id = 201; id <= 300; ++id)
         h.request(id, 2);
     ASSERT_EQ(h.count<Reject>(300), 1);
-    EXPECT_TRUE(
-        h.last<Reject>()->do_not_retry);  // precious ones too: each step takes a reading from other work
+    EXPECT_TRUE(h.last<Reject>()->do_not_retry);  // high bands too: each retry takes a read from other work
 }
 
-TEST(Walk, OwnTroubleLetsRequestsGoOn) {
+TEST(DoNotRetryTest, NotSetWhileThisServerIsAtFault) {
     RecordingHost h = overloaded_host(test_settings(), false);
     h.send(DrainStarted{h.now + 10s});
     h.advance_until(h.now + 3s);
     h.request(400, 0);
     ASSERT_EQ(h.count<Reject>(400), 1);
-    EXPECT_FALSE(h.last<Reject>()->do_not_retry);  // it leaves: others may have room
+    EXPECT_FALSE(h.last<Reject>()->do_not_retry);  // it drains: others may have capacity
 }
 
-TEST(Walk, ShortListEndsAWalkByItself) {
+TEST(DoNotRetryTest, NotSetWhereReplicasAreFew) {
     Settings s = test_settings();
     s.callers_mark_retries = true;
     s.replica_count = 4;
@@ -1003,13 +1008,13 @@
     EXPECT_FALSE(h.last<Reject>()->do_not_retry);
 }
 
-TEST(Advice, NoneIsSaidWhereItIsNotRead) {
+TEST(LoadAdvertisementTest, NoneWhereTheSettingIsNone) {
     RecordingHost h(test_settings());
     h.advance_until(5s);
     EXPECT_EQ(h.last<AdvertiseLoad>(), nullptr);
 }
 
-TEST(Advice,
+TEST(LoadAdvertisementTest,
      CreditSharesAmongTheCallersWhatCanBeAnsweredInTime) {  // colombo: 150 callers at one each is no limit
     Settings s = test_settings();
     s.load_advertisement = LoadAdvertisement::credit;
@@ -1026,8 +1031,8 @@
 }
 
 // -- standstills --
-TEST(Pause, TimeInWhichTheProcessStoodIsNotLearnedAsDearWork) {
-    const auto refused = [](bool pauses) {
+TEST(ProcessPauseTest, IsNotLearnedAsDearWork) {
+    const auto rejected = [](bool pauses) {
         RecordingHost h(test_settings());
         RequestId id = 0;
         for (int i = 0; i < 40; ++i) {
@@ -1046,10 +1051,10 @@
             n += h.count<Reject>(k);
         return n;
     };
-    EXPECT_LE(refused(true), refused(false) + 1);
+    EXPECT_LE(rejected(true), rejected(false) + 1);
 }
 
-TEST(Pause, FrozenWorkThatWaitedForADiskIsStoppedAgain) {
+TEST(PreemptionTest, PauseIsRepeatedForWorkThatWaitedForADisk) {
     Settings s = test_settings();
     s.preemption = Preemption::pause;
     RecordingHost h(s);
@@ -1065,7 +1070,7 @@
 }
 
 // A soak of 45 minutes asked for 2,200 timers a second by its end: each that came asked for a later one again.
-TEST(Timers, LongBusyDayAsksForNoMoreOfThemAtItsEndThanAtItsStart) {
+TEST(TimersTest, RateStaysTheSameOverALongBusyDay) {
     Settings s = test_settings();
     s.classes[0].latency_objective = 300ms;  // its alarms come before those that stand for the others
     s.classes[0].answer_deadline = 900ms;
@@ -1092,7 +1097,7 @@
 }
 
 // -- connections --
-TEST(Connections, IdleOnesGoSoonerBesideAFullTableAndCoresAtRest) {  // ib91bfa, i82c4fc
+TEST(IdleTimeoutTest, FallsBesideAFullTableAndIdleCores) {  // ib91bfa, i82c4fc
     Settings s = test_settings();
     s.idle_timeout = 30s;
     s.caller_count = 900;
@@ -1100,12 +1105,12 @@
     h.advance_until(8s, 0.3, 0.0, 90.0);
     ASSERT_NE(h.last<SetIdleTimeout>(), nullptr);
     EXPECT_LT(h.last<SetIdleTimeout>()->timeout, 4s);
-    EXPECT_GE(h.last<SetIdleTimeout>()->timeout, 990ms);  // never so short that each try needs a new one
+    EXPECT_GE(h.last<SetIdleTimeout>()->timeout, 990ms);  // never so short that each attempt needs a new one
     h.advance_until(70s, 0.3, 0.0, 5.0);
     EXPECT_GT(h.last<SetIdleTimeout>()->timeout, 20s);  // few are idle: they stay again
 }
 
-TEST(Connections, IdleOnesStayWhereAllCallersFit) {  // mixco in the small: handshakes that let nobody in
+TEST(IdleTimeoutTest, StaysWhereAllCallersFit) {  // mixco in the small: handshakes that let nobody in
     Settings s = test_settings();
     s.idle_timeout = 30s;
     s.caller_count = 20;
@@ -1114,7 +1119,7 @@
     EXPECT_EQ(h.last<SetIdleTimeout>(), nullptr);
 }
 
-TEST(Connections, StormOfNewOnesMakesThemStayAsLongAsTheTableLetsInWhatCompletes) {
+TEST(IdleTimeoutTest, RisesInAStormOfNewConnectionsUpToTheTurnover) {
     Settings s = test_settings();
     s.idle_timeout = 30s;
     s.caller_count = 900;
@@ -1126,7 +1131,7 @@
     EXPECT_LE(h.last<SetIdleTimeout>()->timeout, 10s);  // 90 connections at a dozen completions a second
 }
 
-TEST(Connections, NothingIsSaidWithoutTheGaugesOrTheSetting) {
+TEST(IdleTimeoutTest, NotSetWithoutTheGaugesOrTheSetting) {
     Settings s = test_settings();
     RecordingHost without(s);
     without.advance_until(8s, 0.3, 0.0, 90.0);
@@ -1138,14 +1143,14 @@
 }
 
 // -- contract --
-TEST(Contract, EventsForUnknownRequestsChangeNothing) {
+TEST(ContractTest, EventsForUnknownRequestsChangeNothing) {
     RecordingHost h(test_settings());
     for (const Event& e : std::vector<Event>{RunFinished{7, Outcome::ok}, DependencyCallRequested{7},
                                              DependencyCallFinished{7, Outcome::ok, 1ms}, Cancelled{7}})
         EXPECT_TRUE(h.send(e).empty());
 }
 
-TEST(Contract, ZeroAndOneOfEverythingIsServed) {  // no replicas or callers told, no allowance, one core
+TEST(ContractTest, ZeroAndOneOfEverythingIsServed) {  // no replicas or callers given, no quota, one core
     Settings s = test_settings();
     s.replica_count = s.caller_count = 0;
     s.tenants = {{"none", 0.0}};
@@ -1166,7 +1171,7 @@
         EXPECT_GE(h.answer_count(id), 1) << id;  // nobody finished: all are answered
 }
 
-TEST(Contract, TimeGoingBackwardsIsHarmless) {
+TEST(ContractTest, TimeGoingBackwardsIsHarmless) {
     RecordingHost h(test_settings());
     h.request(1, 0);
     h.now = Timestamp(200ms);
@@ -1176,7 +1181,7 @@
     EXPECT_EQ(h.count<Take>(2), 1);
 }
 
-TEST(Contract, SameEventsSameActions) {
+TEST(ContractTest, SameEventsSameActions) {
     RecordingHost a(test_settings()), b(test_settings());
     for (RequestId id = 1; id <= 50; ++id) {
         a.request(id, id % 3);
--- a/tests/policy/random_schedule_test.cpp
+++ b/tests/policy/random_schedule_test.cpp
@@ -1,4 +1,4 @@
-// Seeded random runs against a plain model of one server: the four rules are checked after every call.
+// Seeded random runs against a plain model of one server: the contract is checked after every call.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -57,7 +57,7 @@
         double running = 0.0;
         for (const auto& [id, e] : entries)
             running += e.phase == Phase::running;
-        ASSERT_LE(running, max_running() + 1e-9) << "crowd on the cores";
+        ASSERT_LE(running, max_running() + 1e-9) << "too many on the cores";
     }
     double max_running() const {
         const double speed =
@@ -106,8 +106,7 @@
         if (e.phase == Phase::finished)
             return;
         EXPECT_EQ(e.phase, Phase::queued);
-        EXPECT_FALSE(e.has_run && class_of(e).idempotency != Idempotency::always)
-            << "turned away after it ran";
+        EXPECT_FALSE(e.has_run && class_of(e).idempotency != Idempotency::always) << "rejected after it ran";
         EXPECT_LE(a.retry_after, settings.max_retry_after);
         answer(e);
         e.phase = Phase::finished;
@@ -282,7 +281,7 @@
     long run_count = 0, rejected_count = 0, replayed_count = 0;
 };
 
-Settings test_settings(Preemption stop, bool cold) {
+Settings test_settings(Preemption preemption, bool cold_start) {
     Settings s;
     s.classes.resize(3);
     s.classes[0] = {"read", Idempotency::always, 1.0, 0.0, 1s, 3s, 0s, true, 0.5};
@@ -298,9 +297,9 @@
     s.dependency_call_quota = 6;
     s.abandoned_call_grace = 200ms;
     s.idle_timeout = 30s;
-    s.preemption = stop;
+    s.preemption = preemption;
     s.load_advertisement = LoadAdvertisement::weight;
-    s.cold_start = cold;
+    s.cold_start = cold_start;
     s.cold_start_speed = 0.2;
     s.warm_up_duration = 10s;
     s.drain_grace = 1800ms;
@@ -311,9 +310,9 @@
     return s;
 }
 
-class Random : public testing::TestWithParam<unsigned> {};
+class RandomScheduleTest : public testing::TestWithParam<unsigned> {};
 
-TEST_P(Random, TheFourRulesHoldAgainstAPlainModel) {
+TEST_P(RandomScheduleTest, KeepsTheContractOfAPlainModel) {
     const unsigned seed = GetParam();
     ServerModel m(test_settings(seed % 2 == 0 ? Preemption::pause : Preemption::discard, seed % 3 == 0),
                   seed);
@@ -321,13 +320,13 @@
         m.step();
     m.is_draining = true;
     m.drain_started_at = m.now;
-    const Timestamp stop = m.now + (seed % 2 == 0 ? 4s : 1s);  // the notice may be shorter than the grace
-    m.send(DrainStarted{stop});
+    const Timestamp deadline = m.now + (seed % 2 == 0 ? 4s : 1s);  // the notice may be shorter than the grace
+    m.send(DrainStarted{deadline});
     if (seed % 3 == 1)
-        m.send(DrainStarted{stop});  // and may come twice
-    while (m.now < stop - 450ms && !testing::Test::HasFatalFailure())
+        m.send(DrainStarted{deadline});  // and may come twice
+    while (m.now < deadline - 450ms && !testing::Test::HasFatalFailure())
         m.step();
-    for (; m.now < stop - 20ms; m.now += 10ms) {
+    for (; m.now < deadline - 20ms; m.now += 10ms) {
         while (!m.timers.empty() && m.timers.begin()->first <= m.now) {
             TimerFired t;
             t.token = m.timers.begin()->second;
@@ -337,12 +336,12 @@
     }
     for (const auto& [id, e] : m.entries)
         if (!e.is_cancelled) {
-            EXPECT_EQ(e.answers, 1) << "unanswered at the stop: " << id;
+            EXPECT_EQ(e.answers, 1) << "unanswered at the deadline: " << id;
         }
     EXPECT_GT(m.run_count, 100);
     EXPECT_GT(m.rejected_count, 300);
     EXPECT_GT(m.replayed_count, 10);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, Random, testing::Range(1U, 7U));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomScheduleTest, testing::Range(1U, 7U));
 
 }  // namespace
--- a/tests/policy/simulator_adapter_test.cpp
+++ b/tests/policy/simulator_adapter_test.cpp
@@ -1,4 +1,4 @@
-// The wire: short hand-written batches in, actions out.
+// The simulator adapter: short hand-written batches in, actions out.
 #include "simulator_adapter/simulator_adapter.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 using cressledge::simulator_adapter::MalformedBatch;
 using cressledge::simulator_adapter::SimulatorAdapter;
 
-// Settings with a dependency, all advice and a stop; `extra` goes into the domain.
+// Settings with a dependency, a load advertisement and preemption; `extra` goes into the domain.
 std::string born_message(const std::string& who, const std::string& extra = "") {
     return R"({"born":{"who":")" + who +
            R"(","salt":7,"info":{"accounts":[{"name":"t","share":1,"allowance-per-s":50}],)"
@@ -30,19 +30,19 @@
     return text.find(part) != std::string::npos;
 }
 
-TEST(Wire, EmptyBatchGetsEmptyReply) {
+TEST(SimulatorAdapterTest, EmptyBatchGetsEmptyReply) {
     SimulatorAdapter a;
     EXPECT_EQ(a.handle_batch(R"({"time":8412.25,"msgs":[]})"), R"({"actions":[]})");
 }
 
-TEST(Wire, BornSetsHealthAndTimer) {
+TEST(SimulatorAdapterTest, BornSetsHealthAndTimer) {
     SimulatorAdapter a;
     const std::string r = a.handle_batch(batch(10, born_message("backend-1")));
     EXPECT_TRUE(contains(r, R"("health":{"who":"backend-1","active":true,"cheap":true})")) << r;
     EXPECT_TRUE(contains(r, R"("sleep":{"who":"backend-1","offset":)")) << r;
 }
 
-TEST(Wire, IdleLimitIsSentWhereTheSettingAndTheGaugesAreThere) {
+TEST(SimulatorAdapterTest, IdleLimitIsSentWithTheSettingAndTheGauges) {
     SimulatorAdapter a;
     a.handle_batch(batch(10, born_message("b", R"(,"idle":30000.0,"clients-total":900)")));
     std::string all;
@@ -52,7 +52,7 @@
     EXPECT_TRUE(contains(all, R"("idle-limit":{"who":"b","span":)")) << all;
 }
 
-TEST(Wire, NullsAbsentFieldsAndUnknownFieldsAreSkipped) {
+TEST(SimulatorAdapterTest, NullAbsentAndUnknownFieldsAreIgnored) {
     SimulatorAdapter a;
     a.handle_batch(batch(10, born_message("b", R"(,"brand-new":true,"fresh":null)")));
     const std::string r = a.handle_batch(batch(
@@ -60,7 +60,7 @@
     EXPECT_TRUE(contains(r, R"({"take":{"who":"b","txn":5}})")) << r;
 }
 
-TEST(Wire, EveryEventIsUnderstood) {
+TEST(SimulatorAdapterTest, ReadsEveryEvent) {
     SimulatorAdapter a;
     a.handle_batch(batch(10, born_message("b")));
     a.handle_batch(batch(20, inbound("b", 1, "buy") + "," + inbound("b", 2, "read")));
@@ -86,7 +86,7 @@
               R"({"actions":[]})");
 }
 
-TEST(Wire, SkipIsWrittenWhereItEarns) {
+TEST(SimulatorAdapterTest, WritesFallBackWhereSkippingEarns) {
     SimulatorAdapter a;
     a.handle_batch(batch(10, born_message("b")));
     a.handle_batch(batch(20, inbound("b", 1, "read")));
@@ -99,21 +99,21 @@
     EXPECT_TRUE(contains(r, R"({"fall-back":{"who":"b","txn":1}})")) << r;
 }
 
-TEST(Wire, KeyedRequestsAreKept) {
+TEST(SimulatorAdapterTest, WritesStoreKeyForAGuardedClass) {
     SimulatorAdapter a;
     a.handle_batch(batch(10, born_message("b")));
     const std::string r = a.handle_batch(batch(20, inbound("b", 1, "buy")));
     EXPECT_TRUE(contains(r, R"("store-key":{"who":"b","txn":1,"span":)")) << r;
 }
 
-TEST(Wire, UnknownClassIsTurnedAway) {
+TEST(SimulatorAdapterTest, UnknownClassIsRejected) {
     SimulatorAdapter a;
     a.handle_batch(batch(10, born_message("b")));
     const std::string r = a.handle_batch(batch(20, inbound("b", 1, "never-heard-of")));
     EXPECT_TRUE(contains(r, R"("turn-away":{"who":"b","txn":1,"retry-in":0.0,"dont-retry":false})")) << r;
 }
 
-TEST(Wire, InstancesShareNothing) {
+TEST(SimulatorAdapterTest, InstancesShareNothing) {
     SimulatorAdapter together, alone;
     together.handle_batch(batch(10, born_message("a") + "," + born_message("b")));
     alone.handle_batch(batch(10, born_message("b")));
@@ -122,13 +122,13 @@
               alone.handle_batch(batch(30, inbound("b", 3, "read"))));
 }
 
-TEST(Wire, UnknownEventIsSkipped) {
+TEST(SimulatorAdapterTest, UnknownEventIsIgnored) {
     SimulatorAdapter a;
     a.handle_batch(batch(10, born_message("b")));
     EXPECT_EQ(a.handle_batch(batch(20, R"({"novelty":{"who":"b","txn":1}})")), R"({"actions":[]})");
 }
 
-TEST(Wire, MalformedLinesThrow) {
+TEST(SimulatorAdapterTest, MalformedLinesThrow) {
     SimulatorAdapter a;
     EXPECT_THROW(a.handle_batch("not json"), MalformedBatch);
     EXPECT_THROW(a.handle_batch("[]"), MalformedBatch);
