--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// Runs the controller on the bench's wire: one batch a line on standard input, one reply a line on standard
-// output.
+// Runs the admission controller for the simulator: one batch a line on standard input, one reply a line on
+// standard output. Exits with 1 and one message at a line that is no batch.
 #include <iostream>
 #include <string>
 
