--- a/tests/cressledge/load_balancing_test.cpp
+++ b/tests/cressledge/load_balancing_test.cpp
@@ -1,5 +1,9 @@
-// Choice by what servers say of themselves, subsets by the view of the fleet, and how evenly they spread the load.
+// Choice by load reports and probes, subsets by the membership table, and how evenly they spread the load.
+#include <algorithm>
+#include <cmath>
 #include <set>
+#include <string>
+#include <vector>
 
 #include "emulator/spread.hpp"
 #include "load_balancing/balancer.hpp"
@@ -11,261 +15,276 @@
 namespace {
 
 using namespace cressledge::testing;
-using load_balancing::LoadReport, load_balancing::ProbePool, load_balancing::LoadProbeSettings;
-using upstream_health::no_host;
+using namespace cressledge::load_balancing;
+using upstream_health::CallResult;
+using upstream_health::HostSet;
+using upstream_health::HostSpec;
 
-bool anyone(upstream_health::HostId) {
+bool any_host(HostId) {
     return true;
 }
 
-LoadProbeSettings keeping() {  // nothing goes by itself
-    LoadProbeSettings r;
-    r.removals_per_call = 0.0;
-    r.hot_quantile = 0.5;
-    return r;
+/// Answers stay until they are used or too old.
+LoadProbeSettings settings_without_removals() {
+    LoadProbeSettings settings;
+    settings.removals_per_call = 0.0;
+    settings.hot_quantile = 0.5;
+    return settings;
 }
 
-std::vector<std::string> names(const char* kind, std::size_t n) {
-    std::vector<std::string> all;
-    for (std::size_t i = 0; i < n; ++i)
-        all.push_back(kind + std::to_string(i));
-    return all;
+std::vector<std::string> names(const char* prefix, std::size_t count) {
+    std::vector<std::string> result;
+    for (std::size_t i = 0; i < count; ++i)
+        result.push_back(prefix + std::to_string(i));
+    return result;
 }
 
-std::vector<upstream_health::HostSpec> servers(int n) {
-    std::vector<upstream_health::HostSpec> all;
-    for (int i = 0; i < n; ++i)
-        all.push_back(
+std::vector<HostSpec> host_specs(int count) {
+    std::vector<HostSpec> specs;
+    for (int i = 0; i < count; ++i)
+        specs.push_back(
             {"s" + std::to_string(i), "127.0.0.1:" + std::to_string(i + 1), "http", "", "", 1.0, false});
-    return all;
+    return specs;
 }
 
 }  // namespace
 
-TEST_CASE("a probe pool takes the quickest of the cold, and the least loaded where all are hot") {
-    ProbePool pool(keeping(), 100);
-    CHECK(pool.pick(Timestamp(0), anyone) == no_host);
+TEST_CASE("ProbePool: picks the quickest cold host, and the least loaded one where all are hot") {
+    ProbePool pool(settings_without_removals(), 100);
+    CHECK(pool.pick(Timestamp(0), any_host) == no_host);
     pool.add(Timestamp(0), 1, {2.0, 4.0, 0.9});
-    CHECK(pool.pick(Timestamp(0), anyone) == no_host);  // one answer is no choice
+    CHECK(pool.pick(Timestamp(0), any_host) == no_host);  // one answer is no choice
     pool.add(Timestamp(0), 2, {3.0, 4.0, 0.1});
     pool.add(Timestamp(0), 3, {16.0, 4.0, 0.01});
     pool.add(Timestamp(0), 4, {12.0, 4.0, 0.02});
-    CHECK(pool.pick(Timestamp(0), anyone) ==
-          1);  // the only one below the median; that 3 is quick does not count
-    ProbePool hot(keeping(), 100);
-    for (upstream_health::HostId no = 1; no < 4; ++no)
-        hot.add(Timestamp(0), no, {8.0, no == 2 ? 4.0 : 2.0, no == 1 ? 0.1 : 0.5});
-    CHECK(hot.pick(Timestamp(0), [](upstream_health::HostId no) { return no != 2; }) == 1);
-    CHECK(hot.size() == 1);  // one that may not is not kept, and the one taken has had its use
+    // The only one below the median; that 3 is quick does not count.
+    CHECK(pool.pick(Timestamp(0), any_host) == 1);
+    ProbePool hot(settings_without_removals(), 100);
+    for (HostId host_id = 1; host_id < 4; ++host_id)
+        hot.add(Timestamp(0), host_id, {8.0, host_id == 2 ? 4.0 : 2.0, host_id == 1 ? 0.1 : 0.5});
+    CHECK(hot.pick(Timestamp(0), [](HostId host_id) { return host_id != 2; }) == 1);
+    CHECK(hot.size() == 1);  // an ineligible one is dropped, and the one picked has had its use
 }
 
-TEST_CASE("a probe pool counts the calls it brings, forgets the old, and lets no answer serve for ever") {
-    LoadProbeSettings r = keeping();
-    r.hot_quantile = 0.0;  // by load alone
-    ProbePool pool(r, 1'000);
+TEST_CASE("ProbePool: counts the calls it places, drops old answers, and bounds the uses of an answer") {
+    LoadProbeSettings settings = settings_without_removals();
+    settings.hot_quantile = 0.0;  // by load alone
+    ProbePool pool(settings, 1'000);
     pool.add(Timestamp(0), 1, {0.0, 2.0, 0.0});
     pool.add(Timestamp(0), 2, {1.0, 2.0, 0.0});
-    CHECK(pool.pick(Timestamp(0), anyone) == 1);
-    CHECK(pool.size() == 1);  // equation 1: with three probes a call, and nothing else going, one use
-    CHECK(pool.pick(Timestamp(0), anyone) == no_host);
-    LoadProbeSettings few = r;
-    few.probes_per_call = 0.5;  // four uses each
-    ProbePool used(few, 1'000);
+    CHECK(pool.pick(Timestamp(0), any_host) == 1);
+    CHECK(pool.size() == 1);  // equation 1: one use with three probes a call and no removals
+    CHECK(pool.pick(Timestamp(0), any_host) == no_host);
+    LoadProbeSettings four_uses = settings;
+    four_uses.probes_per_call = 0.5;
+    ProbePool used(four_uses, 1'000);
     used.add(Timestamp(0), 1, {0.0, 2.0, 0.0});
     used.add(Timestamp(0), 2, {1.0, 2.0, 0.0});
-    std::vector<int> times(3);
+    std::vector<int> picks(3);
     for (int i = 0; i < 8; ++i)
-        if (const auto no = used.pick(Timestamp(0), anyone); no != no_host)
-            ++times[no];
-    CHECK(times[1] >= 3);  // the calls it brings are counted: both get their part
-    CHECK(times[2] >= 2);
+        if (const auto host_id = used.pick(Timestamp(0), any_host); host_id != no_host)
+            ++picks[host_id];
+    CHECK(picks[1] >= 3);  // placed calls are counted: both get their share
+    CHECK(picks[2] >= 2);
     pool.add(Timestamp(0), 1, {0.0, 2.0, 0.0});
     pool.add(Timestamp(0), 2, {1.0, 2.0, 0.0});
-    CHECK(pool.pick(Timestamp(0) + r.max_age + Duration(1), anyone) == no_host);
+    CHECK(pool.pick(Timestamp(0) + settings.max_age + Duration(1), any_host) == no_host);
     CHECK(pool.size() == 0);
-    for (upstream_health::HostId no = 0; no < 100; ++no)
-        pool.add(Timestamp(0), no, {});
-    CHECK(pool.size() == r.pool_size);
+    for (HostId host_id = 0; host_id < 100; ++host_id)
+        pool.add(Timestamp(0), host_id, {});
+    CHECK(pool.size() == settings.pool_size);
     pool.remove(99);
-    CHECK(pool.size() == r.pool_size - 1);
+    CHECK(pool.size() == settings.pool_size - 1);
     double sent = 0.0;
-    LoadProbeSettings third = r;
-    third.probes_per_call = 1.0 / 3.0;
-    ProbePool seldom(third, 10);
+    LoadProbeSettings one_third = settings;
+    one_third.probes_per_call = 1.0 / 3.0;
+    ProbePool rarely_probed(one_third, 10);
     for (int i = 0; i < 3'000; ++i)
-        sent += seldom.take_due_probes();
+        sent += rarely_probed.take_due_probes();
     CHECK(std::abs(sent - 1'000.0) <= 1.0);
 }
 
-TEST_CASE("of a call's own probes the least loaded for its size goes first, with the call in it") {
-    CHECK(load_balancing::least_loaded({}) == no_host);
-    CHECK(load_balancing::least_loaded({{1, {3.0, 4.0, 0.1}}, {2, {10.0, 16.0, 0.9}}}) == 2);
-    CHECK(load_balancing::least_loaded({{1, {3.0, 4.0, 0.2}}, {2, {3.0, 4.0, 0.1}}}) == 2);
-    load_balancing::ExpectedCallEstimator expected(Duration(1'000), 4);
+TEST_CASE("least_loaded: the lowest utilization with this call wins; expected calls follow recent probes") {
+    CHECK(least_loaded({}) == no_host);
+    CHECK(least_loaded({{1, {3.0, 4.0, 0.1}}, {2, {10.0, 16.0, 0.9}}}) == 2);
+    CHECK(least_loaded({{1, {3.0, 4.0, 0.2}}, {2, {3.0, 4.0, 0.1}}}) == 2);
+    ExpectedCallEstimator estimator(Duration(1'000), 4);
     for (int i = 0; i < 8; ++i)
-        expected.on_probe(Timestamp(i * 100));
-    CHECK(expected.expected_calls(Timestamp(700)) == 2.0);
-    CHECK(expected.expected_calls(Timestamp(1'450)) == 0.75);
-    CHECK(expected.expected_calls(Timestamp(9'000)) == 0.0);
+        estimator.on_probe(Timestamp(i * 100));
+    CHECK(estimator.expected_calls(Timestamp(700)) == 2.0);
+    CHECK(estimator.expected_calls(Timestamp(1'450)) == 0.75);
+    CHECK(estimator.expected_calls(Timestamp(9'000)) == 0.0);
 }
 
-TEST_CASE("servers are drawn in proportion to their capacity, and never twice for one call") {
-    load_balancing::WeightedSampler by;
-    by.build({1.0, 2.0, 4.0, 1.0});
-    upstream_health::Random random(4);
-    std::vector<double> n(4);
+TEST_CASE("WeightedSampler: samples in proportion to weights, and none twice in one sample") {
+    WeightedSampler sampler;
+    sampler.build({1.0, 2.0, 4.0, 1.0});
+    Random random(4);
+    std::vector<double> frequency(4);
     for (int i = 0; i < 80'000; ++i)
-        n[by.sample(random)] += 1.0 / 10'000.0;
-    CHECK(std::abs(n[0] - 1.0) < 0.05);
-    CHECK(std::abs(n[1] - 2.0) < 0.06);
-    CHECK(std::abs(n[2] - 4.0) < 0.08);
+        frequency[sampler.sample(random)] += 1.0 / 10'000.0;
+    CHECK(std::abs(frequency[0] - 1.0) < 0.05);
+    CHECK(std::abs(frequency[1] - 2.0) < 0.06);
+    CHECK(std::abs(frequency[2] - 4.0) < 0.08);
     for (int i = 0; i < 100; ++i) {
-        std::vector<std::uint32_t> some;
-        by.sample(random, 3, some);
-        std::sort(some.begin(), some.end());
-        CHECK(std::adjacent_find(some.begin(), some.end()) == some.end());
+        std::vector<std::uint32_t> sampled;
+        sampler.sample(random, 3, sampled);
+        std::sort(sampled.begin(), sampled.end());
+        CHECK(std::adjacent_find(sampled.begin(), sampled.end()) == sampled.end());
     }
     std::vector<std::uint32_t> all;
-    by.sample(random, 9, all);
+    sampler.sample(random, 9, all);
     CHECK(all.size() <= 4);
 }
 
-TEST_CASE("subsets are even to one process, and who comes or goes moves little") {
-    for (const auto& [p, s, size] :
-         {std::tuple{50, 300, 20}, std::tuple{300, 300, 20}, std::tuple{120, 70, 9}, std::tuple{7, 3, 20}}) {
-        const auto processes = names("p", static_cast<std::size_t>(p)),
-                   servers = names("s", static_cast<std::size_t>(s));
-        const auto rows = load_balancing::assign_subsets(processes, servers, static_cast<std::size_t>(size));
-        std::vector<int> n(servers.size());
-        const int each = std::min(size, s);
+TEST_CASE("assign_subsets: even to one process, and a change of either list moves little") {
+    struct Sizes {
+        int processes;
+        int hosts;
+        int subset;
+    };
+    for (const Sizes& sizes : {Sizes{50, 300, 20}, Sizes{300, 300, 20}, Sizes{120, 70, 9}, Sizes{7, 3, 20}}) {
+        const auto processes = names("p", static_cast<std::size_t>(sizes.processes));
+        const auto hosts = names("s", static_cast<std::size_t>(sizes.hosts));
+        const auto rows = assign_subsets(processes, hosts, static_cast<std::size_t>(sizes.subset));
+        std::vector<int> processes_of_host(hosts.size());
+        const int row_size = std::min(sizes.subset, sizes.hosts);
         for (auto row : rows) {
-            REQUIRE(row.size() == static_cast<std::size_t>(each));
+            REQUIRE(row.size() == static_cast<std::size_t>(row_size));
             for (const auto i : row)
-                ++n[i];
+                ++processes_of_host[i];
             std::sort(row.begin(), row.end());
             CHECK(std::adjacent_find(row.begin(), row.end()) == row.end());
         }
-        const auto [least, most] = std::minmax_element(n.begin(), n.end());
-        CHECK(*most - *least <= 2);
-        CHECK(*most <= (p * each + s - 1) / s + 1);
+        const auto [fewest, most] = std::minmax_element(processes_of_host.begin(), processes_of_host.end());
+        CHECK(*most - *fewest <= 2);
+        CHECK(*most <= (sizes.processes * row_size + sizes.hosts - 1) / sizes.hosts + 1);
     }
-    const auto moved = [](std::vector<std::string> p1, std::vector<std::string> s1,
-                          std::vector<std::string> p2, std::vector<std::string> s2) {
-        const auto a = load_balancing::assign_subsets(p1, s1, 20),
-                   b = load_balancing::assign_subsets(p2, s2, 20);
-        std::size_t changed = 0, all = 0;
-        for (std::size_t i = 0; i < std::min(p1.size(), p2.size()); ++i) {
-            std::set<std::string> before, after;
-            for (const auto k : a[i])
-                before.insert(s1[k]);
-            for (const auto k : b[i])
-                after.insert(s2[k]);
-            for (const auto& k : after)
-                changed += 1 - before.count(k);
-            all += after.size();
+    struct Lists {
+        std::vector<std::string> processes;
+        std::vector<std::string> hosts;
+    };
+    const auto moved_fraction = [](const Lists& before, const Lists& after) {
+        const auto rows_before = assign_subsets(before.processes, before.hosts, 20);
+        const auto rows_after = assign_subsets(after.processes, after.hosts, 20);
+        std::size_t moved = 0;
+        std::size_t total = 0;
+        for (std::size_t i = 0; i < std::min(rows_before.size(), rows_after.size()); ++i) {
+            std::set<std::string> subset_before;
+            std::set<std::string> subset_after;
+            for (const auto host : rows_before[i])
+                subset_before.insert(before.hosts[host]);
+            for (const auto host : rows_after[i])
+                subset_after.insert(after.hosts[host]);
+            for (const auto& name : subset_after)
+                moved += 1 - subset_before.count(name);
+            total += subset_after.size();
         }
-        return static_cast<double>(changed) / static_cast<double>(all);
+        return static_cast<double>(moved) / static_cast<double>(total);
     };
-    CHECK(moved(names("p", 300), names("s", 300), names("p", 301), names("s", 300)) < 0.1);
-    CHECK(moved(names("p", 300), names("s", 300), names("p", 300), names("s", 301)) < 0.1);
+    const Lists lists{names("p", 300), names("s", 300)};
+    CHECK(moved_fraction(lists, {names("p", 301), names("s", 300)}) < 0.1);
+    CHECK(moved_fraction(lists, {names("p", 300), names("s", 301)}) < 0.1);
 }
 
-TEST_CASE("a server's report of its load is read whole or not at all") {
-    const auto l = load_balancing::parse_load_report(
+TEST_CASE("parse_load_report: a report is taken whole or not at all") {
+    const auto report = parse_load_report(
         "TEXT named_metrics.in_flight=12, cpu_utilization=0.3,named_metrics.capacity=8, "
         "named_metrics.latency_ms=31.5");
-    REQUIRE(l.has_value());
-    CHECK((l->in_flight == 12.0 && l->capacity == 8.0));
-    CHECK(l->latency_s == Approx(0.0315));
-    CHECK(
-        load_balancing::parse_load_report(load_balancing::format_load_report({3.0, 4.0, 0.25}))->latency_s ==
-        Approx(0.25));
-    for (const char* bad : {"", "TEXT ", "JSON {}", "TEXT named_metrics.in_flight=1",
-                            "TEXT named_metrics.in_flight=1, named_metrics.capacity=0",
-                            "TEXT named_metrics.in_flight=-1, named_metrics.capacity=4",
-                            "TEXT named_metrics.in_flight=nan, named_metrics.capacity=4",
-                            "TEXT named_metrics.in_flight=1, named_metrics.capacity=inf",
-                            "TEXT named_metrics.in_flight=1x, named_metrics.capacity=4",
-                            "TEXT a, named_metrics.in_flight=1, named_metrics.capacity=4"})
-        CHECK_FALSE(load_balancing::parse_load_report(bad).has_value());
-    CHECK_FALSE(load_balancing::parse_load_report("TEXT named_metrics.in_flight=1, named_metrics.capacity=4" +
-                                                  std::string(300, ' '))
-                    .has_value());
+    REQUIRE(report.has_value());
+    CHECK((report->in_flight == 12.0 && report->capacity == 8.0));
+    CHECK(report->latency_s == Approx(0.0315));
+    CHECK(parse_load_report(format_load_report({3.0, 4.0, 0.25}))->latency_s == Approx(0.25));
+    for (const char* malformed : {"", "TEXT ", "JSON {}", "TEXT named_metrics.in_flight=1",
+                                  "TEXT named_metrics.in_flight=1, named_metrics.capacity=0",
+                                  "TEXT named_metrics.in_flight=-1, named_metrics.capacity=4",
+                                  "TEXT named_metrics.in_flight=nan, named_metrics.capacity=4",
+                                  "TEXT named_metrics.in_flight=1, named_metrics.capacity=inf",
+                                  "TEXT named_metrics.in_flight=1x, named_metrics.capacity=4",
+                                  "TEXT a, named_metrics.in_flight=1, named_metrics.capacity=4"})
+        CHECK_FALSE(parse_load_report(malformed).has_value());
+    CHECK_FALSE(
+        parse_load_report("TEXT named_metrics.in_flight=1, named_metrics.capacity=4" + std::string(300, ' '))
+            .has_value());
 }
 
 TEST_CASE(
-    "the balancer goes by what servers say, not by one that fails fast or is no longer there, and else by "
-    "two") {
-    using namespace cressledge::upstream_health;
+    "Balancer: probe-pool goes by load reports, not to a host that fails fast, and without reports by two "
+    "choices") {
     Random random(5);
-    HostSet members;
-    members.update(Timestamp(0), servers(20), random);
-    load_balancing::BalancerSettings rules;
-    rules.policy = load_balancing::BalancingPolicy::probe_pool;
-    load_balancing::Balancer b(members, rules);
-    b.refresh();
-    CHECK(b.pick(Timestamp(1), 0, {}, random) != no_host);  // nobody has said anything: two choices
-    b.on_load_report(Timestamp(1), 3, {1.0, 8.0, 0.05});
-    b.on_load_report(Timestamp(1), 4, {7.0, 8.0, 0.05});
-    b.on_load_report(Timestamp(1), 5, {5.0, 8.0, 0.05});
-    CHECK(b.pick(Timestamp(2), 0, {}, random) == 3);
-    b.on_load_report(Timestamp(2), 3, {0.0, 8.0, 0.05});
-    b.on_call_started(Timestamp(2), 3);
-    b.on_call_finished(Timestamp(3), 3, CallResult::error, Duration(100));  // idle, for it fails at once
-    members.on_call_finished(Timestamp(3), 3, CallResult::error, Duration(100));
-    CHECK(b.pick(Timestamp(3), 0, {}, random) != 3);
-    std::vector<HostId> whom;
-    std::size_t asked = 0;
-    for (int i = 0; i < 10; ++i)
-        b.pick_probe_targets(random, whom), asked += whom.size();
-    CHECK(asked == 30);
+    HostSet hosts;
+    hosts.update(Timestamp(0), host_specs(20), random);
+    BalancerSettings settings;
+    settings.policy = BalancingPolicy::probe_pool;
+    Balancer balancer(hosts, settings);
+    balancer.refresh();
+    CHECK(balancer.pick(Timestamp(1), 0, {}, random) != no_host);  // no reports: two choices
+    balancer.on_load_report(Timestamp(1), 3, {1.0, 8.0, 0.05});
+    balancer.on_load_report(Timestamp(1), 4, {7.0, 8.0, 0.05});
+    balancer.on_load_report(Timestamp(1), 5, {5.0, 8.0, 0.05});
+    CHECK(balancer.pick(Timestamp(2), 0, {}, random) == 3);
+    balancer.on_load_report(Timestamp(2), 3, {0.0, 8.0, 0.05});
+    balancer.on_call_started(Timestamp(2), 3);
+    balancer.on_call_finished(Timestamp(3), 3, CallResult::error,
+                              Duration(100));  // idle, as it fails at once
+    hosts.on_call_finished(Timestamp(3), 3, CallResult::error, Duration(100));
+    CHECK(balancer.pick(Timestamp(3), 0, {}, random) != 3);
+    std::vector<HostId> targets;
+    std::size_t probes = 0;
+    for (int i = 0; i < 10; ++i) {
+        balancer.pick_probe_targets(random, targets);
+        probes += targets.size();
+    }
+    CHECK(probes == 30);
 }
 
-TEST_CASE("processes of one fleet share the servers out evenly, and each finds its own part") {
-    using namespace cressledge::upstream_health;
+TEST_CASE("Balancer: processes of one fleet share the hosts out evenly, each computing its own subset") {
     const auto processes = names("p", 12);
-    std::vector<int> used(30);
-    for (const std::string& me : processes) {
+    std::vector<int> processes_of_host(30);
+    for (const std::string& process : processes) {
         Random random(5);
-        HostSet members;
-        members.update(Timestamp(0), servers(30), random);
-        load_balancing::BalancerSettings rules;
-        rules.subset_size = 5;
-        rules.node_name = me;
-        load_balancing::Balancer b(members, rules);
-        b.refresh();
-        CHECK(b.candidates().size() == 5);
-        b.update_peers(Timestamp(0), processes);
-        CHECK(b.candidates().size() == 5);
-        for (const HostId no : b.candidates())
-            ++used[no];
+        HostSet hosts;
+        hosts.update(Timestamp(0), host_specs(30), random);
+        BalancerSettings settings;
+        settings.subset_size = 5;
+        settings.node_name = process;
+        Balancer balancer(hosts, settings);
+        balancer.refresh();
+        CHECK(balancer.candidates().size() == 5);
+        balancer.update_peers(Timestamp(0), processes);
+        CHECK(balancer.candidates().size() == 5);
+        for (const HostId host_id : balancer.candidates())
+            ++processes_of_host[host_id];
     }
-    const auto [least, most] = std::minmax_element(used.begin(), used.end());
-    CHECK((*least >= 1 && *most <= 3));  // 2 each, to one
+    const auto [fewest, most] = std::minmax_element(processes_of_host.begin(), processes_of_host.end());
+    CHECK((*fewest >= 1 && *most <= 3));  // 2 each, to one
 }
 
 TEST_CASE(
-    "emulated: calls probed first spread as evenly as all-seeing ones, and figures of a second ago make a "
+    "emulator: probe-first spreads load as evenly as perfect knowledge, and reports a second old make a "
     "herd") {
-    emulator::Spread s;
-    s.processes = s.servers = 60;
-    s.nature.slots = 16;
-    s.seconds = 1.0;
-    s.warm_up = 1.0;
-    s.load = 0.9;
-    const auto with = [&s](emulator::Choice c) {
-        s.choice = c;
-        return emulator::run(s);
+    emulator::Spread experiment;
+    experiment.processes = 60;
+    experiment.servers = 60;
+    experiment.nature.slots = 16;
+    experiment.seconds = 1.0;
+    experiment.warm_up = 1.0;
+    experiment.load = 0.9;
+    const auto run_with = [&experiment](emulator::Choice choice) {
+        experiment.choice = choice;
+        return emulator::run(experiment);
     };
-    const auto ideal = with(emulator::Choice::all_seen), probed = with(emulator::Choice::probed),
-               stale = with(emulator::Choice::stale), today = with(emulator::Choice::today),
-               pool = with(emulator::Choice::pool);
+    const auto ideal = run_with(emulator::Choice::all_seen);
+    const auto probed = run_with(emulator::Choice::probed);
+    const auto stale = run_with(emulator::Choice::stale);
+    const auto two_choices = run_with(emulator::Choice::today);
+    const auto pool = run_with(emulator::Choice::pool);
     CHECK(probed.even.worst_p99 < 1.3);
     CHECK(probed.p99_ms < 1.5 * ideal.p99_ms);
     CHECK(probed.even.idle < 0.01);
     CHECK(stale.even.worst_p99 > 10.0);
-    CHECK(today.even.worst_p99 > probed.even.worst_p99);
-    CHECK(pool.even.worst_p99 < today.even.worst_p99);
-    const auto again = with(emulator::Choice::pool);
+    CHECK(two_choices.even.worst_p99 > probed.even.worst_p99);
+    CHECK(pool.even.worst_p99 < two_choices.even.worst_p99);
+    const auto again = run_with(emulator::Choice::pool);
     CHECK((again.even.worst_p99 == pool.even.worst_p99 && again.p99_ms == pool.p99_ms));  // one seed, one run
 }
--- a/tests/cressledge/slow_start_test.cpp
+++ b/tests/cressledge/slow_start_test.cpp
@@ -1,11 +1,14 @@
-// The slow-start ramp of a cold server holds for the sum of all processes: first the decision alone, with many of them by a
-// manual clock, then 30 real processes with joins, deaths and a cut among them.
+// Slow start of a host bounds the sum of what all processes send: first the limiters of many processes on a manual clock,
+// then 30 real processes with joins, deaths and a network partition among them.
 #include <algorithm>
 #include <cmath>
 #include <csignal>
-#include <deque>
 #include <filesystem>
 #include <fstream>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
 
 #include "fake_upstream/fleet.hpp"
 #include "fault_injection/crowd.hpp"
@@ -19,219 +22,230 @@
 using load_balancing::SlowStartLimiter;
 using load_balancing::SlowStartSettings;
 
-constexpr Duration step(5'000);
+constexpr Duration clock_step(5'000);
 
-// The most that any window had over what chance allows it; at or below 0 all is well.
-double excess(const SlowStartLimiter& ramp, Timestamp announced, const std::vector<Timestamp>& calls,
-              Duration window) {
+/// The most calls that any window had beyond the allowed number and what chance adds to it; at or below 0 none had.
+double worst_excess(const SlowStartLimiter& limiter, Timestamp announced_at,
+                    const std::vector<Timestamp>& calls, Duration window) {
     double worst = -1e9;
     std::size_t first = 0;
     for (std::size_t last = 0; last < calls.size(); ++last) {
         while (calls[last] - calls[first] > window)
             ++first;
-        const double n = ramp.allowed_calls(announced, calls[last] - window, calls[last]);
-        worst = std::max(worst, static_cast<double>(last - first + 1) - (n + 2.0 * std::sqrt(n) + 2.0));
+        const double allowed = limiter.allowed_calls(announced_at, calls[last] - window, calls[last]);
+        worst = std::max(worst,
+                         static_cast<double>(last - first + 1) - (allowed + 2.0 * std::sqrt(allowed) + 2.0));
     }
     return worst;
 }
 
 struct Process {
-    SlowStartLimiter ramp;
+    SlowStartLimiter limiter;
     upstream_health::Random random;
-    bool lives = true;
-    Process(const SlowStartSettings& rules, std::uint64_t seed, std::uint64_t stream)
-        : ramp(rules), random(seed, stream) {}
+    bool is_alive = true;
+    Process(const SlowStartSettings& settings, std::uint64_t seed, std::uint64_t stream)
+        : limiter(settings), random(seed, stream) {}
 };
 
-// All want to call the one cold server as often as they may: the sum of what they send.
-struct Plays {
-    SlowStartSettings rules;
+/// Processes that all call one host in slow start as often as they are allowed, on a manual clock.
+struct SlowStartSimulation {
+    SlowStartSettings settings;
     upstream_health::HostSpec spec;
     Timestamp now{1'764'576'000'000'000};
-    Timestamp announced = now;
-    std::vector<Process> all;
+    Timestamp announced_at = now;
+    std::vector<Process> processes;
     std::vector<Timestamp> calls;
     upstream_health::Random random;
-    explicit Plays(std::size_t processes, std::uint64_t seed) : random(seed, 77) {
-        rules.calls_per_s = 40.0;
+    explicit SlowStartSimulation(std::size_t process_count, std::uint64_t seed) : random(seed, 77) {
+        settings.calls_per_s = 40.0;
         spec.name = "cold-" + std::to_string(seed);
-        for (std::size_t i = 0; i < processes; ++i)
-            all.emplace_back(rules, seed, i);
+        for (std::size_t i = 0; i < process_count; ++i)
+            processes.emplace_back(settings, seed, i);
     }
     static std::string name(std::size_t i) { return "p" + std::to_string(100 + i); }
-    void know(std::size_t who, const std::vector<std::size_t>& whom) {
+    /// Tells one process which ones live.
+    void update_peers(std::size_t process, const std::vector<std::size_t>& peers) {
         std::vector<std::string> names;
-        for (const std::size_t i : whom)
+        for (const std::size_t i : peers)
             names.push_back(name(i));
-        all[who].ramp.update_peers(now, names, name(who));
+        processes[process].limiter.update_peers(now, names, name(process));
     }
     std::vector<std::size_t> living() const {
-        std::vector<std::size_t> l;
-        for (std::size_t i = 0; i < all.size(); ++i)
-            if (all[i].lives)
-                l.push_back(i);
-        return l;
+        std::vector<std::size_t> indices;
+        for (std::size_t i = 0; i < processes.size(); ++i)
+            if (processes[i].is_alive)
+                indices.push_back(i);
+        return indices;
     }
-    void all_know() {
-        const auto l = living();
-        for (const std::size_t i : l)
-            know(i, l);
+    void update_all_peers() {
+        const auto alive = living();
+        for (const std::size_t i : alive)
+            update_peers(i, alive);
     }
     void begin() {
-        for (Process& p : all)
-            p.ramp.begin(0, spec, announced, p.random);
+        for (Process& process : processes)
+            process.limiter.begin(0, spec, announced_at, process.random);
     }
-    void run(Duration time) {
+    void run(Duration length) {
         std::vector<std::size_t> order = living();
-        for (const Timestamp end = now + time; now < end; now += step) {
+        for (const Timestamp end = now + length; now < end; now += clock_step) {
             for (std::size_t i = order.size(); i > 1; --i)
                 std::swap(order[i - 1], order[random(static_cast<std::uint32_t>(i))]);
             for (const std::size_t i : order) {
-                Process& p = all[i];
-                if (!p.lives || !p.ramp.allows(now, 0))
+                Process& process = processes[i];
+                if (!process.is_alive || !process.limiter.allows(now, 0))
                     continue;
-                p.ramp.on_call_started(now, 0);
+                process.limiter.on_call_started(now, 0);
                 calls.push_back(now);
             }
         }
     }
-    double worst() const { return excess(all[0].ramp, announced, calls, rules.window); }
+    double allowed_calls() const {
+        return processes[0].limiter.allowed_calls(announced_at, announced_at, now);
+    }
+    double excess() const { return worst_excess(processes[0].limiter, announced_at, calls, settings.window); }
 };
 
-constexpr std::size_t sizes[] = {1, 10, 20, 30};
+constexpr std::size_t process_counts[] = {1, 10, 20, 30};
 
 }  // namespace
 
 TEST_CASE(
-    "ramp: what 1, 10, 20 and 30 processes send to a cold server stays within the budget of all, over 20 "
-    "seeds") {
-    for (const std::size_t n : sizes) {
-        double worst = -1e9, least = 1e9;
+    "SlowStartLimiter: calls of 1, 10, 20 and 30 processes stay within the sum allowed, over 20 seeds") {
+    for (const std::size_t count : process_counts) {
+        double worst = -1e9;
+        double least_used = 1e9;
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-            Plays p(n, seed);
-            p.all_know();
-            p.begin();
-            p.run(p.rules.warm_up_time);
-            worst = std::max(worst, p.worst());
-            least = std::min(least, static_cast<double>(p.calls.size()) /
-                                        p.all[0].ramp.allowed_calls(p.announced, p.announced, p.now));
+            SlowStartSimulation simulation(count, seed);
+            simulation.update_all_peers();
+            simulation.begin();
+            simulation.run(simulation.settings.warm_up_time);
+            worst = std::max(worst, simulation.excess());
+            least_used = std::min(least_used,
+                                  static_cast<double>(simulation.calls.size()) / simulation.allowed_calls());
         }
         // One process alone counts the configured 32: it cannot know that nobody else sends.
         std::printf(
-            "ramp: %2zu processes, 20 seeds: at most %.1f calls of a window against N + 2 root N + 2; used "
+            "slow start: %2zu processes, 20 seeds: at most %.1f calls of a window against N + 2 root N + 2; "
+            "used "
             "%.0f%% at least\n",
-            n, worst, 100.0 * least);
+            count, worst, 100.0 * least_used);
         CHECK(worst <= 0.0);
-        if (n > 1)
-            CHECK(least > 0.9);
+        if (count > 1)
+            CHECK(least_used > 0.9);
     }
 }
 
-TEST_CASE("ramp: processes that know nobody draw their parts by themselves, and the sum still holds") {
-    for (const std::size_t n : sizes)
+TEST_CASE("SlowStartLimiter: processes that know of no other draw their rounding, and the sum holds") {
+    for (const std::size_t count : process_counts)
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-            Plays p(n, seed);
-            p.begin();
-            p.run(p.rules.warm_up_time);
-            CHECK(p.worst() <= 0.0);
+            SlowStartSimulation simulation(count, seed);
+            simulation.begin();
+            simulation.run(simulation.settings.warm_up_time);
+            CHECK(simulation.excess() <= 0.0);
         }
 }
 
-TEST_CASE("ramp: a server's word on its load draws no call beyond its ramp, whatever the policy") {
+TEST_CASE("Balancer: a load report draws no call beyond slow start, whatever the policy") {
     for (const load_balancing::BalancingPolicy policy :
          {load_balancing::BalancingPolicy::probe_first, load_balancing::BalancingPolicy::probe_pool,
           load_balancing::BalancingPolicy::power_of_two_choices}) {
-        upstream_health::HostSet members;
+        upstream_health::HostSet hosts;
         upstream_health::Random random(1);
         const Timestamp start(1'764'576'000'000'000);
-        upstream_health::HostSpec warm, cold;
-        warm.name = "warm", cold.name = "cold";
-        members.update(start, {warm}, random);
-        members.update(start, {warm, cold}, random);
-        load_balancing::BalancerSettings rules;
-        rules.policy = policy;
-        rules.slow_start.calls_per_s = 10.0;
-        rules.slow_start.assumed_processes = 1.0;
-        load_balancing::Balancer b(members, rules);
-        b.refresh();
-        const upstream_health::HostId newcomer = members.listed_hosts().back();
-        REQUIRE(members.at(newcomer).state == upstream_health::HostState::warming_up);
+        upstream_health::HostSpec warm;
+        upstream_health::HostSpec cold;
+        warm.name = "warm";
+        cold.name = "cold";
+        hosts.update(start, {warm}, random);
+        hosts.update(start, {warm, cold}, random);
+        load_balancing::BalancerSettings settings;
+        settings.policy = policy;
+        settings.slow_start.calls_per_s = 10.0;
+        settings.slow_start.assumed_processes = 1.0;
+        load_balancing::Balancer balancer(hosts, settings);
+        balancer.refresh();
+        const upstream_health::HostId newcomer = hosts.listed_hosts().back();
+        REQUIRE(hosts.at(newcomer).state == upstream_health::HostState::warming_up);
         std::size_t calls = 0;
-        std::vector<upstream_health::HostId> whom;
-        for (Timestamp now = start; now < start + rules.slow_start.warm_up_time; now += step) {
-            b.pick_probe_targets(random, whom);
+        std::vector<upstream_health::HostId> targets;
+        for (Timestamp now = start; now < start + settings.slow_start.warm_up_time; now += clock_step) {
+            balancer.pick_probe_targets(random, targets);
             load_balancing::LoadReport idle;
             idle.capacity = 100.0;
-            if (!b.effective_load(now, newcomer, idle))
-                continue;  // none: it may not be chosen by it
-            b.on_call_started(now, newcomer);
+            // Without an effective load it may not be chosen by its report.
+            if (!balancer.effective_load(now, newcomer, idle))
+                continue;
+            balancer.on_call_started(now, newcomer);
             ++calls;
         }
-        const double n = SlowStartLimiter(rules.slow_start)
-                             .allowed_calls(start, start, start + rules.slow_start.warm_up_time);
-        CHECK(static_cast<double>(calls) <= n + 1.0);
-        CHECK(static_cast<double>(calls) > 0.8 * n);
+        const double allowed = SlowStartLimiter(settings.slow_start)
+                                   .allowed_calls(start, start, start + settings.slow_start.warm_up_time);
+        CHECK(static_cast<double>(calls) <= allowed + 1.0);
+        CHECK(static_cast<double>(calls) > 0.8 * allowed);
     }
 }
 
-TEST_CASE("ramp: joins, deaths and a cut in the middle leave the sum within its budget") {
-    for (const std::size_t n : {10U, 20U, 30U})
+TEST_CASE("SlowStartLimiter: the sum holds over joins, deaths and a partition") {
+    for (const std::size_t count : {10U, 20U, 30U})
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-            Plays p(n, seed);
-            p.all_know();
-            p.begin();
-            p.run(Duration(2'000'000));
-            // A third dies, and is known to be dead.
-            for (std::size_t i = 0; i < n / 3; ++i)
-                p.all[p.random(static_cast<std::uint32_t>(n))].lives = false;
-            p.all[0].lives = p.all[n - 1].lives = true;
-            p.all_know();
-            p.run(Duration(2'000'000));
-            // The living fall into halves that do not see each other, and all go on sending.
-            const auto l = p.living();
-            const std::vector<std::size_t> one(l.begin(),
-                                               l.begin() + static_cast<std::ptrdiff_t>(l.size() / 2)),
-                other(l.begin() + static_cast<std::ptrdiff_t>(l.size() / 2), l.end());
-            for (const std::size_t i : one)
-                p.know(i, one);
-            for (const std::size_t i : other)
-                p.know(i, other);
-            p.run(Duration(2'000'000));
-            // Five join, of whom the others hear 100 ms later.
+            SlowStartSimulation simulation(count, seed);
+            simulation.update_all_peers();
+            simulation.begin();
+            simulation.run(Duration(2'000'000));
+            // A third dies, which the others know.
+            for (std::size_t i = 0; i < count / 3; ++i)
+                simulation.processes[simulation.random(static_cast<std::uint32_t>(count))].is_alive = false;
+            simulation.processes[0].is_alive = true;
+            simulation.processes[count - 1].is_alive = true;
+            simulation.update_all_peers();
+            simulation.run(Duration(2'000'000));
+            // The living fall into halves that do not hear each other, and all go on sending.
+            const auto alive = simulation.living();
+            const auto middle = alive.begin() + static_cast<std::ptrdiff_t>(alive.size() / 2);
+            const std::vector<std::size_t> first_half(alive.begin(), middle);
+            const std::vector<std::size_t> second_half(middle, alive.end());
+            for (const std::size_t i : first_half)
+                simulation.update_peers(i, first_half);
+            for (const std::size_t i : second_half)
+                simulation.update_peers(i, second_half);
+            simulation.run(Duration(2'000'000));
+            // Five join, of which the others hear 100 ms later.
             for (std::size_t i = 0; i < 5; ++i) {
-                p.all.emplace_back(p.rules, seed, n + i);
-                p.all.back().ramp.begin(0, p.spec, p.now, p.all.back().random);
+                Process& process = simulation.processes.emplace_back(simulation.settings, seed, count + i);
+                process.limiter.begin(0, simulation.spec, simulation.now, process.random);
             }
-            p.run(Duration(100'000));
-            p.all_know();
-            p.run(Duration(3'900'000));
-            CHECK(p.worst() <= 0.0);
+            simulation.run(Duration(100'000));
+            simulation.update_all_peers();
+            simulation.run(Duration(3'900'000));
+            CHECK(simulation.excess() <= 0.0);
         }
 }
 
-TEST_CASE("ramp: 30 real processes hold a joining server's ramp together, with joins, deaths and a cut") {
-    TestLoop w;
+TEST_CASE(
+    "slow start: 30 real processes bound their calls to a joining host over joins, deaths and a partition") {
+    TestLoop loop;
     char name[] = "/tmp/cressledge-ramp-XXXXXX";
-    const std::string folder = mkdtemp(name);
-    const auto clean = std::unique_ptr<const std::string, void (*)(const std::string*)>(
-        &folder, [](const std::string* f) { std::filesystem::remove_all(*f); });
+    const std::string directory = mkdtemp(name);
+    const auto remove_directory = std::unique_ptr<const std::string, void (*)(const std::string*)>(
+        &directory, [](const std::string* path) { std::filesystem::remove_all(*path); });
     fake_upstream::Plan servers;
     servers.servers.resize(4);
     servers.addresses.assign(4, "127.0.0.1:0");
-    fake_upstream::Fleet fleet(w.loop, w.timers, servers);
-    const auto inventory = [&](std::size_t n) {
+    fake_upstream::Fleet fleet(loop.loop, loop.timers, servers);
+    const auto inventory = [&](std::size_t count) {
         std::string text = "name,address,protocol,group\n";
-        for (std::size_t i = 0; i < n; ++i)
+        for (std::size_t i = 0; i < count; ++i)
             text += "s" + std::to_string(i) + "," + fleet.address(i) + ",http,g\n";
         return text;
     };
-    SlowStartSettings rules;
-    rules.calls_per_s = 40.0;
-    rules.warm_up_time = Duration(6'000'000);
-    rules.assumed_processes = 35.0;
+    SlowStartSettings settings;
+    settings.calls_per_s = 40.0;
+    settings.warm_up_time = Duration(6'000'000);
+    settings.assumed_processes = 35.0;
     fault_injection::Plan plan;
     plan.program = CRESSLEDGE_PROGRAM;
-    plan.folder = folder;
+    plan.folder = directory;
     plan.doors = true;
     plan.servers = inventory(3);
     plan.general =
@@ -239,58 +253,63 @@
         "routing: {probes: false, watch_ms: 0, members: {slow_start_ms: 6000}, slow_start: {calls_per_s: 40, "
         "peers: 35}}\n"
         "classes:\n  - {name: sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\n";
-    fault_injection::Crowd crowd(w.loop, w.timers, plan);
+    fault_injection::Crowd crowd(loop.loop, loop.timers, plan);
     for (std::size_t i = 0; i < 30; ++i)
         crowd.add(i == 0 ? std::vector<std::size_t>{} : std::vector<std::size_t>{0});
     REQUIRE(crowd.agreed(Duration(40'000'000)));
-    load_generator::Driver driver(w.loop, w.timers,
+    load_generator::Driver driver(loop.loop, loop.timers,
                                   load_generator::Arrivals(400.0, 1, {{"sheet", 1.0, false}}, 5));
-    const auto doors = [&] {
-        std::vector<net::Address> all;
-        for (const std::size_t no : crowd.all_running())
-            all.push_back(*net::Address::parse(membership::to_string(crowd.door(no))));
-        driver.doors(all);
+    const auto update_targets = [&] {
+        std::vector<net::Address> addresses;
+        for (const std::size_t process : crowd.all_running())
+            addresses.push_back(*net::Address::parse(membership::to_string(crowd.door(process))));
+        driver.doors(addresses);
     };
-    doors();
+    update_targets();
     driver.start();
-    const auto pass = [&](Duration t) { crowd.run(wall_clock_now() + t); };
-    pass(Duration(1'500'000));  // each process has told its balancer of the others, as it does every second
-    // The fourth server is announced to all at once.
-    std::ofstream(folder + "/servers.csv") << inventory(4);
-    const Timestamp announced = wall_clock_now();
-    for (const std::size_t no : crowd.all_running())
-        crowd.signal(no, SIGHUP);
+    const auto run_for = [&](Duration length) { crowd.run(wall_clock_now() + length); };
+    // Each process tells its balancer of the others, as it does every second.
+    run_for(Duration(1'500'000));
+    // The fourth host is announced to all at once.
+    std::ofstream(directory + "/servers.csv") << inventory(4);
+    const Timestamp announced_at = wall_clock_now();
+    for (const std::size_t process : crowd.all_running())
+        crowd.signal(process, SIGHUP);
     std::vector<Timestamp> calls;
-    const auto watch = [&](Duration t) {
-        for (const Timestamp end = wall_clock_now() + t; wall_clock_now() < end;) {
-            pass(Duration(10'000));
+    const auto count_calls_for = [&](Duration length) {
+        for (const Timestamp end = wall_clock_now() + length; wall_clock_now() < end;) {
+            run_for(Duration(10'000));
             while (calls.size() < fleet.calls()[3])
                 calls.push_back(wall_clock_now());
         }
     };
-    watch(Duration(1'500'000));
-    for (const std::size_t no : {7U, 8U, 9U})
-        crowd.signal(no, SIGKILL);
-    doors();
-    watch(Duration(1'000'000));
+    count_calls_for(Duration(1'500'000));
+    for (const std::size_t process : {7U, 8U, 9U})
+        crowd.signal(process, SIGKILL);
+    update_targets();
+    count_calls_for(Duration(1'000'000));
     std::set<std::string> half;
     for (std::size_t i = 0; i < 15; ++i)
         half.insert(crowd.id(i));
     crowd.relay().part(half);
-    watch(Duration(1'500'000));
+    count_calls_for(Duration(1'500'000));
     crowd.relay().heal();
-    for (const std::size_t no : {7U, 8U, 9U})
-        crowd.start(no);  // they know nobody yet
-    watch(Duration(2'000'000));
+    // They know of no other process yet.
+    for (const std::size_t process : {7U, 8U, 9U})
+        crowd.start(process);
+    count_calls_for(Duration(2'000'000));
     driver.stop();
-    const SlowStartLimiter ramp(rules);
-    const double n = ramp.allowed_calls(announced, announced, announced + rules.warm_up_time);
+    const SlowStartLimiter limiter(settings);
+    const double allowed =
+        limiter.allowed_calls(announced_at, announced_at, announced_at + settings.warm_up_time);
+    const double excess = worst_excess(limiter, announced_at, calls, settings.window);
     std::printf(
-        "ramp: 30 real processes: %zu calls of %.0f allowed; the fullest window %.1f against N + 2 root N + "
+        "slow start: 30 real processes: %zu calls of %.0f allowed; the fullest window %.1f against N + 2 "
+        "root N + "
         "2\n",
-        calls.size(), n, excess(ramp, announced, calls, rules.window));
-    CHECK(excess(ramp, announced, calls, rules.window) <= 0.0);
-    CHECK(static_cast<double>(calls.size()) >
-          0.15 * n);  // it is called at all: how much depends on the machine
+        calls.size(), allowed, excess);
+    CHECK(excess <= 0.0);
+    // It is called at all: how much depends on the machine.
+    CHECK(static_cast<double>(calls.size()) > 0.15 * allowed);
     CHECK(crowd.crashes() == 0);
 }
