--- a/src/base/metric.hpp
+++ b/src/base/metric.hpp
@@ -17,6 +17,7 @@
     std::uint64_t value = 0;
 };
 
+/// The figures of one module, in the order in which they are shown.
 using Metrics = std::vector<Metric>;
 
 }  // namespace cressledge::base
--- a/src/base/slot_map.hpp
+++ b/src/base/slot_map.hpp
@@ -1,5 +1,8 @@
-// A table of numbered slots. A number carries the slot's generation: guards against a late event (a reply, a
-// deadline, a closed connection) that names a slot which has been handed to somebody else since.
+/// A slot map: values addressed by ids that never name another value later.
+///
+/// An id holds the index of its slot and the slot's version, which changes with every erase. A late event (a reply, a
+/// timer, a closed connection) that names an erased value therefore finds nothing, although the slot may be in use
+/// again.
 #pragma once
 
 #include <cstddef>
@@ -11,11 +14,14 @@
 
 namespace cressledge::base {
 
-using SlotId = std::uint64_t;  // never 0
+/// Names a value in a `SlotMap`: version in the upper 32 bits, index in the lower. Never 0.
+using SlotId = std::uint64_t;
 
+/// Owns values and gives out ids for them. Adding and erasing take constant time; a value's address is stable.
 template <class T>
 class SlotMap {
 public:
+    /// Takes the value in, in the slot that was freed last.
     SlotId add(std::unique_ptr<T> value) {
         if (free_indices_.empty()) {
             free_indices_.push_back(static_cast<std::uint32_t>(slots_.size()));
@@ -28,28 +34,36 @@
         ++size_;
         return make_id(index, slot.version);
     }
+
+    /// The value of that id; null where it has been erased.
     T* find(SlotId id) {
-        const auto index = static_cast<std::uint32_t>(id);
+        const std::uint32_t index = index_of(id);
         if (index >= slots_.size())
             return nullptr;
         Slot& slot = slots_[index];
         return slot.value && make_id(index, slot.version) == id ? slot.value.get() : nullptr;
     }
+
+    /// Destroys the value of that id. Does nothing where it has been erased before.
     void erase(SlotId id) {
         if (find(id) == nullptr)
             return;
-        const auto index = static_cast<std::uint32_t>(id);
+        const std::uint32_t index = index_of(id);
         slots_[index].value.reset();
         ++slots_[index].version;
         free_indices_.push_back(index);
         --size_;
     }
+
+    /// How many values there are.
     std::size_t size() const { return size_; }
+
+    /// The ids of all values, in the order of their slots.
     std::vector<SlotId> ids() const {
         std::vector<SlotId> all;
-        for (std::uint32_t i = 0; i < slots_.size(); ++i)
-            if (slots_[i].value)
-                all.push_back(make_id(i, slots_[i].version));
+        for (std::uint32_t index = 0; index < slots_.size(); ++index)
+            if (slots_[index].value)
+                all.push_back(make_id(index, slots_[index].version));
         return all;
     }
 
@@ -58,9 +72,12 @@
         std::unique_ptr<T> value;
         std::uint32_t version = 1;
     };
+
     static SlotId make_id(std::uint32_t index, std::uint32_t version) {
         return (static_cast<SlotId>(version) << 32U) | index;
     }
+    static std::uint32_t index_of(SlotId id) { return static_cast<std::uint32_t>(id); }
+
     std::deque<Slot> slots_;
     std::vector<std::uint32_t> free_indices_;
     std::size_t size_ = 0;
--- /dev/null
+++ b/src/request/request_manager_runs.cpp
@@ -0,0 +1,127 @@
+// What the executor, the dependency client and callers tell the request manager of open requests.
+
+#include <utility>
+
+#include "request/request_manager.hpp"
+
+namespace cressledge::request {
+
+using policy::Outcome;
+
+void RequestManager::run_finished(RequestId request_id, RunResult run_result, std::string_view body) {
+    OpenRequest* request = open_requests_.find(request_id);
+    // The end of a run may be reported twice across a broken link.
+    if (request == nullptr || request->state == RequestState::finished ||
+        request->state == RequestState::queued)
+        return;
+    counters_.count_run_finished();
+    timers_.cancel(request->call_timer);
+    if (request->state == RequestState::awaiting_call_reply)
+        dependency_client_->abandon(request_id);
+    const bool was_suspended = run_result == RunResult::killed && !request->answered &&
+                               request->suspend_requested &&
+                               settings_of(*request).preemption != policy::Preemption::none;
+    if (was_suspended)
+        return leave_suspended(*request, request_id);
+    request->state = RequestState::finished;
+    const Outcome outcome = respond_to_run(*request, run_result, body);
+    finish_record(*request, request_id, run_result == RunResult::succeeded, body);
+    post_event(policy::RunFinished{request_id, outcome}, request_id);
+}
+
+// The request stays open, with its progress where the run was paused, until the controller runs it again.
+void RequestManager::leave_suspended(OpenRequest& request, RequestId request_id) {
+    const bool is_paused = settings_of(request).preemption == policy::Preemption::pause;
+    request.suspend_requested = false;
+    request.state = is_paused ? RequestState::suspended : RequestState::queued;
+    post_event(policy::RunFinished{request_id, Outcome::cancelled});
+}
+
+// A run that was killed or not started gets its response when the request is released.
+Outcome RequestManager::respond_to_run(OpenRequest& request, RunResult run_result, std::string_view body) {
+    switch (run_result) {
+        case RunResult::succeeded:
+            respond(request, Response{ResponseStatus::served, body, Duration(0), false});
+            return Outcome::ok;
+        case RunResult::failed:
+            request.has_failed = true;
+            respond(request, Response{});
+            return Outcome::error;
+        case RunResult::noop:
+            return Outcome::not_started;
+        case RunResult::killed:
+            break;
+    }
+    return Outcome::cancelled;
+}
+
+void RequestManager::dependency_call_requested(RequestId request_id, std::uint64_t call_id,
+                                               std::string body) {
+    OpenRequest* request = open_requests_.find(request_id);
+    if (request == nullptr)
+        return;
+    if (request->state != RequestState::running && request->state != RequestState::suspended)
+        return;
+    request->state = RequestState::awaiting_call_decision;
+    request->call_id = call_id;
+    request->call_body = std::move(body);
+    request->call_may_have_effect = false;
+    post_event(policy::DependencyCallRequested{request_id});
+}
+
+void RequestManager::dependency_call_finished(RequestId request_id, Outcome outcome, std::string_view reply) {
+    OpenRequest* request = open_requests_.find(request_id);
+    if (request == nullptr || request->state != RequestState::awaiting_call_reply)
+        return;
+    timers_.cancel(request->call_timer);
+    if (outcome == Outcome::ok) {
+        request->state = RequestState::running;
+        request->call_body.clear();
+        executor_->deliver_call_reply(request_id, reply);
+    } else {
+        request->state = RequestState::awaiting_call_decision;
+        request->has_failed = true;
+        // Only these prove that the dependency carried nothing out.
+        const bool had_no_effect = outcome == Outcome::rejected || outcome == Outcome::connect_failed;
+        request->call_may_have_effect = !had_no_effect;
+    }
+    post_event(policy::DependencyCallFinished{request_id, outcome, now() - request->called_at});
+}
+
+// ---- callers ----
+
+void RequestManager::cancel(RequestId request_id) {
+    OpenRequest* request = open_requests_.find(request_id);
+    if (request == nullptr || request->answered)
+        return;
+    request->answered = true;
+    --unanswered_count_;
+    counters_.count_cancelled();
+    post_event(policy::Cancelled{request_id}, request->is_waiting() ? request_id : 0);
+}
+
+// ---- repeats ----
+
+void RequestManager::finish_record(const OpenRequest& request, RequestId request_id, bool succeeded,
+                                   std::string_view result) {
+    if (request.incoming.idempotency_key.empty())
+        return;
+    const std::string key = record_key(settings_of(request), request.incoming);
+    idempotency_store_.finish(key, request_id, now(), succeeded, result);
+}
+
+void RequestManager::replay_result(RequestId request_id, const IdempotencyRecord& record) {
+    OpenRequest* request = open_requests_.find(request_id);
+    if (request == nullptr || request->state != RequestState::awaiting_shared_result)
+        return;
+    request->state = RequestState::finished;
+    request->has_failed = !record.succeeded;
+    if (record.succeeded)
+        respond(*request, Response{ResponseStatus::served, record.result, Duration(0), false});
+    else
+        respond(*request, Response{});
+    const Outcome outcome = record.succeeded ? Outcome::ok : Outcome::error;
+    post_event(policy::RunFinished{request_id, outcome}, request_id);
+}
+
+}  // namespace cressledge::request
--- /dev/null
+++ b/src/request/request_manager_submission.cpp
@@ -0,0 +1,155 @@
+// How the request manager takes requests in.
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <memory>
+#include <utility>
+
+#include "request/request_manager.hpp"
+
+namespace cressledge::request {
+namespace {
+
+using policy::Idempotency;
+
+/// Far beyond what the memory of a server holds as requests.
+constexpr std::size_t max_open_requests = 4096;
+
+}  // namespace
+
+RequestId RequestManager::submit(IncomingRequest request, Responder& responder, std::uint64_t ticket) {
+    if (const auto bound = exceeded_bound(request)) {
+        log_rejection(*bound);
+        reject_before_admission(responder, ticket, settings().max_retry_after, request.class_index);
+        return 0;
+    }
+    counters_.count_received();
+    // Executor and dependency know requests by their external ids: of two with the same id, one would get the outcome
+    // of the other.
+    if (ids_by_external_id_.count(request.external_id) != 0)
+        return reject_malformed(responder, ticket, request.class_index);
+    const Timestamp received_at = now();
+    const policy::RequestClass& request_class = settings().classes.at(request.class_index);
+    // The caller's clock may be ahead: nothing is accepted later than it is read.
+    request.accepted_at = std::min(request.accepted_at, received_at);
+    const IdempotencyRecord* record = find_record(request);
+    if (record != nullptr && contradicts(*record, request)) {
+        std::uint64_t suppressed = 0;
+        if (key_mismatch_log_limiter_.try_acquire(received_at, suppressed))
+            spdlog::info("idempotency key used for another payload: refused as malformed; {} more like it",
+                         suppressed);
+        return reject_malformed(responder, ticket, request.class_index);
+    }
+    const RequestId repeated_id = record != nullptr ? repeated_request_id(*record, request_class) : 0;
+    const RequestId request_id = open(std::move(request), responder, ticket, received_at);
+    post_event(arrival_event(request_id, repeated_id, received_at));
+    return open_requests_.find(request_id) != nullptr ? request_id : 0;
+}
+
+// The bounds of the program itself; they protect its memory.
+std::optional<std::string_view> RequestManager::exceeded_bound(const IncomingRequest& request) const {
+    if (!started_)
+        return "engine not up yet";
+    if (lacks_room_for_key(request))
+        return "the table of keys is full";
+    if (open_requests_.size() >= max_open_requests)
+        return "the table of requests is full";
+    return std::nullopt;
+}
+
+// What must run once is not taken in where there is no room to remember that it did.
+bool RequestManager::lacks_room_for_key(const IncomingRequest& request) const {
+    if (!idempotency_store_.is_full() || request.idempotency_key.empty())
+        return false;
+    const policy::RequestClass& request_class = settings().classes.at(request.class_index);
+    return request_class.idempotency == Idempotency::with_key &&
+           !idempotency_store_.contains(record_key(settings(), request));
+}
+
+void RequestManager::log_rejection(std::string_view bound) {
+    std::uint64_t suppressed = 0;
+    if (rejection_log_limiter_.try_acquire(clock_.unix_now(), suppressed))
+        spdlog::warn("refused unseen: {}; {} more like it", bound, suppressed);
+}
+
+void RequestManager::reject_before_admission(Responder& responder, std::uint64_t ticket, Duration retry_after,
+                                             std::size_t class_index) {
+    counters_.count_rejected_before_admission(settings(), class_index);
+    responder.respond(ticket, Response{ResponseStatus::rejected, {}, retry_after, false});
+}
+
+// A request with the key of another must not be answered with the result of what it is not.
+bool RequestManager::contradicts(const IdempotencyRecord& record, const IncomingRequest& request) const {
+    const policy::RequestClass& request_class = settings().classes[request.class_index];
+    return request_class.idempotency == Idempotency::with_key &&
+           record.payload_digest != digest_payload(request.body);
+}
+
+RequestId RequestManager::reject_malformed(Responder& responder, std::uint64_t ticket,
+                                           std::size_t class_index) {
+    counters_.count_response(settings(), class_index, ResponseStatus::malformed);
+    responder.respond(ticket, Response{ResponseStatus::malformed, {}, Duration(0), false});
+    return 0;
+}
+
+RequestId RequestManager::open(IncomingRequest request, Responder& responder, std::uint64_t ticket,
+                               Timestamp received_at) {
+    const Duration max_wait =
+        request.max_wait.value_or(settings().classes[request.class_index].answer_deadline);
+    const std::string external_id = request.external_id;
+    auto open_request = std::make_unique<OpenRequest>();
+    open_request->deadline = std::max(received_at, request.accepted_at + max_wait);
+    open_request->incoming = std::move(request);
+    open_request->responder = &responder;
+    open_request->ticket = ticket;
+    open_request->generation = generations_.newest_serial();
+    ++generations_.newest().open_requests;
+    ++unanswered_count_;
+    const RequestId request_id = open_requests_.add(std::move(open_request));
+    ids_by_external_id_[external_id] = request_id;
+    return request_id;
+}
+
+policy::RequestArrived RequestManager::arrival_event(RequestId request_id, RequestId repeated_id,
+                                                     Timestamp received_at) {
+    const OpenRequest& request = *open_requests_.find(request_id);
+    const IncomingRequest& incoming = request.incoming;
+    policy::RequestArrived event;
+    event.id = request_id;
+    event.class_index = incoming.class_index;
+    event.tenant_index = incoming.tenant_index;
+    event.caller_id = incoming.caller_id;
+    event.repeated_id = repeated_id;
+    event.has_key = !incoming.idempotency_key.empty();
+    event.is_retry = incoming.is_retry;
+    event.is_write = class_of(request).idempotency != Idempotency::always;
+    event.expected_work_seconds = incoming.expected_work_seconds;
+    event.rank = incoming.rank;
+    event.reserved_kb = incoming.reserved_kb;
+    event.age = received_at - incoming.accepted_at;
+    if (incoming.max_wait)
+        event.caller_deadline = request.deadline;
+    return event;
+}
+
+std::string RequestManager::record_key(const policy::Settings& settings, const IncomingRequest& request) {
+    return IdempotencyStore::record_key(settings.classes[request.class_index].name, request.idempotency_key);
+}
+
+const IdempotencyRecord* RequestManager::find_record(const IncomingRequest& request) const {
+    if (request.idempotency_key.empty())
+        return nullptr;
+    return idempotency_store_.find(record_key(settings(), request), request.accepted_at);
+}
+
+// The request whose outcome is shared; 0 where the result of a read is too old to be shared.
+RequestId RequestManager::repeated_request_id(const IdempotencyRecord& record,
+                                              const policy::RequestClass& request_class) {
+    const bool is_read = request_class.idempotency == Idempotency::always;
+    if (is_read && record.finished && !record.is_fresh(now(), settings().result_ttl))
+        return 0;
+    return record.owner_id;
+}
+
+}  // namespace cressledge::request
--- a/tests/cressledge/request_manager_test.cpp
+++ b/tests/cressledge/request_manager_test.cpp
@@ -1,4 +1,5 @@
-// The core without a wire: a scripted controller, executor and records client, and a clock set by hand.
+// Tests of the request manager without any I/O: the controller is scripted, the executor and the dependency client record
+// what they are told, and the clock is set by hand.
 #include "request/request_manager.hpp"
 
 #include "support.hpp"
@@ -7,311 +8,304 @@
 
 using namespace cressledge::testing;
 using cressledge::policy::Action, cressledge::policy::Event, cressledge::policy::Outcome;
-using request::RunResult, request::ResponseStatus;
+using request::ResponseStatus, request::RunResult;
 
-struct Script final : cressledge::policy::AdmissionController {
-    std::vector<Event> seen;
-    std::vector<Timestamp> times;
-    std::function<void(const Event&, std::vector<Action>&)> then;
-    void handle(Timestamp now, const Event& e, std::vector<Action>& out) override {
-        seen.push_back(e);
-        times.push_back(now);
-        if (then)
-            then(e, out);
+// Answers events by a handler of the test and keeps what it has been told.
+struct ScriptedController final : policy::AdmissionController {
+    using Handler = std::function<void(const Event&, std::vector<Action>&)>;
+
+    std::vector<Event> events;
+    std::vector<Timestamp> event_times;
+    Handler handler;
+
+    void handle(Timestamp now, const Event& event, std::vector<Action>& actions) override {
+        events.push_back(event);
+        event_times.push_back(now);
+        if (handler)
+            handler(event, actions);
     }
     template <class T>
     std::size_t count() const {
-        std::size_t n = 0;
-        for (const Event& e : seen)
-            n += std::holds_alternative<T>(e);
-        return n;
+        std::size_t found = 0;
+        for (const Event& event : events)
+            found += std::holds_alternative<T>(event);
+        return found;
     }
     template <class T>
     T last() const {
         REQUIRE(count<T>() > 0);
         T found;
-        for (const Event& e : seen)
-            if (const T* t = std::get_if<T>(&e))
-                found = *t;
+        for (const Event& event : events)
+            if (const T* alternative = std::get_if<T>(&event))
+                found = *alternative;
         return found;
     }
 };
 
-struct Bench : request::Responder,
-               request::Executor,
-               request::DependencyClient,
-               request::ConnectionSettingsSink {
+struct RecordedResponse {
+    ResponseStatus status;
+    std::string body;
+
+    bool operator==(const RecordedResponse&) const = default;
+};
+
+struct RequestManagerFixture : request::Responder,
+                               request::Executor,
+                               request::DependencyClient,
+                               request::ConnectionSettingsSink {
     ManualClock clock;
     base::TimerQueue timers;
-    Script* script = new Script;
-    request::RequestManager server;
-    std::vector<std::string> did;  // by executor and records client, in order
-    std::vector<std::pair<ResponseStatus, std::string>> answers;
-    bool gauges = true;
-    std::uint64_t tag = 0;
+    // Owned by the manager.
+    ScriptedController* controller = new ScriptedController;
+    request::RequestManager manager;
+    // Calls to the executor and the dependency client, in order.
+    std::vector<std::string> calls;
+    std::vector<RecordedResponse> responses;
+    bool has_gauges = true;
+    std::uint64_t last_query_id = 0;
+
+    explicit RequestManagerFixture(policy::Settings settings = test_settings())
+        : manager(std::move(settings), std::unique_ptr<policy::AdmissionController>(controller), clock,
+                  timers) {
+        manager.attach(*this, *this, *this);
+        manager.start(clock.now);
+    }
 
-    explicit Bench(cressledge::policy::Settings s = test_settings())
-        : server(std::move(s), std::unique_ptr<cressledge::policy::AdmissionController>(script), clock,
-                 timers) {
-        server.attach(*this, *this, *this);
-        server.start(clock.now);
+    void respond(std::uint64_t, const request::Response& response) override {
+        responses.push_back({response.status, std::string(response.body)});
     }
-    void respond(std::uint64_t, const request::Response& a) override {
-        answers.emplace_back(a.status, a.body);
+    void run(const request::Work& work) override { calls.push_back("run " + std::string(work.external_id)); }
+    void suspend(request::RequestId) override { calls.push_back("suspend"); }
+    void resume(request::RequestId) override { calls.push_back("resume"); }
+    void deliver_call_reply(request::RequestId, std::string_view reply) override {
+        calls.push_back("reply " + std::string(reply));
     }
-    void run(const request::Work& w) override { did.push_back("run " + std::string(w.external_id)); }
-    void suspend(request::RequestId) override { did.push_back("halt"); }
-    void resume(request::RequestId) override { did.push_back("resume"); }
-    void deliver_call_reply(request::RequestId, std::string_view r) override {
-        did.push_back("feed " + std::string(r));
+    void skip_call(request::RequestId, std::uint64_t call_id) override {
+        calls.push_back("skip " + std::to_string(call_id));
     }
-    void skip_call(request::RequestId, std::uint64_t n) override {
-        did.push_back("skip " + std::to_string(n));
+    bool request_gauges(std::uint64_t query_id) override {
+        last_query_id = query_id;
+        return has_gauges;
     }
-    bool request_gauges(std::uint64_t t) override { return tag = t, gauges; }
-    bool request_health_check(std::uint64_t t) override { return tag = t, true; }
-    void release(request::RequestId) override { did.push_back("release"); }
-    void call(request::RequestId, std::string_view, std::string_view b, Timestamp) override {
-        did.push_back("call " + std::string(b));
+    bool request_health_check(std::uint64_t query_id) override {
+        last_query_id = query_id;
+        return true;
     }
-    void abandon(request::RequestId) override { did.push_back("abandon"); }
+    void release(request::RequestId) override { calls.push_back("release"); }
+    void call(request::RequestId, std::string_view, std::string_view body, Timestamp) override {
+        calls.push_back("call " + std::string(body));
+    }
+    void abandon(request::RequestId) override { calls.push_back("abandon"); }
     void set_idle_timeout(Duration) override {}
 
-    request::RequestId arrive(std::size_t kind = 0, const std::string& key = "") {
-        request::IncomingRequest a;
-        a.external_id = "r" + std::to_string(server.counts().received);
-        a.class_index = kind;
-        a.idempotency_key = key;
-        a.reserved_kb = 10;
-        a.accepted_at = clock.now - Duration(5000);
-        return server.submit(std::move(a), *this, 1);
+    request::RequestId submit(std::size_t class_index = 0, const std::string& key = "") {
+        request::IncomingRequest incoming;
+        incoming.external_id = "r" + std::to_string(manager.counts().received);
+        incoming.class_index = class_index;
+        incoming.idempotency_key = key;
+        incoming.reserved_kb = 10;
+        incoming.accepted_at = clock.now - Duration(5000);
+        return manager.submit(std::move(incoming), *this, 1);
     }
-    std::size_t times(const std::string& what) const {
-        return static_cast<std::size_t>(std::count(did.begin(), did.end(), what));
+    std::size_t call_count(const std::string& call) const {
+        return static_cast<std::size_t>(std::count(calls.begin(), calls.end(), call));
     }
     void advance(Duration by) {
         clock.now += by;
         timers.run_due(clock.now);
     }
-    // The controller answers this kind of event with these actions, once.
+    // The controller answers events of this type with these actions, and all others with none.
     template <class E>
-    void on(std::function<std::vector<Action>(const E&)> what) {
-        script->then = [what](const Event& e, std::vector<Action>& out) {
-            if (const E* mine = std::get_if<E>(&e))
-                out = what(*mine);
+    void on(std::function<std::vector<Action>(const E&)> answer) {
+        controller->handler = [answer](const Event& event, std::vector<Action>& actions) {
+            if (const E* alternative = std::get_if<E>(&event))
+                actions = answer(*alternative);
         };
     }
-    void act(std::vector<Action> actions) {  // lets the controller do this, on a timer of its own
-        on<cressledge::policy::RequestArrived>([](const auto& r) {
-            return std::vector<Action>{cressledge::policy::Reject{r.id, Duration(0), false},
-                                       cressledge::policy::ScheduleTimer{Duration(0), 9}};
+    void run_every_request() {
+        on<policy::RequestArrived>(
+            [](const auto& event) { return std::vector<Action>{policy::Run{event.id}}; });
+    }
+    // Has the controller ask for these actions now, by a timer that it has scheduled.
+    void apply(std::vector<Action> actions) {
+        on<policy::RequestArrived>([](const auto& event) {
+            return std::vector<Action>{policy::Reject{event.id, Duration(0), false},
+                                       policy::ScheduleTimer{Duration(0), 9}};
         });
-        arrive();
-        answers.pop_back();
+        submit();
+        responses.pop_back();
         advance(Duration(1));
-        on<cressledge::policy::TimerFired>([actions](const auto&) { return actions; });
-        server.gauges_received(tag, {});
-        script->then = nullptr;
+        on<policy::TimerFired>([actions](const auto&) { return actions; });
+        manager.gauges_received(last_query_id, {});
+        controller->handler = nullptr;
     }
 };
 
-TEST_CASE("a number names its slot only as long as the slot is its own") {
-    base::SlotMap<int> slots;
-    const auto a = slots.add(std::make_unique<int>(1));
-    slots.erase(a);
-    const auto b = slots.add(std::make_unique<int>(2));
-    CHECK(slots.find(a) == nullptr);
-    CHECK(*slots.find(b) == 2);
-    slots.erase(a);
-    CHECK(slots.size() == 1);
-}
-
-TEST_CASE("deadlines run in order, and none that a deadline sets runs in the same turn") {
-    base::TimerQueue d;
-    std::string order;
-    d.schedule(Timestamp(20), [&] { order += 'b'; });
-    auto gone = d.schedule(Timestamp(15), [&] { order += 'x'; });
-    d.schedule(Timestamp(10), [&] {
-        order += 'a';
-        d.schedule(Timestamp(0), [&] { order += 'c'; });
-    });
-    d.cancel(gone);
-    d.run_due(Timestamp(30));
-    CHECK(order == "ab");
-    d.run_due(Timestamp(30));
-    CHECK(order == "abc");
-}
-
-TEST_CASE("an answer goes out once, and a request that ran is never refused") {
-    Bench b;
-    b.on<cressledge::policy::RequestArrived>(
-        [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
-    const auto no = b.arrive();
-    CHECK(b.script->last<cressledge::policy::RequestArrived>().age == Duration(5000));
-    b.act({cressledge::policy::Reject{no, Duration(0), true}});
-    REQUIRE(b.answers.size() == 1);
-    CHECK(b.answers[0].first == ResponseStatus::deadline_exceeded);
-    b.server.run_finished(no, RunResult::succeeded, "late");
-    CHECK(b.answers.size() == 1);
-    CHECK(b.script->last<cressledge::policy::RunFinished>().outcome == Outcome::ok);
-    CHECK(b.server.unanswered_count() == 0);
+TEST_CASE("RequestManager: one response for each request, and a request that ran is never rejected") {
+    RequestManagerFixture fixture;
+    fixture.run_every_request();
+    const auto request_id = fixture.submit();
+    CHECK(fixture.controller->last<policy::RequestArrived>().age == Duration(5000));
+    fixture.apply({policy::Reject{request_id, Duration(0), true}});
+    REQUIRE(fixture.responses.size() == 1);
+    CHECK(fixture.responses[0].status == ResponseStatus::deadline_exceeded);
+    fixture.manager.run_finished(request_id, RunResult::succeeded, "late");
+    CHECK(fixture.responses.size() == 1);
+    CHECK(fixture.controller->last<policy::RunFinished>().outcome == Outcome::ok);
+    CHECK(fixture.manager.unanswered_count() == 0);
 }
 
-TEST_CASE("a write makes a second call only when the first one provably never ran") {
+TEST_CASE("RequestManager: a write repeats a dependency call only when the first provably had no effect") {
     for (const auto& [outcome, calls] : {std::pair{Outcome::rejected, 2U},
                                          {Outcome::connect_failed, 2U},
                                          {Outcome::error, 1U},
                                          {Outcome::timeout, 1U},
                                          {Outcome::reset, 1U}}) {
-        Bench b;
-        b.on<cressledge::policy::RequestArrived>(
-            [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
-        const auto no = b.arrive(2);
-        b.on<cressledge::policy::DependencyCallRequested>([](const auto& n) {
-            return std::vector<Action>{cressledge::policy::CallDependency{n.id, Duration(0)}};
+        RequestManagerFixture fixture;
+        fixture.run_every_request();
+        const auto request_id = fixture.submit(2);
+        fixture.on<policy::DependencyCallRequested>([](const auto& event) {
+            return std::vector<Action>{policy::CallDependency{event.id, Duration(0)}};
         });
-        b.server.dependency_call_requested(no, 1, "pay");
-        int asked = 0;
-        b.on<cressledge::policy::DependencyCallFinished>([&](const auto& k) {
-            return ++asked == 1 ? std::vector<Action>{cressledge::policy::CallDependency{k.id, Duration(0)}}
-                                : std::vector<Action>();
+        fixture.manager.dependency_call_requested(request_id, 1, "pay");
+        int calls_finished = 0;
+        fixture.on<policy::DependencyCallFinished>([&](const auto& event) {
+            return ++calls_finished == 1 ? std::vector<Action>{policy::CallDependency{event.id, Duration(0)}}
+                                         : std::vector<Action>();
         });
-        b.server.dependency_call_finished(no, outcome, {});
-        CHECK(b.times("call pay") == calls);
+        fixture.manager.dependency_call_finished(request_id, outcome, {});
+        CHECK(fixture.call_count("call pay") == calls);
     }
 }
 
-TEST_CASE("a call that outlasts its deadline is given up and told as timed out") {
-    Bench b;
-    b.on<cressledge::policy::RequestArrived>(
-        [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
-    const auto no = b.arrive();
-    b.on<cressledge::policy::DependencyCallRequested>([](const auto& n) {
-        return std::vector<Action>{cressledge::policy::CallDependency{n.id, Duration(50'000)}};
+TEST_CASE("RequestManager: a dependency call past its deadline is abandoned and reported as timed out") {
+    RequestManagerFixture fixture;
+    fixture.run_every_request();
+    const auto request_id = fixture.submit();
+    fixture.on<policy::DependencyCallRequested>([](const auto& event) {
+        return std::vector<Action>{policy::CallDependency{event.id, Duration(50'000)}};
     });
-    b.server.dependency_call_requested(no, 1, "q");
-    b.advance(Duration(49'000));
-    CHECK(b.times("abandon") == 0);
-    b.advance(Duration(1'000));
-    CHECK(b.times("abandon") == 1);
-    CHECK(b.script->last<cressledge::policy::DependencyCallFinished>().outcome == Outcome::timeout);
-    b.server.dependency_call_finished(no, Outcome::ok, "too late");
-    CHECK(b.script->count<cressledge::policy::DependencyCallFinished>() == 1);
+    fixture.manager.dependency_call_requested(request_id, 1, "q");
+    fixture.advance(Duration(49'000));
+    CHECK(fixture.call_count("abandon") == 0);
+    fixture.advance(Duration(1'000));
+    CHECK(fixture.call_count("abandon") == 1);
+    CHECK(fixture.controller->last<policy::DependencyCallFinished>().outcome == Outcome::timeout);
+    fixture.manager.dependency_call_finished(request_id, Outcome::ok, "too late");
+    CHECK(fixture.controller->count<policy::DependencyCallFinished>() == 1);
 }
 
-TEST_CASE("paused is not over") {
-    auto s = test_settings();
-    s.preemption = cressledge::policy::Preemption::pause;
-    Bench b(s);
-    b.on<cressledge::policy::RequestArrived>(
-        [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
-    const auto no = b.arrive();
-    b.act({cressledge::policy::Suspend{no}});
-    b.server.run_finished(no, RunResult::killed, {});
-    CHECK(b.answers.empty());
-    b.act({cressledge::policy::Run{no}});
-    CHECK(b.times("resume") == 1);
-    b.server.run_finished(no, RunResult::succeeded, "all of it");
-    REQUIRE(b.answers.size() == 1);
-    CHECK(b.answers[0].second == "all of it");
+TEST_CASE("RequestManager: a paused run keeps its request open and is resumed") {
+    auto settings = test_settings();
+    settings.preemption = policy::Preemption::pause;
+    RequestManagerFixture fixture(settings);
+    fixture.run_every_request();
+    const auto request_id = fixture.submit();
+    fixture.apply({policy::Suspend{request_id}});
+    fixture.manager.run_finished(request_id, RunResult::killed, {});
+    CHECK(fixture.responses.empty());
+    fixture.apply({policy::Run{request_id}});
+    CHECK(fixture.call_count("resume") == 1);
+    fixture.manager.run_finished(request_id, RunResult::succeeded, "all of it");
+    REQUIRE(fixture.responses.size() == 1);
+    CHECK(fixture.responses[0].body == "all of it");
 }
 
-TEST_CASE("a request that came to nothing is still answered") {
-    Bench b;
-    b.on<cressledge::policy::RequestArrived>(
-        [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
-    const auto no = b.arrive();
-    b.server.run_finished(no, RunResult::noop, {});
-    REQUIRE(b.answers.size() == 1);
-    CHECK(b.answers[0].first == ResponseStatus::failed);
-    CHECK(b.times("release") == 1);
+TEST_CASE("RequestManager: a request whose run did not start still gets a response") {
+    RequestManagerFixture fixture;
+    fixture.run_every_request();
+    const auto request_id = fixture.submit();
+    fixture.manager.run_finished(request_id, RunResult::noop, {});
+    REQUIRE(fixture.responses.size() == 1);
+    CHECK(fixture.responses[0].status == ResponseStatus::failed);
+    CHECK(fixture.call_count("release") == 1);
 }
 
-TEST_CASE("each wake gets one timer, never early, without gauges if the executor is silent") {
-    Bench b;
-    b.on<cressledge::policy::RequestArrived>([](const auto& r) {
-        return std::vector<Action>{cressledge::policy::Reject{r.id, Duration(0), false},
-                                   cressledge::policy::ScheduleTimer{Duration(10'000), 7}};
+TEST_CASE(
+    "RequestManager: each scheduled timer fires once, never early, without gauges if the executor is "
+    "silent") {
+    RequestManagerFixture fixture;
+    fixture.on<policy::RequestArrived>([](const auto& event) {
+        return std::vector<Action>{policy::Reject{event.id, Duration(0), false},
+                                   policy::ScheduleTimer{Duration(10'000), 7}};
     });
-    b.arrive();
-    b.advance(Duration(9'999));
-    CHECK(b.tag == 0);
-    b.advance(Duration(1));
-    REQUIRE(b.tag != 0);
-    CHECK(b.script->count<cressledge::policy::TimerFired>() == 0);  // waits for fresh gauges
-    b.advance(Duration(15'000));
-    CHECK(b.script->count<cressledge::policy::TimerFired>() == 1);
-    b.server.gauges_received(b.tag, {});  // too late: it has had its timer
-    CHECK(b.script->count<cressledge::policy::TimerFired>() == 1);
+    fixture.submit();
+    fixture.advance(Duration(9'999));
+    CHECK(fixture.last_query_id == 0);
+    fixture.advance(Duration(1));
+    REQUIRE(fixture.last_query_id != 0);
+    CHECK(fixture.controller->count<policy::TimerFired>() == 0);  // waits for fresh gauges
+    fixture.advance(Duration(15'000));
+    CHECK(fixture.controller->count<policy::TimerFired>() == 1);
+    fixture.manager.gauges_received(fixture.last_query_id, {});  // too late: it has had its timer
+    CHECK(fixture.controller->count<policy::TimerFired>() == 1);
 }
 
-TEST_CASE("the controller's clock stands still when the Unix clock is set back") {
-    Bench b;
-    b.arrive();
-    b.clock.now -= Duration(60'000'000);
-    b.arrive();
-    REQUIRE(b.script->times.size() == 3);
-    CHECK(b.script->times[2] == b.script->times[1]);
+TEST_CASE("RequestManager: the controller's clock stands still when the Unix clock is set back") {
+    RequestManagerFixture fixture;
+    fixture.submit();
+    fixture.clock.now -= Duration(60'000'000);
+    fixture.submit();
+    REQUIRE(fixture.controller->event_times.size() == 3);
+    CHECK(fixture.controller->event_times[2] == fixture.controller->event_times[1]);
 }
 
-TEST_CASE("what may run once is refused, never run, where no key can be remembered any more") {
-    auto s = test_settings();
-    s.classes[2].idempotency = cressledge::policy::Idempotency::with_key;
-    Bench b(s);
-    b.on<cressledge::policy::RequestArrived>([](const auto& r) {
-        return std::vector<Action>{cressledge::policy::RetainKey{r.id, Duration(5'000'000)},
-                                   cressledge::policy::Run{r.id}};
+TEST_CASE("RequestManager: a request that must run once is rejected, never run, when the key table is full") {
+    auto settings = test_settings();
+    settings.classes[2].idempotency = policy::Idempotency::with_key;
+    RequestManagerFixture fixture(settings);
+    fixture.on<policy::RequestArrived>([](const auto& event) {
+        return std::vector<Action>{policy::RetainKey{event.id, Duration(5'000'000)}, policy::Run{event.id}};
     });
     for (std::size_t n = 0; n < 65'536; ++n)
-        b.server.run_finished(b.arrive(2, "k" + std::to_string(n)), RunResult::succeeded, "");
-    const std::size_t runs = b.did.size();
-    b.answers.clear();
-    CHECK(b.arrive(2, "one more") == 0);
-    REQUIRE(b.answers.size() == 1);
-    CHECK(b.answers[0].first == ResponseStatus::rejected);
-    CHECK(b.did.size() == runs);
-    CHECK(b.arrive(0, "a read") != 0);  // what needs no memory of it goes on
-    CHECK(b.arrive(2, "k7") != 0);  // and so does what is known
-    b.advance(Duration(20'000'000));
-    CHECK(b.arrive(2, "one more") != 0);
+        fixture.manager.run_finished(fixture.submit(2, "k" + std::to_string(n)), RunResult::succeeded, "");
+    const std::size_t runs = fixture.calls.size();
+    fixture.responses.clear();
+    CHECK(fixture.submit(2, "one more") == 0);
+    REQUIRE(fixture.responses.size() == 1);
+    CHECK(fixture.responses[0].status == ResponseStatus::rejected);
+    CHECK(fixture.calls.size() == runs);
+    CHECK(fixture.submit(0, "a read") != 0);  // what needs no memory of it goes on
+    CHECK(fixture.submit(2, "k7") != 0);  // and so does what is known
+    fixture.advance(Duration(20'000'000));
+    CHECK(fixture.submit(2, "one more") != 0);
 }
 
-TEST_CASE("a kept read shares its result, and what shared it ends with it") {
-    auto s = test_settings();
-    s.result_ttl = Duration(1'000'000);
-    Bench b(s);
-    b.on<cressledge::policy::RequestArrived>([](const auto& r) {
-        if (r.repeated_id != 0)
-            return std::vector<Action>{cressledge::policy::ReplayResult{r.id}};
-        return std::vector<Action>{cressledge::policy::RetainKey{r.id, Duration(5'000'000)},
-                                   cressledge::policy::Run{r.id}};
+TEST_CASE("RequestManager: repeats of a read share its result while it is fresh") {
+    auto settings = test_settings();
+    settings.result_ttl = Duration(1'000'000);
+    RequestManagerFixture fixture(settings);
+    fixture.on<policy::RequestArrived>([](const auto& event) {
+        if (event.repeated_id != 0)
+            return std::vector<Action>{policy::ReplayResult{event.id}};
+        return std::vector<Action>{policy::RetainKey{event.id, Duration(5'000'000)}, policy::Run{event.id}};
     });
-    const auto first = b.arrive(0, "k");
-    b.arrive(0, "k");
-    CHECK(b.times("run r0") + b.times("run r1") == 1);
-    b.server.run_finished(first, RunResult::succeeded, "map");
-    REQUIRE(b.answers.size() == 2);
-    CHECK(b.answers[1] == std::pair(ResponseStatus::served, std::string("map")));
-    b.arrive(0, "k");  // ended well a moment ago: answered from the result
-    CHECK(b.answers.size() == 3);
-    b.advance(Duration(1'000'001));
-    b.arrive(0, "k");  // no longer fresh
-    CHECK(b.answers.size() == 3);
+    const auto first = fixture.submit(0, "k");
+    fixture.submit(0, "k");
+    CHECK(fixture.call_count("run r0") + fixture.call_count("run r1") == 1);
+    fixture.manager.run_finished(first, RunResult::succeeded, "map");
+    REQUIRE(fixture.responses.size() == 2);
+    CHECK(fixture.responses[1] == RecordedResponse{ResponseStatus::served, "map"});
+    fixture.submit(0, "k");  // ended well a moment ago: answered from the result
+    CHECK(fixture.responses.size() == 3);
+    fixture.advance(Duration(1'000'001));
+    fixture.submit(0, "k");  // no longer fresh
+    CHECK(fixture.responses.size() == 3);
 }
 
-TEST_CASE("a caller that leaves ends what is held, and stays with what runs until that is over") {
-    Bench b;
-    const auto held = b.arrive();
-    b.server.cancel(held);
-    CHECK(b.times("release") == 1);
-    b.on<cressledge::policy::RequestArrived>(
-        [](const auto& r) { return std::vector<Action>{cressledge::policy::Run{r.id}}; });
-    const auto running = b.arrive();
-    b.server.cancel(running);
-    CHECK(b.times("release") == 1);
-    b.server.run_finished(running, RunResult::succeeded, "nobody reads it");
-    CHECK(b.times("release") == 2);
-    CHECK(b.answers.empty());
+TEST_CASE(
+    "RequestManager: cancelling releases a queued request at once and a running one when its run ends") {
+    RequestManagerFixture fixture;
+    const auto queued = fixture.submit();
+    fixture.manager.cancel(queued);
+    CHECK(fixture.call_count("release") == 1);
+    fixture.run_every_request();
+    const auto running = fixture.submit();
+    fixture.manager.cancel(running);
+    CHECK(fixture.call_count("release") == 1);
+    fixture.manager.run_finished(running, RunResult::succeeded, "nobody reads it");
+    CHECK(fixture.call_count("release") == 2);
+    CHECK(fixture.responses.empty());
 }
 
 }  // namespace
