--- a/src/command/roll.cpp
+++ b/src/command/roll.cpp
@@ -14,7 +14,8 @@
          bool rolls_back) {
     base::TimerQueue timers;
     net::Loop loop(timers);
-    rollout::RolloutController controller(loop, timers, rollout::load_rollout_settings(plan_path), state_directory);
+    rollout::RolloutController controller(loop, timers, rollout::load_rollout_settings(plan_path),
+                                          state_directory);
     for (const int signal : {SIGTERM, SIGINT})
         loop.on_signal(signal, [&] { controller.interrupt(); });
     if (rolls_back)
