--- a/bench/kill.py
+++ b/bench/kill.py
@@ -61,8 +61,8 @@
             program.wait()
             await asyncio.gather(*tasks)
             text = open(os.path.join(folder, "log")).read()
-            cold = "a cold start: nothing has been kept" in text
-            if text and not cold and "learning: 1 classes and 1 servers of generation" not in text:
+            cold = 'learned_state: cold start reason="nothing has been kept"' in text
+            if text and not cold and "learned_state: restored classes=1 upstreams=1 generation=" not in text:
                 sys.exit("life %d took neither what was kept nor a cold start:\n%s" % (life, text))
             if cold and last[0] > 0:
                 sys.exit("life %d started cold though state was kept" % life)
