--- a/src/learned_state/learned_state_saver.hpp
+++ b/src/learned_state/learned_state_saver.hpp
@@ -1,14 +1,17 @@
-// The I/O beside knowledge: takes what the program has learned from time to time and gives it to the store; at the
-// start it brings back what is trusted.
+// Saves the learned state of a running process from time to time and loads it at the start. Owns the store,
+// its files and the timer; what is saved and what is trusted is decided by SavePlanner and restore().
 #pragma once
 
+#include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
 #include <string>
 
-#include "connection_admission/file_descriptor_budget.hpp"
+#include "base/log_rate_limiter.hpp"
+#include "base/timer_queue.hpp"
 #include "learned_state/learned_state.hpp"
+#include "learned_state/restore.hpp"
+#include "learned_state/save_planner.hpp"
 #include "net/loop.hpp"
 #include "request/request_manager.hpp"
 #include "store/background_writer.hpp"
@@ -21,41 +24,51 @@
     struct Settings {
         std::string directory;
         Identity identity;
-        Duration save_interval{30'000'000};  // between two saves
+        Duration save_interval{30'000'000};
         ConfidencePolicy confidence_policy;
     };
-    LearnedStateSaver(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server,
+
+    /// The references must outlive the saver. `collect_upstream_stats` is called on the loop, before each
+    /// save.
+    LearnedStateSaver(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& request_manager,
                       Settings settings, std::function<UpstreamStatsByName()> collect_upstream_stats);
     ~LearnedStateSaver();
     LearnedStateSaver(const LearnedStateSaver&) = delete;
     LearnedStateSaver& operator=(const LearnedStateSaver&) = delete;
 
-    // Reads the folder (blocking, before the program serves) and judges what is there. What is taken is the caller's to
-    // put in force. Without a folder that can be written nothing is kept, and the program goes on.
+    /// Reads the directory and decodes what is there; blocks, so it is for the start. The caller puts the
+    /// result in force. Without a directory that can be written nothing is ever saved, and the process goes
+    /// on.
     RestoreResult load(Timestamp now);
-    void start_saving();  // saves from now on
-    void flush();  // a last save; blocks until it is durable. For the end, when nobody waits any more
+
+    /// Saves every `save_interval` from now on.
+    void start_saving();
+
+    /// Saves a last time and blocks until that is durable or has failed; for the end, when no client waits
+    /// any more.
+    void flush();
+
     void log_summary() const;
+
     std::uint64_t bytes_written() const { return store_.bytes_written(); }
     std::uint64_t commits() const { return writer_ ? writer_->commits() : 0; }
 
 private:
+    void log_restored(const RestoreResult& result, Timestamp now) const;
     void save(Timestamp now);
+    /// `error` is 0 or an errno.
     void on_commit(int error);
 
     net::Loop& loop_;
     base::TimerQueue& timers_;
-    request::RequestManager& server_;
+    request::RequestManager& request_manager_;
     const Settings settings_;
     const std::function<UpstreamStatsByName()> collect_upstream_stats_;
     store::PosixFileSystem files_;
     store::Store store_;
-    std::unique_ptr<store::BackgroundWriter> writer_;  // null: nothing is kept
-    store::Entries last_saved_entries_;  // as it was asked to be kept
-    std::map<std::string, double>
-        restored_completions_;  // completions of earlier lives, by class, at their trust
-    std::map<std::string, double> completions_at_last_save_;  // by class, at the last save
-    std::map<std::string, Timestamp> last_completion_at_;
+    /// Null if nothing can be saved.
+    std::unique_ptr<store::BackgroundWriter> writer_;
+    SavePlanner planner_;
     base::TimerQueue::Handle next_save_ = 0;
     std::uint64_t failed_saves_ = 0;
     base::LogRateLimiter log_limiter_;
--- /dev/null
+++ b/src/learned_state/state_document.hpp
@@ -0,0 +1,70 @@
+// The documents in which learned state is stored: CBOR (RFC 8949) objects under keys of the form KIND or
+// KIND/NAME. Only the encoder and the decoder include this. The words here are on disks: they never change.
+#pragma once
+
+#include <nlohmann/json.hpp>
+#include <optional>
+#include <string>
+
+#include "store/format.hpp"
+
+namespace cressledge::learned_state {
+
+/// Kinds of documents.
+namespace kind {
+constexpr const char* header = "about";
+constexpr const char* request_class = "class";
+constexpr const char* band = "band";
+constexpr const char* controller = "controller";
+constexpr const char* upstream = "server";
+}  // namespace kind
+
+/// Fields of documents. Times are Unix milliseconds; durations are seconds.
+namespace field {
+constexpr const char* schema = "schema";
+constexpr const char* node = "node";
+constexpr const char* settings_fingerprint = "site";
+constexpr const char* cores = "cores";
+constexpr const char* saved_at = "saved_ms";
+constexpr const char* observed_at = "at_ms";
+constexpr const char* price = "quanta";
+constexpr const char* run_time = "run";
+constexpr const char* completions = "count";
+constexpr const char* priority_weight = "worth";
+constexpr const char* quanta_per_period = "rate";
+constexpr const char* odds_of_rise = "rise";
+constexpr const char* odds_of_no_change = "same";
+constexpr const char* odds_of_fall = "fall";
+constexpr const char* capacity = "capacity";
+constexpr const char* concurrency_limit = "limit";
+constexpr const char* call_time = "call";
+constexpr const char* call_count = "calls";
+constexpr const char* mean_latency = "seconds";
+constexpr const char* failure_ratio = "failed";
+}  // namespace field
+
+/// The two parts of a key.
+struct DocumentKey {
+    std::string kind;
+    std::string name;
+};
+DocumentKey parse_key(const std::string& key);
+std::string make_key(const char* kind, const std::string& name);
+
+std::string encode_document(const nlohmann::json& document);
+/// Nothing if the bytes are no CBOR object.
+std::optional<nlohmann::json> decode_document(const std::string& bytes);
+
+/// Inclusive.
+struct Range {
+    double min;
+    double max;
+};
+
+/// Reads a number into `value`. Returns false, with `value` unchanged, if it is missing, no number, or out of
+/// range: guards against NaN, text, and what no server ever was.
+bool read_number(const nlohmann::json& document, const char* name, Range range, double& value);
+/// An empty text if it is missing or no text.
+std::string read_text(const nlohmann::json& document, const char* name);
+
+}  // namespace cressledge::learned_state
--- a/src/store/background_writer.cpp
+++ b/src/store/background_writer.cpp
@@ -4,18 +4,18 @@
 
 namespace cressledge::store {
 
-BackgroundWriter::BackgroundWriter(uv_loop_t* loop, Store& store, std::function<void(int)> on_commit)
+BackgroundWriter::BackgroundWriter(uv_loop_t* loop, Store& store, std::function<void(ErrorNumber)> on_commit)
     : loop_(loop), store_(store), on_commit_(std::move(on_commit)) {
     work_.data = this;
 }
 
-// Guards the thread that is still at work against a store that is no more.
 BackgroundWriter::~BackgroundWriter() {
     flush();
 }
 
 void BackgroundWriter::commit(Changes changes) {
-    changes.merge(pending_);  // keeps what is newer
+    // merge() keeps the newer value of a key in both.
+    changes.merge(pending_);
     pending_ = std::move(changes);
     start_next_commit();
 }
@@ -25,21 +25,22 @@
         return;
     in_progress_ = std::exchange(pending_, {});
     is_busy_ = true;
-    const int bad = uv_queue_work(
-        loop_, &work_,
-        [](uv_work_t* w) {
-            auto* self = static_cast<BackgroundWriter*>(w->data);
-            self->commit_error_ = self->store_.commit(self->in_progress_);
-        },
-        [](uv_work_t* w, int) { static_cast<BackgroundWriter*>(w->data)->on_commit_finished(); });
-    if (bad != 0)
+    const auto run_commit = [](uv_work_t* work) {
+        auto* self = static_cast<BackgroundWriter*>(work->data);
+        self->commit_error_ = self->store_.commit(self->in_progress_);
+    };
+    const auto finish_commit = [](uv_work_t* work, int) {
+        static_cast<BackgroundWriter*>(work->data)->on_commit_finished();
+    };
+    if (uv_queue_work(loop_, &work_, run_commit, finish_commit) != 0)
         is_busy_ = false;
 }
 
 void BackgroundWriter::on_commit_finished() {
     is_busy_ = false;
     ++commits_;
-    failures_ += commit_error_ != 0 ? 1 : 0;
+    if (commit_error_ != no_error)
+        ++failures_;
     on_commit_(commit_error_);
     start_next_commit();
 }
--- a/src/store/background_writer.hpp
+++ b/src/store/background_writer.hpp
@@ -1,5 +1,6 @@
-// Commits of a store on libuv's thread pool: the event loop never waits for a disk. One commit is under way at a time;
-// what is asked for meanwhile is put together, the later value of a key winning, and follows it.
+// Commits to a store on libuv's thread pool, so that the event loop never waits for a disk. One commit runs
+// at a time; changes that arrive meanwhile are merged, the later value of a key winning, and follow it as one
+// commit.
 #pragma once
 
 #include <uv.h>
@@ -13,16 +14,22 @@
 
 class BackgroundWriter {
 public:
-    // `told` hears of each commit on the loop: 0 or an errno. The store is the writer's alone until it ends.
-    BackgroundWriter(uv_loop_t* loop, Store& store, std::function<void(int)> on_commit);
-    ~BackgroundWriter();  // after finish()
+    /// `on_commit` runs on the loop after each commit. Until the writer is destroyed nobody else may use the
+    /// store.
+    BackgroundWriter(uv_loop_t* loop, Store& store, std::function<void(ErrorNumber)> on_commit);
+    /// Flushes: guards the thread that is still at work against a store that is gone.
+    ~BackgroundWriter();
     BackgroundWriter(const BackgroundWriter&) = delete;
     BackgroundWriter& operator=(const BackgroundWriter&) = delete;
 
     void commit(Changes changes);
-    void
-    flush();  // blocks until all that was asked for is durable or has failed; for the end, once the loop stands
+
+    /// Blocks until all changes are durable or have failed. Runs the loop itself: only for the end, when it
+    /// is stopped.
+    void flush();
+
     bool is_busy() const { return is_busy_; }
+    /// Finished commits, failed ones included.
     std::uint64_t commits() const { return commits_; }
     std::uint64_t failures() const { return failures_; }
 
@@ -32,12 +39,16 @@
 
     uv_loop_t* const loop_;
     Store& store_;
-    const std::function<void(int)> on_commit_;
-    Changes pending_, in_progress_;
+    const std::function<void(ErrorNumber)> on_commit_;
+    Changes pending_;
+    /// Of the commit that runs. The other thread reads it and writes commit_error_; the loop touches neither
+    /// meanwhile.
+    Changes in_progress_;
+    ErrorNumber commit_error_ = no_error;
     uv_work_t work_{};
-    int commit_error_ = 0;
     bool is_busy_ = false;
-    std::uint64_t commits_ = 0, failures_ = 0;
+    std::uint64_t commits_ = 0;
+    std::uint64_t failures_ = 0;
 };
 
 }  // namespace cressledge::store
--- a/src/store/file_system.hpp
+++ b/src/store/file_system.hpp
@@ -1,4 +1,5 @@
-// The system calls that a store makes, in one folder. Tests stand in for it with a file system that fails and crashes.
+// The system calls that a store makes, all in one directory. Tests replace them by a file system in memory
+// that fails and crashes.
 #pragma once
 
 #include <cstddef>
@@ -8,21 +9,44 @@
 
 namespace cressledge::store {
 
-class FileSystem {  // each returns 0, or an errno
+/// An errno value, or no_error.
+using ErrorNumber = int;
+constexpr ErrorNumber no_error = 0;
+
+/// Names are those of files in the directory, without a path.
+class FileSystem {
 public:
     virtual ~FileSystem() = default;
-    virtual int lock() = 0;  // EWOULDBLOCK: another process writes here
-    virtual int list(std::vector<std::string>& names) = 0;
-    virtual int read(const std::string& name, std::size_t most,
-                     std::string& to) = 0;  // EFBIG: longer than `most`
-    virtual int create(const std::string& name) = 0;  // empty, whatever was there; open until close()
-    virtual int append(const std::string& name, std::string_view bytes,
-                       std::size_t& written) = 0;  // may be short
-    virtual int sync(const std::string& name) = 0;
+
+    /// Makes the directory if necessary and keeps other processes from locking it. EWOULDBLOCK: another one
+    /// has.
+    virtual ErrorNumber lock() = 0;
+
+    /// Appends the names of all files.
+    virtual ErrorNumber list(std::vector<std::string>& names) = 0;
+
+    /// Reads a whole file. EFBIG: it is longer than `max_bytes`.
+    virtual ErrorNumber read(const std::string& name, std::size_t max_bytes, std::string& contents) = 0;
+
+    /// Creates a file, or empties it if it exists; it is open for append() until close().
+    virtual ErrorNumber create(const std::string& name) = 0;
+
+    /// May write only the first part of the bytes; `written` says how many.
+    virtual ErrorNumber append(const std::string& name, std::string_view bytes, std::size_t& written) = 0;
+
+    /// Makes the contents of an open file durable.
+    virtual ErrorNumber sync(const std::string& name) = 0;
+
+    /// Does nothing if the file is not open.
     virtual void close(const std::string& name) = 0;
-    virtual int rename(const std::string& from, const std::string& to) = 0;
-    virtual int remove(const std::string& name) = 0;
-    virtual int sync_directory() = 0;
+
+    /// An open file stays open under its new name.
+    virtual ErrorNumber rename(const std::string& from, const std::string& to) = 0;
+
+    virtual ErrorNumber remove(const std::string& name) = 0;
+
+    /// Makes created, renamed and removed names durable.
+    virtual ErrorNumber sync_directory() = 0;
 };
 
 }  // namespace cressledge::store
--- /dev/null
+++ b/src/store/generation_file.hpp
@@ -0,0 +1,27 @@
+// The names of a store's files: KIND-GENERATION, the generation in 16 hexadecimal digits.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+
+namespace cressledge::store {
+
+enum class FileKind : std::uint8_t {
+    snapshot,
+    log,
+    /// A snapshot that is still being written.
+    unfinished_snapshot
+};
+
+struct GenerationFile {
+    FileKind kind = FileKind::snapshot;
+    std::uint64_t generation = 0;
+};
+
+std::string file_name(FileKind kind, std::uint64_t generation);
+
+/// Nothing if the name is not one of a store's file.
+std::optional<GenerationFile> parse_file_name(const std::string& name);
+
+}  // namespace cressledge::store
--- a/src/store/posix_file_system.cpp
+++ b/src/store/posix_file_system.cpp
@@ -10,45 +10,53 @@
 #include <cerrno>
 
 namespace cressledge::store {
+namespace {
+
+constexpr mode_t directory_mode = 0750;
+constexpr mode_t file_mode = 0640;
+constexpr std::size_t read_buffer_bytes = 16384;
+
+}  // namespace
 
 PosixFileSystem::~PosixFileSystem() {
     for (const auto& [name, fd] : open_files_)
         ::close(fd);
-    if (lock_descriptor_ >= 0)
+    if (lock_descriptor_ != no_descriptor)
         ::close(lock_descriptor_);
 }
 
-int PosixFileSystem::lock() {
-    if (::mkdir(directory_.c_str(), 0750) != 0 && errno != EEXIST)
+ErrorNumber PosixFileSystem::lock() {
+    if (::mkdir(directory_.c_str(), directory_mode) != 0 && errno != EEXIST)
         return errno;
-    if (lock_descriptor_ < 0)
-        lock_descriptor_ = ::open(path("lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0640);
-    if (lock_descriptor_ < 0)
+    if (lock_descriptor_ == no_descriptor)
+        lock_descriptor_ = ::open(path("lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, file_mode);
+    if (lock_descriptor_ == no_descriptor)
         return errno;
-    // Goes with the process, however that ends.
-    return ::flock(lock_descriptor_, LOCK_EX | LOCK_NB) == 0 ? 0 : errno;
+    // Unlike a file that says who is running, this lock ends with the process, however that ends.
+    return ::flock(lock_descriptor_, LOCK_EX | LOCK_NB) == 0 ? no_error : errno;
 }
 
-int PosixFileSystem::list(std::vector<std::string>& names) {
-    DIR* d = ::opendir(directory_.c_str());
-    if (d == nullptr)
+ErrorNumber PosixFileSystem::list(std::vector<std::string>& names) {
+    DIR* directory = ::opendir(directory_.c_str());
+    if (directory == nullptr)
         return errno;
-    errno = 0;
-    while (const dirent* e = ::readdir(d))
-        names.emplace_back(e->d_name);
-    const int error = errno;
-    ::closedir(d);
+    // readdir() returns null at the end and on an error alike.
+    errno = no_error;
+    while (const dirent* entry = ::readdir(directory))
+        names.emplace_back(entry->d_name);
+    const ErrorNumber error = errno;
+    ::closedir(directory);
     return error;
 }
 
-int PosixFileSystem::read(const std::string& name, std::size_t max_bytes, std::string& contents) {
+ErrorNumber PosixFileSystem::read(const std::string& name, std::size_t max_bytes, std::string& contents) {
     const int fd = ::open(path(name).c_str(), O_RDONLY | O_CLOEXEC);
     if (fd < 0)
         return errno;
     contents.clear();
-    char buffer[16384];
-    int error = 0;
-    while (error == 0) {
+    char buffer[read_buffer_bytes];
+    ErrorNumber error = no_error;
+    while (error == no_error) {
         const ssize_t n = ::read(fd, buffer, sizeof buffer);
         if (n == 0)
             break;
@@ -65,23 +73,23 @@
     return error;
 }
 
-int PosixFileSystem::create(const std::string& name) {
+ErrorNumber PosixFileSystem::create(const std::string& name) {
     close(name);
-    const int fd = ::open(path(name).c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0640);
+    const int fd = ::open(path(name).c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, file_mode);
     if (fd < 0)
         return errno;
     open_files_[name] = fd;
-    return 0;
+    return no_error;
 }
 
-int PosixFileSystem::append(const std::string& name, std::string_view bytes, std::size_t& written) {
+ErrorNumber PosixFileSystem::append(const std::string& name, std::string_view bytes, std::size_t& written) {
     const ssize_t n = ::write(open_files_.at(name), bytes.data(), bytes.size());
     written = n < 0 ? 0 : static_cast<std::size_t>(n);
-    return n < 0 && errno != EINTR ? errno : 0;
+    return n < 0 && errno != EINTR ? errno : no_error;
 }
 
-int PosixFileSystem::sync(const std::string& name) {
-    return ::fdatasync(open_files_.at(name)) == 0 ? 0 : errno;
+ErrorNumber PosixFileSystem::sync(const std::string& name) {
+    return ::fdatasync(open_files_.at(name)) == 0 ? no_error : errno;
 }
 
 void PosixFileSystem::close(const std::string& name) {
@@ -91,25 +99,25 @@
     }
 }
 
-int PosixFileSystem::rename(const std::string& from, const std::string& to) {
+ErrorNumber PosixFileSystem::rename(const std::string& from, const std::string& to) {
     if (::rename(path(from).c_str(), path(to).c_str()) != 0)
         return errno;
     if (auto node = open_files_.extract(from); !node.empty()) {
         node.key() = to;
         open_files_.insert(std::move(node));
     }
-    return 0;
+    return no_error;
 }
 
-int PosixFileSystem::remove(const std::string& name) {
-    return ::unlink(path(name).c_str()) == 0 ? 0 : errno;
+ErrorNumber PosixFileSystem::remove(const std::string& name) {
+    return ::unlink(path(name).c_str()) == 0 ? no_error : errno;
 }
 
-int PosixFileSystem::sync_directory() {
+ErrorNumber PosixFileSystem::sync_directory() {
     const int fd = ::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (fd < 0)
         return errno;
-    const int error = ::fsync(fd) == 0 ? 0 : errno;
+    const ErrorNumber error = ::fsync(fd) == 0 ? no_error : errno;
     ::close(fd);
     return error;
 }
--- a/src/store/posix_file_system.hpp
+++ b/src/store/posix_file_system.hpp
@@ -1,13 +1,15 @@
-// The system calls themselves, in a folder that is there or can be made. Blocking: never on the event loop.
+// The system calls themselves, in a directory that exists or can be made. Blocking: never on the event loop.
 #pragma once
 
 #include <map>
 #include <string>
+#include <utility>
 
 #include "store/file_system.hpp"
 
 namespace cressledge::store {
 
+/// Closes its files and gives up the lock on destruction.
 class PosixFileSystem final : public FileSystem {
 public:
     explicit PosixFileSystem(std::string directory) : directory_(std::move(directory)) {}
@@ -15,22 +17,26 @@
     PosixFileSystem(const PosixFileSystem&) = delete;
     PosixFileSystem& operator=(const PosixFileSystem&) = delete;
 
-    int lock() override;
-    int list(std::vector<std::string>& names) override;
-    int read(const std::string& name, std::size_t max_bytes, std::string& contents) override;
-    int create(const std::string& name) override;
-    int append(const std::string& name, std::string_view bytes, std::size_t& written) override;
-    int sync(const std::string& name) override;
+    ErrorNumber lock() override;
+    ErrorNumber list(std::vector<std::string>& names) override;
+    ErrorNumber read(const std::string& name, std::size_t max_bytes, std::string& contents) override;
+    ErrorNumber create(const std::string& name) override;
+    ErrorNumber append(const std::string& name, std::string_view bytes, std::size_t& written) override;
+    ErrorNumber sync(const std::string& name) override;
     void close(const std::string& name) override;
-    int rename(const std::string& from, const std::string& to) override;
-    int remove(const std::string& name) override;
-    int sync_directory() override;
+    ErrorNumber rename(const std::string& from, const std::string& to) override;
+    ErrorNumber remove(const std::string& name) override;
+    ErrorNumber sync_directory() override;
 
 private:
     std::string path(const std::string& name) const { return directory_ + '/' + name; }
+
+    static constexpr int no_descriptor = -1;
+
     const std::string directory_;
+    /// Descriptors of created files that are not closed yet, by name.
     std::map<std::string, int> open_files_;
-    int lock_descriptor_ = -1;
+    int lock_descriptor_ = no_descriptor;
 };
 
 }  // namespace cressledge::store
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -2,188 +2,206 @@
 
 #include <algorithm>
 #include <cerrno>
-#include <charconv>
-#include <cstdio>
 #include <cstring>
+#include <utility>
+
+#include "store/generation_file.hpp"
 
 namespace cressledge::store {
 namespace {
 
+/// Compressed bytes may be more than uncompressed ones, and a log grows beyond its limit by one record.
 constexpr std::size_t max_file_bytes = 2 * max_uncompressed_bytes;
 
-bool parse_generation(const std::string& name, std::string_view prefix, std::uint64_t& to) {
-    if (name.size() != prefix.size() + 16 || name.compare(0, prefix.size(), prefix) != 0)
-        return false;
-    const char* end = name.data() + name.size();
-    const auto [stop, bad] = std::from_chars(name.data() + prefix.size(), end, to, 16);
-    return bad == std::errc() && stop == end;
-}
-
 }  // namespace
 
-std::string Store::file_name(const char* kind, std::uint64_t generation) {
-    char text[40];
-    std::snprintf(text, sizeof text, "%s-%016llx", kind, static_cast<unsigned long long>(generation));
-    return text;
-}
-
-int Store::open() {
-    if (const int bad = files_.lock(); bad != 0)
-        return bad;
+ErrorNumber Store::open() {
+    if (const ErrorNumber error = files_.lock(); error != no_error)
+        return error;
     return recover();
 }
-int Store::open_read_only() {
+
+ErrorNumber Store::open_read_only() {
     return recover();
 }
 
-int Store::recover() {
+// ---- recovery ----
+
+ErrorNumber Store::recover() {
     std::vector<std::string> names;
-    if (const int bad = files_.list(names); bad != 0)
-        return bad;
-    std::vector<std::uint64_t> snapshots;
-    for (const std::string& n : names) {
-        std::uint64_t g = 0;
-        if (parse_generation(n, "snap-", g))
-            snapshots.push_back(g);
-        if (parse_generation(n, "snap-", g) || parse_generation(n, "log-", g) ||
-            parse_generation(n, "new-", g))
-            newest_generation_ = std::max(newest_generation_, g);
-    }
-    std::sort(snapshots.rbegin(), snapshots.rend());
-    for (const std::uint64_t g : snapshots) {
-        std::string bytes, why;
-        Snapshot s;
-        const int bad = files_.read(file_name("snap", g), max_file_bytes, bytes);
-        if (bad != 0)
-            why = std::strerror(bad);
-        if (bad != 0 || !decode_snapshot(bytes, s, why) ||
-            (s.generation != g && !(why = "another's name").empty())) {
-            skipped_files_.push_back(file_name("snap", g) + ": " + why);
-            continue;
-        }
-        if (files_.read(file_name("log", g), max_file_bytes, bytes) == 0) {
-            const LogReplay read = replay_log(bytes, s);
-            replayed_records_ = read.replayed_records;
-            if (!read.is_complete)
-                skipped_files_.push_back(file_name("log", g) + ": " + read.error);
-        }
-        snapshot_ = std::move(s);
-        break;
-    }
-    return 0;
+    if (const ErrorNumber error = files_.list(names); error != no_error)
+        return error;
+    for (const std::string& name : names)
+        if (const auto file = parse_file_name(name))
+            newest_generation_ = std::max(newest_generation_, file->generation);
+    for (const std::uint64_t generation : snapshot_generations(names))
+        if (load_generation(generation))
+            break;
+    return no_error;
 }
 
-int Store::write_all(const std::string& file, std::string_view bytes) {
-    while (!bytes.empty()) {
-        std::size_t n = 0;
-        if (const int bad = files_.append(file, bytes, n); bad != 0)
-            return bad;
-        bytes.remove_prefix(n);
-        bytes_written_ += n;
+std::vector<std::uint64_t> Store::snapshot_generations(const std::vector<std::string>& names) {
+    std::vector<std::uint64_t> generations;
+    for (const std::string& name : names) {
+        const auto file = parse_file_name(name);
+        if (file && file->kind == FileKind::snapshot)
+            generations.push_back(file->generation);
     }
-    return 0;
+    std::sort(generations.rbegin(), generations.rend());
+    return generations;
 }
 
-int Store::start_generation(Entries entries) {
-    Snapshot s;
-    s.generation = newest_generation_ + 1;
-    s.entries = std::move(entries);
-    const std::string bytes = encode_snapshot(s);
-    if (bytes.empty())
-        return EFBIG;
-    newest_generation_ = s.generation;  // a name is never used twice, whatever became of it
-    const std::string fresh = file_name("new", s.generation), last = file_name("snap", s.generation);
-    int bad = files_.create(fresh);
-    if (bad == 0)
-        bad = write_all(fresh, bytes);
-    if (bad == 0)
-        bad = files_.sync(fresh);
-    files_.close(fresh);
-    if (bad == 0)
-        bad = files_.rename(fresh, last);
-    if (bad == 0)
-        bad = files_.sync_directory();
-    if (bad != 0) {
-        // Guards against a generation whose failure was told and that a later start would still find: what is in
-        // force then must not be newer than what the caller believes for long, so the next commit writes anew.
-        files_.remove(fresh);
-        return bad;
+bool Store::load_generation(std::uint64_t generation) {
+    const std::string name = file_name(FileKind::snapshot, generation);
+    std::string bytes;
+    if (const ErrorNumber error = files_.read(name, max_file_bytes, bytes); error != no_error) {
+        skipped_files_.push_back(name + ": " + std::strerror(error));
+        return false;
     }
-    snapshot_ = std::move(s);
-    remove_old_files();
-    return 0;
+    Snapshot snapshot;
+    std::optional<FormatError> format_error = decode_snapshot(bytes, snapshot);
+    if (!format_error && snapshot.generation != generation)
+        format_error = FormatError::wrong_generation;
+    if (format_error) {
+        skipped_files_.push_back(name + ": " + to_string(*format_error));
+        return false;
+    }
+    replay_log_of(snapshot);
+    snapshot_ = std::move(snapshot);
+    return true;
 }
 
-// Older generations, and what a crash has left. Failures cost room, not safety.
-void Store::remove_old_files() {
-    std::vector<std::string> names;
-    if (files_.list(names) != 0)
+void Store::replay_log_of(Snapshot& snapshot) {
+    const std::string name = file_name(FileKind::log, snapshot.generation);
+    std::string bytes;
+    if (files_.read(name, max_file_bytes, bytes) != no_error)
         return;
-    std::vector<std::uint64_t> snapshots;
-    std::uint64_t g = 0;
-    for (const std::string& n : names)
-        if (parse_generation(n, "snap-", g))
-            snapshots.push_back(g);
-    std::sort(snapshots.rbegin(), snapshots.rend());
-    const std::uint64_t oldest =
-        snapshots.size() > limits_.max_generations ? snapshots[limits_.max_generations - 1] : 0;
-    for (const std::string& n : names) {
-        const bool old = (parse_generation(n, "snap-", g) || parse_generation(n, "log-", g)) && g < oldest;
-        if (old || parse_generation(n, "new-", g))
-            files_.remove(n);
-    }
+    const LogReplay replay = replay_log(bytes, snapshot);
+    replayed_records_ = replay.replayed_records;
+    if (replay.error)
+        skipped_files_.push_back(name + ": " + to_string(*replay.error));
 }
 
-int Store::commit(const Changes& changes) {
+// ---- commits ----
+
+ErrorNumber Store::commit(const Changes& changes) {
     if (changes.empty())
-        return 0;
-    Entries after = snapshot_.entries;
-    for (const auto& [key, value] : changes) {
-        if (value)
-            after[key] = *value;
-        else
-            after.erase(key);
-    }
-    const std::string log = file_name("log", snapshot_.generation);
-    if (!is_log_open_ || log_bytes_ >= limits_.max_log_bytes) {
-        if (is_log_open_)
-            files_.close(log);
-        is_log_open_ = false;
-        if (const int bad = start_generation(std::move(after)); bad != 0)
-            return bad;
-        // Its log. Without one it is whole all the same, and the next commit makes a new generation.
-        const std::string fresh = file_name("log", snapshot_.generation);
-        const std::string head = encode_log_header(snapshot_.generation, snapshot_.checksum, log_position_);
-        if (files_.create(fresh) == 0) {
-            is_log_open_ =
-                write_all(fresh, head) == 0 && files_.sync(fresh) == 0 && files_.sync_directory() == 0;
-            if (!is_log_open_)
-                files_.close(fresh);
-        }
-        log_bytes_ = head.size();
-        return 0;
-    }
-    const std::string record = encode_log_record(changes, log_position_);
-    if (record.empty())
+        return no_error;
+    Entries entries = snapshot_.entries;
+    apply_changes(changes, entries);
+    if (!is_log_open_ || log_bytes_ >= limits_.max_log_bytes)
+        return commit_as_generation(std::move(entries));
+    return commit_as_record(changes, std::move(entries));
+}
+
+ErrorNumber Store::reset() {
+    Changes changes;
+    for (const auto& [key, value] : snapshot_.entries)
+        changes[key] = std::nullopt;
+    return commit(changes);
+}
+
+ErrorNumber Store::commit_as_generation(Entries entries) {
+    if (is_log_open_)
+        files_.close(file_name(FileKind::log, snapshot_.generation));
+    is_log_open_ = false;
+    if (const ErrorNumber error = start_generation(std::move(entries)); error != no_error)
+        return error;
+    start_log();
+    return no_error;
+}
+
+ErrorNumber Store::commit_as_record(const Changes& changes, Entries entries) {
+    const std::optional<std::string> record = encode_log_record(changes, log_position_);
+    if (!record)
         return EFBIG;
-    int bad = write_all(log, record);
-    if (bad == 0)
-        bad = files_.sync(log);
-    if (bad != 0) {
+    const std::string log = file_name(FileKind::log, snapshot_.generation);
+    ErrorNumber error = write_all(log, *record);
+    if (error == no_error)
+        error = files_.sync(log);
+    if (error != no_error) {
         files_.close(log);
         is_log_open_ = false;
-        return bad;
+        return error;
     }
-    log_bytes_ += record.size();
-    snapshot_.entries = std::move(after);
-    return 0;
+    log_bytes_ += record->size();
+    snapshot_.entries = std::move(entries);
+    return no_error;
 }
 
-int Store::reset() {
-    Changes all;
-    for (const auto& [key, value] : snapshot_.entries)
-        all[key] = std::nullopt;
-    return commit(all);
+ErrorNumber Store::start_generation(Entries entries) {
+    Snapshot snapshot;
+    snapshot.generation = newest_generation_ + 1;
+    snapshot.entries = std::move(entries);
+    const std::optional<std::string> bytes = encode_snapshot(snapshot);
+    if (!bytes)
+        return EFBIG;
+    // A name is never used twice, whatever became of its file.
+    newest_generation_ = snapshot.generation;
+    if (const ErrorNumber error = write_snapshot(snapshot.generation, *bytes); error != no_error)
+        return error;
+    snapshot_ = std::move(snapshot);
+    remove_old_files();
+    return no_error;
+}
+
+ErrorNumber Store::write_snapshot(std::uint64_t generation, std::string_view bytes) {
+    const std::string unfinished = file_name(FileKind::unfinished_snapshot, generation);
+    ErrorNumber error = files_.create(unfinished);
+    if (error == no_error)
+        error = write_all(unfinished, bytes);
+    if (error == no_error)
+        error = files_.sync(unfinished);
+    files_.close(unfinished);
+    if (error == no_error)
+        error = files_.rename(unfinished, file_name(FileKind::snapshot, generation));
+    if (error == no_error)
+        error = files_.sync_directory();
+    // Guards against a generation whose failure was reported and that a later start would still find. If it
+    // was renamed already it may be found all the same, but not for long: the next commit writes a newer one.
+    if (error != no_error)
+        files_.remove(unfinished);
+    return error;
+}
+
+void Store::start_log() {
+    const std::string name = file_name(FileKind::log, snapshot_.generation);
+    const std::string header = encode_log_header(snapshot_.generation, snapshot_.checksum, log_position_);
+    log_bytes_ = header.size();
+    if (files_.create(name) != no_error)
+        return;
+    is_log_open_ = write_all(name, header) == no_error && files_.sync(name) == no_error &&
+                   files_.sync_directory() == no_error;
+    if (!is_log_open_)
+        files_.close(name);
+}
+
+ErrorNumber Store::write_all(const std::string& name, std::string_view bytes) {
+    while (!bytes.empty()) {
+        std::size_t written = 0;
+        if (const ErrorNumber error = files_.append(name, bytes, written); error != no_error)
+            return error;
+        bytes.remove_prefix(written);
+        bytes_written_ += written;
+    }
+    return no_error;
+}
+
+void Store::remove_old_files() {
+    std::vector<std::string> names;
+    if (files_.list(names) != no_error)
+        return;
+    const std::vector<std::uint64_t> generations = snapshot_generations(names);
+    std::uint64_t oldest_kept = 0;
+    if (generations.size() > limits_.max_generations)
+        oldest_kept = generations[limits_.max_generations - 1];
+    for (const std::string& name : names) {
+        const auto file = parse_file_name(name);
+        if (!file)
+            continue;
+        if (file->kind == FileKind::unfinished_snapshot || file->generation < oldest_kept)
+            files_.remove(name);
+    }
 }
 
 }  // namespace cressledge::store
--- a/tests/cressledge/in_memory_file_system.hpp
+++ b/tests/cressledge/in_memory_file_system.hpp
@@ -1,148 +1,200 @@
-// A folder in memory that fails on demand and crashes as a disk does: what was not synced may be lost, torn or there in
-// any order of its blocks, and a rename or removal lasts once the folder is synced, or by chance.
+// A directory in memory that fails on demand and crashes as a disk does: what was not synced may be lost,
+// torn, or there in any order of its blocks, and a rename or removal lasts once the directory is synced, or
+// by chance.
 #pragma once
 
+#include <algorithm>
 #include <cerrno>
+#include <cstddef>
 #include <map>
 #include <memory>
 #include <random>
 #include <set>
+#include <string>
+#include <string_view>
+#include <vector>
 
 #include "store/file_system.hpp"
 
 namespace cressledge::testing {
 
-class InMemoryFileSystem final : public cressledge::store::FileSystem {
+class InMemoryFileSystem final : public store::FileSystem {
 public:
-    struct Killed {};  // thrown in the place of a call: the process ends there
-    int call_count = 0;  // so far
-    int kill_at_call = 0, fail_at_call = 0, error = 0;  // the call of that number; 0: none
+    using ErrorNumber = store::ErrorNumber;
+
+    /// Thrown in place of a call: the process ends there.
+    struct Killed {};
+
+    /// Calls so far, the failed ones included.
+    int call_count = 0;
+    /// The number of the call that throws Killed; 0: none.
+    int kill_at_call = 0;
+    /// The number of the call that returns `error`; 0: none.
+    int fail_at_call = 0;
+    ErrorNumber error = store::no_error;
+    /// Whether append() writes half of what it is given.
     bool writes_are_short = false;
 
-    int lock() override { return count_call(); }
-    int list(std::vector<std::string>& to) override {
-        if (const int bad = count_call(); bad != 0)
-            return bad;
-        for (const auto& [name, inode] : names_)
-            to.push_back(name);
-        return 0;
+    ErrorNumber lock() override { return count_call(); }
+
+    ErrorNumber list(std::vector<std::string>& names) override {
+        if (const ErrorNumber failure = count_call(); failure != store::no_error)
+            return failure;
+        for (const auto& [name, inode] : inodes_)
+            names.push_back(name);
+        return store::no_error;
     }
-    int read(const std::string& name, std::size_t max_bytes, std::string& contents) override {
-        if (const int bad = count_call(); bad != 0)
-            return bad;
-        const auto it = names_.find(name);
-        if (it == names_.end())
+
+    ErrorNumber read(const std::string& name, std::size_t max_bytes, std::string& contents) override {
+        if (const ErrorNumber failure = count_call(); failure != store::no_error)
+            return failure;
+        const auto found = inodes_.find(name);
+        if (found == inodes_.end())
             return ENOENT;
-        contents = it->second->contents;
-        return contents.size() > max_bytes ? EFBIG : 0;
+        contents = found->second->contents;
+        return contents.size() > max_bytes ? EFBIG : store::no_error;
     }
-    int create(const std::string& name) override {
-        if (const int bad = count_call(); bad != 0)
-            return bad;
-        names_[name] = std::make_shared<Inode>();
-        unsynced_entries_.push_back({name, names_[name]});
-        return 0;
+
+    ErrorNumber create(const std::string& name) override {
+        if (const ErrorNumber failure = count_call(); failure != store::no_error)
+            return failure;
+        inodes_[name] = std::make_shared<Inode>();
+        unsynced_changes_.push_back({name, inodes_[name]});
+        return store::no_error;
     }
-    int append(const std::string& name, std::string_view bytes, std::size_t& written) override {
+
+    ErrorNumber append(const std::string& name, std::string_view bytes, std::size_t& written) override {
         written = 0;
-        const int bad = count_call();
-        if (bad == 0 && writes_are_short)
+        const ErrorNumber failure = count_call();
+        if (failure == store::no_error && writes_are_short)
             bytes = bytes.substr(0, (bytes.size() + 1) / 2);
-        if (bad != 0)
-            bytes = bytes.substr(0, bytes.size() / 3);  // some of it may be there all the same
-        names_.at(name)->contents.append(bytes);
-        if (bad == 0)
+        // Some of the bytes of a failed call may be there all the same.
+        if (failure != store::no_error)
+            bytes = bytes.substr(0, bytes.size() / 3);
+        inodes_.at(name)->contents.append(bytes);
+        if (failure == store::no_error)
             written = bytes.size();
-        return bad;
+        return failure;
     }
-    int sync(const std::string& name) override {
-        if (const int bad = count_call(); bad != 0)
-            return bad;
-        names_.at(name)->durable_contents = names_.at(name)->contents;
-        return 0;
+
+    ErrorNumber sync(const std::string& name) override {
+        if (const ErrorNumber failure = count_call(); failure != store::no_error)
+            return failure;
+        inodes_.at(name)->durable_contents = inodes_.at(name)->contents;
+        return store::no_error;
     }
+
     void close(const std::string&) override {}
-    int rename(const std::string& from, const std::string& to) override {
-        if (const int bad = count_call(); bad != 0)
-            return bad;
-        names_[to] = names_.at(from);
-        names_.erase(from);
-        unsynced_entries_.push_back({to, names_[to]});
-        unsynced_entries_.push_back({from, nullptr});
-        return 0;
+
+    ErrorNumber rename(const std::string& from, const std::string& to) override {
+        if (const ErrorNumber failure = count_call(); failure != store::no_error)
+            return failure;
+        inodes_[to] = inodes_.at(from);
+        inodes_.erase(from);
+        unsynced_changes_.push_back({to, inodes_[to]});
+        unsynced_changes_.push_back({from, nullptr});
+        return store::no_error;
     }
-    int remove(const std::string& name) override {
-        if (const int bad = count_call(); bad != 0)
-            return bad;
-        if (names_.erase(name) == 0)
+
+    ErrorNumber remove(const std::string& name) override {
+        if (const ErrorNumber failure = count_call(); failure != store::no_error)
+            return failure;
+        if (inodes_.erase(name) == 0)
             return ENOENT;
-        unsynced_entries_.push_back({name, nullptr});
-        return 0;
+        unsynced_changes_.push_back({name, nullptr});
+        return store::no_error;
     }
-    int sync_directory() override {
-        if (const int bad = count_call(); bad != 0)
-            return bad;
-        unsynced_entries_.clear();
-        durable_names_ = names_;
-        return 0;
+
+    ErrorNumber sync_directory() override {
+        if (const ErrorNumber failure = count_call(); failure != store::no_error)
+            return failure;
+        unsynced_changes_.clear();
+        durable_inodes_ = inodes_;
+        return store::no_error;
     }
-    // The power goes and comes back. `lose`: as a disk may; otherwise only the process has ended.
+
+    /// Ends the process and starts another. With `lose_power` the disk keeps only what it must, and by chance
+    /// more.
     void crash(std::mt19937& random, bool lose_power) {
-        call_count = kill_at_call = fail_at_call = 0;
+        call_count = 0;
+        kill_at_call = 0;
+        fail_at_call = 0;
         if (!lose_power)
             return;
-        names_ = durable_names_;
-        // Entries of the folder last in their order, up to some point.
-        const std::size_t lasting = random() % (unsynced_entries_.size() + 1);
-        for (std::size_t i = 0; i < lasting; ++i) {
-            if (unsynced_entries_[i].inode != nullptr)
-                names_[unsynced_entries_[i].name] = unsynced_entries_[i].inode;
-            else
-                names_.erase(unsynced_entries_[i].name);
-        }
-        unsynced_entries_.clear();
-        durable_names_ = names_;
+        lose_directory_changes(random);
         std::set<Inode*> seen;
-        for (auto& [name, inode] : names_) {
-            if (!seen.insert(inode.get()).second)
-                continue;
-            std::string after = inode->durable_contents;
-            const std::string& written = inode->contents;
-            if (written.size() > after.size()) {
-                after.resize(after.size() + random() % (written.size() - after.size() + 1), '\0');
-                constexpr std::size_t block = 64;
-                for (std::size_t at = inode->durable_contents.size(); at < after.size(); at += block)
-                    if (random() % 2 ==
-                        0)  // this block had reached the disk, whatever became of those before
-                        after.replace(at, std::min(block, after.size() - at), written, at,
-                                      std::min(block, after.size() - at));
-            }
-            inode->contents = inode->durable_contents = after;
-        }
+        for (auto& [name, inode] : inodes_)
+            if (seen.insert(inode.get()).second)
+                lose_contents(*inode, random);
     }
-    std::string& file(const std::string& name) { return names_.at(name)->contents; }
+
+    /// The contents of a file, for tests to look at and to change.
+    std::string& file(const std::string& name) { return inodes_.at(name)->contents; }
+
     std::vector<std::string> names() const {
-        std::vector<std::string> all;
-        for (const auto& [name, inode] : names_)
-            all.push_back(name);
-        return all;
+        std::vector<std::string> names;
+        for (const auto& [name, inode] : inodes_)
+            names.push_back(name);
+        return names;
     }
 
 private:
     struct Inode {
-        std::string contents, durable_contents;
+        std::string contents;
+        std::string durable_contents;
     };
     struct DirectoryChange {
         std::string name;
-        std::shared_ptr<Inode> inode;  // null: removed
+        /// Null: the name was removed.
+        std::shared_ptr<Inode> inode;
     };
-    int count_call() {
-        if (++call_count == kill_at_call)
+    using Inodes = std::map<std::string, std::shared_ptr<Inode>>;
+
+    /// Throws or returns an error if this call is to fail.
+    ErrorNumber count_call() {
+        ++call_count;
+        if (call_count == kill_at_call)
             throw Killed{};
-        return call_count == fail_at_call ? error : 0;
+        return call_count == fail_at_call ? error : store::no_error;
+    }
+
+    /// Keeps the changes of the directory in their order, up to some point.
+    void lose_directory_changes(std::mt19937& random) {
+        inodes_ = durable_inodes_;
+        const std::size_t kept_changes = random() % (unsynced_changes_.size() + 1);
+        for (std::size_t i = 0; i < kept_changes; ++i) {
+            const DirectoryChange& change = unsynced_changes_[i];
+            if (change.inode != nullptr)
+                inodes_[change.name] = change.inode;
+            else
+                inodes_.erase(change.name);
+        }
+        unsynced_changes_.clear();
+        durable_inodes_ = inodes_;
     }
-    std::map<std::string, std::shared_ptr<Inode>> names_, durable_names_;
-    std::vector<DirectoryChange> unsynced_entries_;
+
+    /// Keeps a part of the length of what was not synced, and of that any blocks; the others are zeros.
+    static void lose_contents(Inode& inode, std::mt19937& random) {
+        constexpr std::size_t block_bytes = 64;
+        std::string after = inode.durable_contents;
+        const std::string& written = inode.contents;
+        if (written.size() > after.size()) {
+            const std::size_t unsynced_bytes = written.size() - after.size();
+            after.resize(after.size() + random() % (unsynced_bytes + 1), '\0');
+            for (std::size_t at = inode.durable_contents.size(); at < after.size(); at += block_bytes) {
+                const std::size_t size = std::min(block_bytes, after.size() - at);
+                const bool is_block_kept = random() % 2 == 0;
+                if (is_block_kept)
+                    after.replace(at, size, written, at, size);
+            }
+        }
+        inode.contents = after;
+        inode.durable_contents = after;
+    }
+
+    Inodes inodes_;
+    Inodes durable_inodes_;
+    std::vector<DirectoryChange> unsynced_changes_;
 };
 
 }  // namespace cressledge::testing
--- /dev/null
+++ b/tests/cressledge/network_group_table_test.cpp
@@ -0,0 +1,53 @@
+#include "connection_admission/network_group_table.hpp"
+
+#include <string>
+
+#include "connection_limiter_fixture.hpp"
+#include "support.hpp"
+
+namespace {
+
+using namespace cressledge::testing;
+using namespace cressledge::connection_admission;
+
+TEST_CASE("network group table: the longest prefix wins, and an IPv4 address equals its mapped form") {
+    NetworkGroupTable networks;
+    std::string error;
+    const auto add = [&](const char* text, GroupIndex group_index) {
+        const auto network = parse_network(text, error);
+        return network && networks.add(*network, group_index, error);
+    };
+    REQUIRE(add("10.0.0.0/8", 1));
+    // An exception to group 1.
+    REQUIRE(add("10.1.2.0/24", 2));
+    REQUIRE(add("2001:db8::/32", 1));
+    REQUIRE(add("::/0", 3));
+    CHECK(networks.longest_match(parse_address("10.9.9.9")).group_index == 1);
+    CHECK(networks.longest_match(parse_address("10.1.2.3")).group_index == 2);
+    CHECK(networks.longest_match(parse_address("::ffff:10.1.2.3")).group_index == 2);
+    CHECK(networks.longest_match(parse_address("2001:db8::1")).group_index == 1);
+    CHECK(networks.longest_match(parse_address("2002::1")).group_index == 3);
+    // No IPv6 network contains IPv4.
+    CHECK(networks.longest_match(parse_address("192.0.2.1")).group_index == 0);
+    struct InvalidNetwork {
+        const char* text;
+        const char* expected_error;
+    };
+    const InvalidNetwork invalid_networks[] = {
+        {"10.0.0.0/8", "a duplicate: 10.0.0.0/8"},
+        {"::ffff:10.0.0.0/104", "a duplicate: 10.0.0.0/8"},
+        {"10.7.0.0/16", "overlaps one of its group: 10.7.0.0/16 and 10.0.0.0/8"},
+        {"10.0.0.1/8", "bits set beyond its prefix: 10.0.0.1/8"},
+        {"10.0.0.0/33", "not a network: 10.0.0.0/33"},
+        {"tiles.example.org", "not a network: tiles.example.org"},
+        {"", "not a network: "},
+    };
+    for (const auto& [text, expected_error] : invalid_networks) {
+        CHECK_FALSE(add(text, 1));
+        CHECK(error == expected_error);
+    }
+    CHECK(parse_address("::ffff:10.1.2.3").to_string() == "10.1.2.3");
+    CHECK(Network{parse_address("10.1.2.0"), 120}.to_string() == "10.1.2.0/24");
+}
+
+}  // namespace
