--- a/src/command/roll.cpp
+++ b/src/command/roll.cpp
@@ -23,7 +23,7 @@
         const std::string temporary_path = report_path + ".new";
         std::ofstream(temporary_path) << controller.report().dump(1) << '\n';
         if (std::rename(temporary_path.c_str(), report_path.c_str()) != 0)
-            throw config::ConfigError(report_path + ": cannot be written");
+            throw config::ConfigError({report_path, 0, {}}, "cannot be written");
     }
     return static_cast<int>(end);
 }
--- /dev/null
+++ b/src/command/serve.cpp
@@ -0,0 +1,47 @@
+#include "command/serve.hpp"
+
+#include <csignal>
+#include <cstdlib>
+#include <optional>
+#include <random>
+
+#include "command/exit_status.hpp"
+#include "config/node.hpp"
+#include "config/operator.hpp"
+#include "net/loop.hpp"
+#include "net/stream.hpp"
+#include "platform/platform_node.hpp"
+#include "upstream/gateway.hpp"
+
+namespace cressledge::command {
+
+int serve_node(const std::string& path) {
+    base::TimerQueue timers;
+    net::Loop loop(timers);
+    std::optional<platform::PlatformNode> node;
+    // Handled before the file is read: a signal that comes meanwhile has it read once more, and ends nothing.
+    loop.on_signal(SIGHUP, [&] { node->reload(path); });
+    config::NodeConfig settings = config::load_node_config(path);
+    settings.descriptors_at_start = net::count_open_descriptors();
+    settings.inherited_listener_fd = net::inherited_listening_socket("NODE_ACCEPT_FD");
+    if (const char* address = std::getenv("NODE_CONTROL"); address != nullptr && *address != '\0')
+        settings.admin_address = address;
+    node.emplace(loop, timers, settings);
+    node->start();
+    loop.run();
+    return exit_success;
+}
+
+int serve_gateway(const std::string& path) {
+    config::OperatorConfig settings = config::load_operator_config(path);
+    settings.inherited_sockets = config::inherited_sockets();
+    base::TimerQueue timers;
+    net::Loop loop(timers);
+    upstream::UpstreamGateway gateway(loop, timers, loop, settings, std::random_device()());
+    gateway.start();
+    loop.run();
+    gateway.save_learned_state();
+    return exit_success;
+}
+
+}  // namespace cressledge::command
