--- a/src/admin/admin_connection.hpp
+++ b/src/admin/admin_connection.hpp
@@ -19,6 +19,7 @@
 
 namespace cressledge::admin {
 
+/// A connection with its one request and reply.
 class AdminConnection final : public net::Stream::Owner {
 public:
     /// Who keeps the connections.
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -23,8 +23,10 @@
 
 namespace cressledge::admin {
 
+/// The listener of the admin address.
 class AdminServer final : private AdminConnection::Handler {
 public:
+    /// Open at a time.
     static constexpr std::size_t max_connections = 32;
 
     /// Throws std::runtime_error when the address cannot be listened on.
@@ -35,6 +37,7 @@
     AdminServer(const AdminServer&) = delete;
     AdminServer& operator=(const AdminServer&) = delete;
 
+    /// The port that is listened on, also where the address left it to the system.
     int port() const { return listener_.port(); }
     /// Requests that were answered with what they asked for.
     std::uint64_t answered_count() const { return answered_count_; }
--- a/src/admin/admin_source.hpp
+++ b/src/admin/admin_source.hpp
@@ -8,6 +8,7 @@
 
 namespace cressledge::admin {
 
+/// The process behind an admin address.
 class AdminSource {
 public:
     virtual ~AdminSource() = default;
@@ -18,6 +19,7 @@
     /// The membership table as JSON, without its members where `brief`. None: the process keeps no such table.
     virtual std::optional<std::string> membership_json(bool /*brief*/) { return std::nullopt; }
 
+    /// The reply to a request of the source's own.
     struct Reply {
         /// Code and reason, such as "200 OK".
         const char* status;
--- a/src/config/inventory_builder.hpp
+++ b/src/config/inventory_builder.hpp
@@ -18,6 +18,7 @@
 /// Fields of a server by their names in the file.
 using InventoryFields = std::map<std::string, std::string>;
 
+/// The inventory of one file while it is read.
 class InventoryBuilder {
 public:
     explicit InventoryBuilder(std::string path) : path_(std::move(path)) {}
@@ -35,6 +36,7 @@
                 errors_.push_back(error);
         }
     }
+    /// Whether a row was bad.
     bool has_errors() const { return !errors_.empty(); }
 
     /// Adds a server with the fields of its row. `group` is not among them in YAML. Throws ConfigError.
--- a/src/config/inventory_diff.hpp
+++ b/src/config/inventory_diff.hpp
@@ -9,7 +9,7 @@
 
 namespace cressledge::config {
 
-/// Names of servers.
+/// Names of the servers that differ, by how.
 struct InventoryDiff {
     std::vector<std::string> added, removed, changed;
 
@@ -18,6 +18,7 @@
     std::string summary(std::size_t max_names) const;
 };
 
+/// Compares by name; a server with any other field is changed.
 InventoryDiff diff_inventories(const std::vector<Upstream>& before, const std::vector<Upstream>& after);
 
 /// Whether more than a fraction of the servers has been removed.
--- a/src/config/node.hpp
+++ b/src/config/node.hpp
@@ -13,6 +13,7 @@
 
 namespace cressledge::config {
 
+/// What NODE_CONFIG says, with its defaults, and what the process adds to it at its start.
 struct NodeConfig {
     std::string name, listen_address, engine_address, directory_address;
     /// Empty: requests call no dependency.
--- a/src/config/operator.hpp
+++ b/src/config/operator.hpp
@@ -34,6 +34,7 @@
     bool any() const { return scgi >= 0 || http >= 0 || control >= 0; }
 };
 
+/// What one operator's file says, with its defaults.
 struct OperatorConfig {
     using InheritedSockets = config::InheritedSockets;
     using LearnedStateConfig = config::LearnedStateConfig;
--- a/src/config/upstream_server.hpp
+++ b/src/config/upstream_server.hpp
@@ -1,4 +1,4 @@
-/// One server of an inventory.
+/// A server of the operator's inventory, whatever format the file has. Owns nothing but the values.
 #pragma once
 
 #include <algorithm>
@@ -7,6 +7,7 @@
 
 namespace cressledge::config {
 
+/// One server that calls may go to.
 struct Upstream {
     std::string name, address;
     /// "http" or "scgi".
--- a/src/config/yaml_reader.hpp
+++ b/src/config/yaml_reader.hpp
@@ -20,6 +20,7 @@
 /// As a default value of a number: there is none, and the field must be there.
 constexpr double required = std::numeric_limits<double>::quiet_NaN();
 
+/// Reads one file. Where a function takes a default value, it stands for a missing field.
 class YamlReader {
 public:
     explicit YamlReader(std::string path) : path_(std::move(path)) {}
@@ -34,9 +35,12 @@
                             std::initializer_list<const char*> known_keys) const;
     /// A text that is not empty. Without a default the field must be there.
     std::string text(const YAML::Node& map, const char* name, const char* default_value = nullptr) const;
+    /// true or false.
     bool flag(const YAML::Node& map, const char* name, bool default_value) const;
+    /// A number from `min` to `max`.
     double number(const YAML::Node& map, const char* name, double min, double max,
                   double default_value) const;
+    /// A whole number from `min` to `max`.
     std::uint32_t integer(const YAML::Node& map, const char* name, double min, double max,
                           double default_value) const;
     /// A field in milliseconds, up to an hour.
--- a/src/frontend/connection_admitter.hpp
+++ b/src/frontend/connection_admitter.hpp
@@ -16,6 +16,7 @@
 
 class Frontend;
 
+/// Carries out what connection limiter and descriptor budget decide.
 class ConnectionAdmitter {
 public:
     ConnectionAdmitter(base::TimerQueue& timers, request::RequestManager& server,
@@ -27,6 +28,7 @@
 
     /// Returns the listener index by which the connections of `frontend` are known to the limiter.
     std::uint32_t register_frontend(Frontend& frontend);
+    /// From then on nothing is asked of the frontend.
     void unregister_frontend(std::uint32_t listener_index) { frontends_[listener_index] = nullptr; }
 
     /// A descriptor for a new connection. Empty: it has to wait in the backlog, which is looked at again later.
--- a/src/frontend/connection_lifecycle.hpp
+++ b/src/frontend/connection_lifecycle.hpp
@@ -18,8 +18,10 @@
 
 namespace cressledge::frontend {
 
+/// The state of one connection on its way to its end.
 class ConnectionLifecycle {
 public:
+    /// Whether a request may still be read and answered.
     bool accepts_requests() const { return phase_ <= Phase::draining; }
     /// Whether the next response says that the connection is closed after it.
     bool announces_close() const { return phase_ == Phase::draining; }
--- a/src/frontend/frontend.hpp
+++ b/src/frontend/frontend.hpp
@@ -19,8 +19,10 @@
 
 namespace cressledge::frontend {
 
+/// The listener of one protocol. The protocol is that of the sessions it is given.
 class Frontend final : public request::Responder {
 public:
+    /// Makes the session of a new connection.
     using SessionFactory = std::function<std::unique_ptr<Session>(Frontend&)>;
 
     struct Limits {
@@ -55,10 +57,12 @@
     void drain_backlog(bool is_final_attempt);
     /// After start_drain(): closes the connections that have sent nothing, or an incomplete request.
     void close_incomplete_requests();
+    /// Whether no connection is left and none can come.
     bool is_drained() const { return sessions_.size() == 0 && !is_listening_; }
     /// Whether a request is in flight, or a last response may not have been read yet.
     bool has_unfinished_responses();
 
+    /// The port that is listened on, also where the address left it to the system.
     int port() const { return listener_.port(); }
     request::RequestManager& server() { return server_; }
     const ClosedConnectionCounts& closed_connections() const { return closed_connections_; }
--- a/src/frontend/http/http_session.hpp
+++ b/src/frontend/http/http_session.hpp
@@ -12,6 +12,7 @@
 
 namespace cressledge::frontend::http {
 
+/// A connection of an HTTP caller.
 class HttpSession final : public Session {
 public:
     /// Without `defaults` every required field has to be in the request.
--- a/src/frontend/http/request_parser.hpp
+++ b/src/frontend/http/request_parser.hpp
@@ -18,8 +18,10 @@
 
 namespace cressledge::frontend::http {
 
+/// The parser of one connection.
 class RequestParser {
 public:
+    /// Where the current request stands.
     enum class Status { incomplete, complete, malformed, body_too_large };
     struct Result {
         Status status;
@@ -37,6 +39,7 @@
     /// Forgets the current request, except whether its connection is kept alive.
     void reset();
 
+    /// Whether a request has begun.
     bool has_started() const { return message_.stage != Stage::not_started; }
     /// Whether the last complete request lets its connection be kept.
     bool keep_alive() const { return keep_alive_; }
--- a/src/frontend/request_fields.hpp
+++ b/src/frontend/request_fields.hpp
@@ -22,6 +22,7 @@
 
     /// A random id of 16 hexadecimal digits.
     std::string next_request_id();
+    /// Memory of a request in kilobytes.
     double reserved_kb() const { return reserved_kb_; }
 
 private:
@@ -35,6 +36,7 @@
     const char* name;
 };
 
+/// The fields of one request, kept as text until its class is known.
 class RequestFields {
 public:
     /// Keeps a field. `name` is in lower case with dashes; unknown names are ignored.
--- a/src/frontend/scgi/request_parser.hpp
+++ b/src/frontend/scgi/request_parser.hpp
@@ -11,12 +11,15 @@
 
 namespace cressledge::frontend::scgi {
 
+/// The parser of one connection.
 class RequestParser {
 public:
+    /// Where the request stands.
     enum class Status { incomplete, complete, malformed, body_too_large };
 
     /// Reads on, however the request is split. Not to be called after any status but incomplete.
     Status parse(std::string_view bytes);
+    /// Whether a byte has come.
     bool has_started() const { return !buffer_.empty(); }
 
     // Of a complete request:
--- a/src/frontend/scgi/scgi_session.hpp
+++ b/src/frontend/scgi/scgi_session.hpp
@@ -12,6 +12,7 @@
 
 namespace cressledge::frontend::scgi {
 
+/// A connection of an SCGI caller.
 class ScgiSession final : public Session {
 public:
     ScgiSession(Frontend& frontend, FieldDefaults& defaults) : Session(frontend), defaults_(defaults) {}
--- a/src/frontend/session.hpp
+++ b/src/frontend/session.hpp
@@ -29,6 +29,8 @@
 class Session : public net::Stream::Owner {
 public:
     explicit Session(Frontend& frontend) : frontend_(frontend) {}
+
+    // net::Stream::Owner:
     void on_bytes(std::string_view bytes) final;
     bool on_eof() final;
     void on_end(bool connect_failed) final;
@@ -46,12 +48,15 @@
     virtual bool has_partial_request() const = 0;
     /// Whether a request timeout is answered; otherwise the connection is closed without a response.
     virtual bool expects_request() const { return has_partial_request(); }
+    /// The final response. `close`: it says that the connection is closed after it.
     virtual std::string format_response(const request::Response& response, bool close) = 0;
+    /// The response to a health check.
     virtual std::string format_health_response(bool is_healthy, bool close) = 0;
     /// The response to a request that is not complete in time.
     virtual std::string format_timeout_response() = 0;
     /// The response to a request that ends before it is complete. Empty: none.
     virtual std::string format_truncated_response() { return {}; }
+    /// Whether the protocol and the peer let the connection be used for another request.
     virtual bool keep_alive() const = 0;
 
     /// Hands a complete request to the request manager, or rejects it where the connection limiter does.
@@ -86,7 +91,9 @@
     void finish_request(const std::string& bytes, bool close);
     /// Writes a response that the request manager does not know of.
     void respond_directly(const std::string& bytes, bool close);
+    /// Puts the request in flight. Returns false when the connection limiter rejects it.
     bool try_admit_request();
+    /// Whether the response now due is the last one.
     bool should_close_with_response() const;
 
     void start_idle_timer();
--- a/src/frontend/shutdown_coordinator.hpp
+++ b/src/frontend/shutdown_coordinator.hpp
@@ -13,6 +13,7 @@
 
 namespace cressledge::frontend {
 
+/// Takes the frontends of a process through its graceful shutdown.
 class ShutdownCoordinator {
 public:
     /// `stop_delay`: from the notice to the stop of the process.
