--- a/src/platform/engine_client.cpp
+++ b/src/platform/engine_client.cpp
@@ -147,7 +147,8 @@
 }
 
 std::string EngineClient::synchronization_tag() const {
-    return "s" + std::to_string(link_epoch_);
+    // Appended: GCC 12 warns of a literal's copy that overlaps (its bug 105651).
+    return std::string("s").append(std::to_string(link_epoch_));
 }
 
 // A call's reply that was sent just before the break counts as delivered: sent again, it might meet the next call of
