--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -16,7 +16,7 @@
             std::cout.flush();
         }
     } catch (const std::exception& e) {
-        std::cerr << "curlewreel_adapter: " << e.what() << '\n';
+        std::cerr << "cressledge_simulator_adapter: " << e.what() << '\n';
         return 1;
     }
     return 0;
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -51,7 +51,7 @@
 
 void SimulatorAdapter::warn_once(const std::string& warning) {
     if (warnings_.size() < max_warnings && warnings_.insert(warning).second)
-        std::cerr << "curlewreel: " << warning << '\n';
+        std::cerr << "cressledge_simulator_adapter: " << warning << '\n';
 }
 
 void SimulatorAdapter::start_instance(const Message& message) {
