--- a/tools/install_packages.sh
+++ b/tools/install_packages.sh
@@ -22,7 +22,7 @@
 need_file /usr/include/zstd.h libzstd-dev
 need_file /usr/include/pcg_random.hpp libpcg-cpp-dev
 if [ "${1:-}" != build ]; then
-    need_file /usr/src/googletest/googletest/CMakeLists.txt libgtest-dev
+    need_file /usr/include/gtest/gtest.h libgtest-dev
     need_file /usr/include/benchmark/benchmark.h libbenchmark-dev
     need_file /usr/include/catch2/catch.hpp catch2
     need_command clang-format clang-format
