--- a/src/policy/aces_admission_controller.cpp
+++ b/src/policy/aces_admission_controller.cpp
@@ -4,6 +4,7 @@
 #include <numeric>
 
 #include "policy/limiters.hpp"
+#include "policy/load_advertiser.hpp"
 
 namespace cressledge::policy {
 using namespace aces;
@@ -20,9 +21,6 @@
 constexpr double full_utilization = 0.97, free_utilization = 0.75;
 constexpr double storm_factor = 1.5, many_idle_factor = 0.9, rest_factor = 1.01, min_callers_ratio = 2.0;
 constexpr double others_gain = 0.25, min_change = 0.8, max_change = 1.2;
-constexpr double min_rejected_share = 0.05, full_pressure = 1.05, overload_excess = 2.0;
-constexpr double weight_gain = 0.5, min_weight = 0.05, min_advertised = 0.02, overload_level = 0.95;
-constexpr double level_rise = 0.2, level_fall = 0.08, max_pressure_level = 0.4;
 constexpr Duration min_period{50'000}, max_period{2'000'000}, gauge_interval{125'000};
 constexpr Duration probe_interval{200'000}, log_interval{1'000'000}, drain_margin{100'000}, min_pause{20'000};
 constexpr Duration call_retry_delay{60'000}, min_call_timeout{1'000}, min_key_lifetime{1'000};
@@ -616,23 +614,15 @@
         emit(SetIdleTimeout{from_seconds(advertised_idle_)});
     }
     void advertise_load() {
-        const bool unavailable = is_unavailable();
-        const double excess = rejected_share_ > min_rejected_share ? pressure_ - full_pressure : 0.0;
-        if (settings_.load_advertisement == LoadAdvertisement::weight) {
-            const double overload = max(0.0, max(excess, overload_excess * intake_overload()));
-            blend(advertised_weight_, 1.0 / (1.0 + overload), weight_gain);
-            emit(AdvertiseLoad{unavailable ? min_advertised : max(min_weight, advertised_weight_)});
-        } else if (settings_.load_advertisement == LoadAdvertisement::level) {
-            const double rise = level_rise * excess / (1.0 + excess) * (1.0 - advertised_level_);
-            const double level = advertised_level_ + (excess > 0.0 ? rise : -level_fall);
-            advertised_level_ = clamp(level, 0.0, max_pressure_level);
-            emit(AdvertiseLoad{unavailable ? 1.0
-                                           : max(advertised_level_, overload_level * intake_overload())});
-        } else if (settings_.load_advertisement == LoadAdvertisement::credit) {
-            const double answerable = capacity_.quanta_per_second * min_objective_ / max(1e-3, mean_price_);
-            const double credit = answerable / max(1, settings_.caller_count) / max(1.0, pressure_);
-            emit(AdvertiseLoad{unavailable ? min_advertised : max(min_advertised, credit)});
-        }
+        const LoadReading reading{.unavailable = is_unavailable(),
+                                  .pressure = pressure_,
+                                  .rejected_share = rejected_share_,
+                                  .intake_overload = intake_overload(),
+                                  .capacity_quanta_per_second = capacity_.quanta_per_second,
+                                  .min_objective_seconds = min_objective_,
+                                  .mean_price_quanta = mean_price_};
+        if (const std::optional<double> load = load_advertiser_.advertise(reading))
+            emit(AdvertiseLoad{*load});
     }
 
     const Settings settings_;
@@ -647,6 +637,7 @@
     DependencyLimiter dependency_;
     FailureDetector failures_;
     CpuShareEstimator cpu_;
+    LoadAdvertiser load_advertiser_{settings_.load_advertisement, settings_.caller_count};
     std::vector<ClassPrice> prices_;  // by class
     std::vector<TenantQuota> quotas_;  // by tenant
     std::vector<double> expected_calls_ = std::vector<double>(bands_.size(), 0.0);
@@ -665,7 +656,7 @@
     double arrivals_{}, rejections_{}, rejected_share_{}, retry_share_{}, intake_delay_{}, pressure_{};
     double top_arrivals_{}, top_rejections_{}, top_rejected_share_{}, quota_stretch_ = 1.0,
                                                                       in_quota_quanta_{};
-    double mean_price_{}, relative_speed_ = 1.0, advertised_weight_ = 1.0, advertised_level_{};
+    double mean_price_{}, relative_speed_ = 1.0;
     double idle_timeout_ = to_seconds(settings_.idle_timeout), advertised_idle_ = idle_timeout_;  // seconds
     double other_runnable_{}, max_connections_{};
 };
--- /dev/null
+++ b/src/policy/load_advertiser.cpp
@@ -0,0 +1,47 @@
+// The load that this server advertises to its callers. README.md has the reason for each tuned value.
+#include "policy/load_advertiser.hpp"
+
+#include "policy/estimators.hpp"
+
+namespace cressledge::policy::aces {
+namespace {
+
+constexpr double min_rejected_share = 0.05, full_pressure = 1.05, overload_excess = 2.0;
+constexpr double weight_gain = 0.5, min_weight = 0.05, min_advertised = 0.02, overload_level = 0.95;
+constexpr double level_rise = 0.2, level_fall = 0.08, max_pressure_level = 0.4;
+
+}  // namespace
+
+LoadAdvertiser::LoadAdvertiser(LoadAdvertisement mode, int caller_count)
+    : mode_(mode), caller_count_(caller_count) {}
+
+std::optional<double> LoadAdvertiser::advertise(const LoadReading& reading) {
+    const double excess =
+        reading.rejected_share > min_rejected_share ? reading.pressure - full_pressure : 0.0;
+    if (mode_ == LoadAdvertisement::weight) return next_weight(reading, excess);
+    if (mode_ == LoadAdvertisement::level) return next_level(reading, excess);
+    if (mode_ == LoadAdvertisement::credit) return credit(reading);
+    return std::nullopt;
+}
+
+double LoadAdvertiser::next_weight(const LoadReading& reading, double excess) {
+    const double overload = max(0.0, max(excess, overload_excess * reading.intake_overload));
+    blend(advertised_weight_, 1.0 / (1.0 + overload), weight_gain);
+    return reading.unavailable ? min_advertised : max(min_weight, advertised_weight_);
+}
+
+double LoadAdvertiser::next_level(const LoadReading& reading, double excess) {
+    const double rise = level_rise * excess / (1.0 + excess) * (1.0 - advertised_level_);
+    const double level = advertised_level_ + (excess > 0.0 ? rise : -level_fall);
+    advertised_level_ = clamp(level, 0.0, max_pressure_level);
+    return reading.unavailable ? 1.0 : max(advertised_level_, overload_level * reading.intake_overload);
+}
+
+double LoadAdvertiser::credit(const LoadReading& reading) const {
+    const double answerable = reading.capacity_quanta_per_second * reading.min_objective_seconds /
+                              max(1e-3, reading.mean_price_quanta);
+    const double credit = answerable / max(1, caller_count_) / max(1.0, reading.pressure);
+    return reading.unavailable ? min_advertised : max(min_advertised, credit);
+}
+
+}  // namespace cressledge::policy::aces
