--- a/src/learned_state/learned_state_saver.cpp
+++ b/src/learned_state/learned_state_saver.cpp
@@ -34,7 +34,7 @@
         spdlog::error("learned_state: saving disabled directory={} error=\"{}\"", settings_.directory,
                       error == EWOULDBLOCK ? "locked by another process" : std::strerror(error));
         RestoreResult nothing;
-        nothing.rejection_reason = "no folder";
+        nothing.rejection = {RejectionCause::no_directory, 0, {}};
         return nothing;
     }
     for (const std::string& skipped_file : store_.skipped_files())
@@ -58,10 +58,10 @@
             state.controller_state.classes.size(), state.upstreams.size(), store_.generation(),
             (now - state.saved_at).count() / microseconds_per_second, result.age_confidence, is_migrated);
     } else {
-        spdlog::info("learned_state: cold start reason=\"{}\"", result.rejection_reason);
+        spdlog::info("learned_state: cold start reason=\"{}\"", to_string(result.rejection));
     }
-    for (const std::string& skipped_entry : result.skipped_entries)
-        spdlog::warn("learned_state: entry skipped detail=\"{}\"", skipped_entry);
+    for (const SkippedEntry& skipped_entry : result.skipped_entries)
+        spdlog::warn("learned_state: entry skipped detail=\"{}\"", to_string(skipped_entry));
 }
 
 void LearnedStateSaver::on_commit(int error) {
--- a/src/learned_state/restore.cpp
+++ b/src/learned_state/restore.cpp
@@ -69,25 +69,25 @@
 }
 
 /// Why state of this header is not this process's own; nothing if it is.
-std::optional<std::string> check_identity(const Header& header, const Identity& identity) {
+std::optional<RestoreRejection> check_identity(const Header& header, const Identity& identity) {
     if (header.schema_version > schema_version)
-        return "a newer version's: schema " + std::to_string(static_cast<int>(header.schema_version));
+        return RestoreRejection{RejectionCause::newer_schema, static_cast<int>(header.schema_version), {}};
     if (header.node != identity.node)
-        return "another node's: " + header.node;
+        return RestoreRejection{RejectionCause::other_node, 0, header.node};
     if (header.settings_fingerprint != identity.settings_fingerprint)
-        return "another site's: its classes or targets differ";
+        return RestoreRejection{RejectionCause::other_settings, 0, {}};
     const int cores = static_cast<int>(header.cores);
     if (cores != identity.cores)
-        return "learned with " + std::to_string(cores) + " cores";
+        return RestoreRejection{RejectionCause::other_core_count, cores, {}};
     return std::nullopt;
 }
 
 /// Why state of this age is not used; nothing if it is.
-std::optional<std::string> check_age(Duration age, const ConfidencePolicy& confidence_policy) {
+std::optional<RestoreRejection> check_age(Duration age, const ConfidencePolicy& confidence_policy) {
     if (age < -max_clock_skew)
-        return "from the future";
+        return RestoreRejection{RejectionCause::from_the_future, 0, {}};
     if (age > confidence_policy.max_age)
-        return "too old: " + std::to_string(age.count() / microseconds_per_hour) + " hours";
+        return RestoreRejection{RejectionCause::too_old, age.count() / microseconds_per_hour, {}};
     return std::nullopt;
 }
 
@@ -198,9 +198,9 @@
     LearnedState& state_;
 };
 
-RestoreResult reject(RestoreResult result, std::string reason) {
+RestoreResult reject(RestoreResult result, RestoreRejection rejection) {
     result.restored = false;
-    result.rejection_reason = std::move(reason);
+    result.rejection = std::move(rejection);
     return result;
 }
 
@@ -210,23 +210,23 @@
                       const ConfidencePolicy& confidence_policy) {
     RestoreResult result;
     if (entries.empty())
-        return reject(result, "nothing has been kept");
+        return reject(result, {RejectionCause::nothing_saved, 0, {}});
     const auto header = read_header(entries);
     if (!header)
-        return reject(result, "its head cannot be read");
-    if (const auto reason = check_identity(*header, identity))
-        return reject(result, *reason);
+        return reject(result, {RejectionCause::unreadable_header, 0, {}});
+    if (auto rejection = check_identity(*header, identity))
+        return reject(result, std::move(*rejection));
     result.stored_schema_version = static_cast<int>(header->schema_version);
     result.state.saved_at = from_milliseconds(header->saved_at_ms);
     const Duration age = now - result.state.saved_at;
-    if (const auto reason = check_age(age, confidence_policy))
-        return reject(result, *reason);
+    if (auto rejection = check_age(age, confidence_policy))
+        return reject(result, std::move(*rejection));
     result.age_confidence = confidence_policy.confidence(age, ample_evidence);
     StateDecoder decoder(*header, now, confidence_policy, result.state);
     for (const auto& [key, bytes] : entries) {
         const DocumentKey document_key = parse_key(key);
         if (document_key.kind != kind::header && !decoder.decode(document_key, bytes))
-            result.skipped_entries.push_back(key + ": not what it should be");
+            result.skipped_entries.push_back(SkippedEntry{key});
     }
     result.restored = true;
     return result;
--- a/src/learned_state/restore.hpp
+++ b/src/learned_state/restore.hpp
@@ -1,21 +1,22 @@
 // Reads saved state back: what is refused, and how far the rest is trusted.
 #pragma once
 
-#include <string>
 #include <vector>
 
 #include "learned_state/confidence_policy.hpp"
 #include "learned_state/learned_state.hpp"
+#include "learned_state/restore_error.hpp"
 #include "store/format.hpp"
 
 namespace cressledge::learned_state {
 
+/// What restore() made of the entries of a store.
 struct RestoreResult {
     bool restored = false;
     /// If nothing was restored: why.
-    std::string rejection_reason;
-    /// Entries that were not restored although the others were, each with the reason.
-    std::vector<std::string> skipped_entries;
+    RestoreRejection rejection;
+    /// Entries that were not restored although the others were.
+    std::vector<SkippedEntry> skipped_entries;
     /// Each estimate has its confidence.
     LearnedState state;
     /// By age alone.
--- a/tests/cressledge/learned_state_test.cpp
+++ b/tests/cressledge/learned_state_test.cpp
@@ -85,10 +85,12 @@
     const auto reason = [&](const Entries& entries, const Identity& identity = own_identity,
                             Timestamp now = saved_at) {
         const auto result = restore(entries, identity, now, policy);
-        return result.restored ? "restored" : result.rejection_reason;
+        return result.restored ? std::string("restored") : to_string(result.rejection);
     };
     CHECK(reason({}) == "nothing has been kept");
     CHECK(reason(sample_entries(), identity_of("n4", test_settings())) == "another node's: n3");
+    CHECK(restore(sample_entries(), identity_of("n4", test_settings()), saved_at, policy).rejection.cause ==
+          RejectionCause::other_node);
     auto other_settings = test_settings();
     other_settings.classes[0].latency_objective = Duration(1);
     CHECK(reason(sample_entries(), identity_of("n3", other_settings)) ==
@@ -118,7 +120,8 @@
         set_field(entries, "class/trail-sheet", name, value);
         const auto result = restore(entries, own_identity, saved_at, policy);
         CHECK(result.restored);
-        CHECK(result.skipped_entries == std::vector<std::string>{"class/trail-sheet: not what it should be"});
+        CHECK(result.skipped_entries == std::vector<SkippedEntry>{{"class/trail-sheet"}});
+        CHECK(to_string(result.skipped_entries.at(0)) == "class/trail-sheet: not what it should be");
         CHECK(result.state.controller_state.classes.size() == 1);
     }
     entries = sample_entries();
