--- a/bench/connection_limiter_bench.cpp
+++ b/bench/connection_limiter_bench.cpp
@@ -16,7 +16,7 @@
     s.tracked_sources = 16'384;
     s.unlisted_source_limits = caps;
     s.rejection_slots = 16;
-    std::string wrong;
+    NetworkError wrong;
     for (std::uint32_t g = 0; g < 4; ++g) {
         s.groups.push_back({"g" + std::to_string(g), {}, 8, 8});
         s.networks.add({IpAddress::from_v4(0x7f010000U + (g << 16U)), 112}, g + 1, wrong);
--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -33,12 +33,12 @@
     if (!list || !list.IsSequence() || list.size() == 0)
         reader.fail(list ? list : section, "networks", "no list");
     for (const YAML::Node& entry : list) {
-        std::string error;
+        connection_admission::NetworkError error;
         if (!entry.IsScalar())
             reader.fail(entry, "networks", "not a text");
         const auto network = connection_admission::parse_network(entry.Scalar(), error);
         if (!network || !networks.add(*network, group_index, error))
-            reader.fail(entry, "networks", error);
+            reader.fail(entry, "networks", to_string(error));
     }
 }
 
--- a/src/connection_admission/descriptor_plan.cpp
+++ b/src/connection_admission/descriptor_plan.cpp
@@ -1,7 +1,6 @@
 #include "connection_admission/descriptor_plan.hpp"
 
 #include <algorithm>
-#include <stdexcept>
 #include <string>
 
 namespace cressledge::connection_admission {
@@ -37,6 +36,12 @@
 
 }  // namespace
 
+DescriptorShortage::DescriptorShortage(std::size_t limit, std::size_t min_limit)
+    : std::invalid_argument(std::to_string(limit) + " descriptors are too few: at least " +
+                            std::to_string(min_limit)),
+      limit_(limit),
+      min_limit_(min_limit) {}
+
 DescriptorPlan plan_descriptors(std::size_t limit, std::size_t unmanaged, const DescriptorDemand& demand,
                                 std::uint32_t max_connections) {
     DescriptorPlan plan;
@@ -49,8 +54,7 @@
     const std::size_t guaranteed_connections = std::max<std::size_t>(demand.reserved_connections, 1);
     const std::size_t min_limit = guaranteed + guaranteed_connections + eviction_overlap;
     if (min_limit > limit)
-        throw std::invalid_argument(std::to_string(limit) + " descriptors are too few: at least " +
-                                    std::to_string(min_limit));
+        throw DescriptorShortage(limit, min_limit);
     const std::size_t spare = limit - min_limit;
     const std::size_t rejection_slots = std::min(demand.rejection_slots, spare / rejection_slots_divisor);
     const std::size_t available = limit - guaranteed - eviction_overlap - rejection_slots;
--- a/src/connection_admission/descriptor_plan.hpp
+++ b/src/connection_admission/descriptor_plan.hpp
@@ -3,6 +3,7 @@
 
 #include <cstddef>
 #include <cstdint>
+#include <stdexcept>
 
 #include "connection_admission/descriptor_purpose.hpp"
 
@@ -39,8 +40,24 @@
     std::uint32_t rejection_slots = 0;
 };
 
-/// Plans for up to `max_connections` connections of clients. Throws std::invalid_argument, with the least
-/// sufficient limit in its message, if not even the guaranteed numbers fit.
+/// Thrown by plan_descriptors() if not even the guaranteed numbers of descriptors fit into the limit. The
+/// message reads "LIMIT descriptors are too few: at least MIN_LIMIT".
+class DescriptorShortage : public std::invalid_argument {
+public:
+    DescriptorShortage(std::size_t limit, std::size_t min_limit);
+
+    /// The descriptors that the process may have open.
+    std::size_t limit() const { return limit_; }
+    /// The least limit for which there is a plan.
+    std::size_t min_limit() const { return min_limit_; }
+
+private:
+    std::size_t limit_;
+    std::size_t min_limit_;
+};
+
+/// Plans for up to `max_connections` connections of clients. Throws DescriptorShortage if not even the
+/// guaranteed numbers fit into `limit`.
 DescriptorPlan plan_descriptors(std::size_t limit, std::size_t unmanaged, const DescriptorDemand& demand,
                                 std::uint32_t max_connections);
 
--- a/src/connection_admission/network_group_table.cpp
+++ b/src/connection_admission/network_group_table.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <boost/asio/ip/network_v4.hpp>
 #include <boost/asio/ip/network_v6.hpp>
+#include <utility>
 
 #include "connection_admission/address_hash.hpp"
 
@@ -15,7 +16,7 @@
 
 }  // namespace
 
-std::optional<Network> parse_network(const std::string& text, std::string& error) {
+std::optional<Network> parse_network(const std::string& text, NetworkError& error) {
     boost::system::error_code parse_error;
     const bool has_prefix = text.find('/') != std::string::npos;
     const bool is_v6 = text.find(':') != std::string::npos;
@@ -30,7 +31,7 @@
             return Network{IpAddress::from_v4(network.address().to_uint()),
                            v4_mapped_prefix_length + network.prefix_length()};
     }
-    error = (parse_error ? "not a network: " : "bits set beyond its prefix: ") + text;
+    error = {parse_error ? NetworkErrorCause::not_a_network : NetworkErrorCause::host_bits_set, text, {}};
     return std::nullopt;
 }
 
@@ -38,10 +39,9 @@
     return hash_address(address, 0);
 }
 
-bool NetworkGroupTable::add(const Network& network, GroupIndex group_index, std::string& error) {
-    const std::string conflict = find_conflict(network, group_index);
-    if (!conflict.empty()) {
-        error = conflict;
+bool NetworkGroupTable::add(const Network& network, GroupIndex group_index, NetworkError& error) {
+    if (auto conflict = find_conflict(network, group_index)) {
+        error = std::move(*conflict);
         return false;
     }
     entries_.push_back({network, group_index});
@@ -49,15 +49,17 @@
     return true;
 }
 
-std::string NetworkGroupTable::find_conflict(const Network& network, GroupIndex group_index) const {
+std::optional<NetworkError> NetworkGroupTable::find_conflict(const Network& network,
+                                                             GroupIndex group_index) const {
     for (const NetworkEntry& entry : entries_) {
         if (entry.network == network)
-            return "a duplicate: " + network.to_string();
+            return NetworkError{NetworkErrorCause::duplicate, network.to_string(), {}};
         const bool overlaps = entry.network.contains(network) || network.contains(entry.network);
         if (overlaps && entry.group_index == group_index)
-            return "overlaps one of its group: " + network.to_string() + " and " + entry.network.to_string();
+            return NetworkError{NetworkErrorCause::overlaps_own_group, network.to_string(),
+                                entry.network.to_string()};
     }
-    return {};
+    return std::nullopt;
 }
 
 NetworkGroupTable::PrefixTable& NetworkGroupTable::prefix_table_of(unsigned prefix_length) {
--- a/src/connection_admission/network_group_table.hpp
+++ b/src/connection_admission/network_group_table.hpp
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "connection_admission/ip_address.hpp"
+#include "connection_admission/network_error.hpp"
 
 namespace cressledge::connection_admission {
 
@@ -16,14 +17,15 @@
 
 /// Reads 10.0.0.0/8, 2001:db8::/32, or one address. Returns nothing and sets `error` if the text is no
 /// network or has bits set beyond its prefix.
-std::optional<Network> parse_network(const std::string& text, std::string& error);
+std::optional<Network> parse_network(const std::string& text, NetworkError& error);
 
+/// Finds the client group of an address by the longest listed prefix that contains it.
 class NetworkGroupTable {
 public:
     /// Returns false and sets `error` if the network is listed already, or overlaps with one of its own
     /// group: the first says nothing, the second probably hides a mistake. A network inside one of another
     /// group is an exception to it.
-    bool add(const Network& network, GroupIndex group_index, std::string& error);
+    bool add(const Network& network, GroupIndex group_index, NetworkError& error);
 
     struct Match {
         GroupIndex group_index = 0;
@@ -49,8 +51,8 @@
         GroupIndex group_index = 0;
     };
 
-    /// Why the network can't be added, or an empty text.
-    std::string find_conflict(const Network& network, GroupIndex group_index) const;
+    /// Why the network can't be added; nothing if it can.
+    std::optional<NetworkError> find_conflict(const Network& network, GroupIndex group_index) const;
     PrefixTable& prefix_table_of(unsigned prefix_length);
 
     /// The longest prefix first. A look-up costs one probe for each prefix length in use.
--- a/tests/cressledge/connection_limiter_fixture.hpp
+++ b/tests/cressledge/connection_limiter_fixture.hpp
@@ -12,9 +12,9 @@
 namespace cressledge::testing {
 
 inline connection_admission::IpAddress parse_address(const std::string& text) {
-    std::string error;
+    connection_admission::NetworkError error;
     const auto network = connection_admission::parse_network(text, error);
-    INFO(text << error);
+    INFO(text << to_string(error));
     REQUIRE(network);
     return network->base_address;
 }
@@ -47,7 +47,7 @@
     void add_group(const std::string& network, const std::string& name, std::uint32_t reserved_connections,
                    std::uint32_t reserved_requests, const connection_admission::SourceLimits& limits = {}) {
         settings.groups.push_back({name, limits, reserved_connections, reserved_requests});
-        std::string error;
+        connection_admission::NetworkError error;
         REQUIRE(settings.networks.add(*connection_admission::parse_network(network, error),
                                       settings.groups.size(), error));
     }
--- a/tests/cressledge/file_descriptor_budget_test.cpp
+++ b/tests/cressledge/file_descriptor_budget_test.cpp
@@ -20,6 +20,7 @@
     // All but the unmanaged ones, listeners, files, upstream calls, and one for the overlap of an eviction.
     CHECK(plan.max_connections == 40 - 5 - 2 - 2 - 6 - 1);
     CHECK_THROWS_WITH(plan_descriptors(18, 5, demand, 100), "18 descriptors are too few: at least 19");
+    CHECK_THROWS_AS(plan_descriptors(18, 5, demand, 100), DescriptorShortage);
     FileDescriptorBudget budget(plan);
     std::vector<FileDescriptorBudget::Lease> frontend_leases;
     std::vector<FileDescriptorBudget::Lease> upstream_leases;
--- a/tests/cressledge/gateway_fixture.hpp
+++ b/tests/cressledge/gateway_fixture.hpp
@@ -174,7 +174,7 @@
     }
     /// A client group with a reserve of 8 connections and requests. Before start().
     void add_listed_group(const std::string& network) {
-        std::string error;
+        connection_admission::NetworkError error;
         config.admission.groups.push_back({"front-ends", {}, 8, 8});
         config.admission.networks.add(*connection_admission::parse_network(network, error), 1, error);
     }
--- a/tests/cressledge/network_group_table_test.cpp
+++ b/tests/cressledge/network_group_table_test.cpp
@@ -12,7 +12,7 @@
 
 TEST_CASE("network group table: the longest prefix wins, and an IPv4 address equals its mapped form") {
     NetworkGroupTable networks;
-    std::string error;
+    NetworkError error;
     const auto add = [&](const char* text, GroupIndex group_index) {
         const auto network = parse_network(text, error);
         return network && networks.add(*network, group_index, error);
@@ -31,20 +31,23 @@
     CHECK(networks.longest_match(parse_address("192.0.2.1")).group_index == 0);
     struct InvalidNetwork {
         const char* text;
+        NetworkErrorCause expected_cause;
         const char* expected_error;
     };
     const InvalidNetwork invalid_networks[] = {
-        {"10.0.0.0/8", "a duplicate: 10.0.0.0/8"},
-        {"::ffff:10.0.0.0/104", "a duplicate: 10.0.0.0/8"},
-        {"10.7.0.0/16", "overlaps one of its group: 10.7.0.0/16 and 10.0.0.0/8"},
-        {"10.0.0.1/8", "bits set beyond its prefix: 10.0.0.1/8"},
-        {"10.0.0.0/33", "not a network: 10.0.0.0/33"},
-        {"tiles.example.org", "not a network: tiles.example.org"},
-        {"", "not a network: "},
+        {"10.0.0.0/8", NetworkErrorCause::duplicate, "a duplicate: 10.0.0.0/8"},
+        {"::ffff:10.0.0.0/104", NetworkErrorCause::duplicate, "a duplicate: 10.0.0.0/8"},
+        {"10.7.0.0/16", NetworkErrorCause::overlaps_own_group,
+         "overlaps one of its group: 10.7.0.0/16 and 10.0.0.0/8"},
+        {"10.0.0.1/8", NetworkErrorCause::host_bits_set, "bits set beyond its prefix: 10.0.0.1/8"},
+        {"10.0.0.0/33", NetworkErrorCause::not_a_network, "not a network: 10.0.0.0/33"},
+        {"tiles.example.org", NetworkErrorCause::not_a_network, "not a network: tiles.example.org"},
+        {"", NetworkErrorCause::not_a_network, "not a network: "},
     };
-    for (const auto& [text, expected_error] : invalid_networks) {
+    for (const auto& [text, expected_cause, expected_error] : invalid_networks) {
         CHECK_FALSE(add(text, 1));
-        CHECK(error == expected_error);
+        CHECK(error.cause == expected_cause);
+        CHECK(to_string(error) == expected_error);
     }
     CHECK(parse_address("::ffff:10.1.2.3").to_string() == "10.1.2.3");
     CHECK(Network{parse_address("10.1.2.0"), 120}.to_string() == "10.1.2.0/24");
