--- a/src/admin/admin_connection.hpp
+++ b/src/admin/admin_connection.hpp
@@ -32,6 +32,7 @@
         virtual void on_closed(base::SlotId connection_id) = 0;
     };
 
+    /// `handler` is told of each complete request and of the end; `timers` holds the deadline of the request.
     AdminConnection(Handler& handler, base::Clock& clock, base::TimerQueue& timers);
     ~AdminConnection() override;
     AdminConnection(const AdminConnection&) = delete;
@@ -48,15 +49,20 @@
 
     // Of a complete request:
     const char* method() const;
+    /// Whether the method of the request is GET.
     bool is_get() const { return parser_.method == HTTP_GET; }
     /// The target without its query.
     std::string path() const;
     /// The query with its question mark; empty where there is none.
     std::string query() const;
+    /// The body of the request, at most 64 KiB; a longer one is answered with 413.
     const std::string& body() const { return body_; }
 
+    /// net::Stream::Owner: feeds the bytes read to the HTTP parser.
     void on_bytes(std::string_view bytes) override;
+    /// net::Stream::Owner: a request cut short gets 400. Returns whether a reply is still being written.
     bool on_eof() override;
+    /// net::Stream::Owner: the stream is over; tells the handler, which may destroy this connection.
     void on_end(bool connect_failed) override;
 
 private:
--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -22,6 +22,7 @@
 /// A configuration that cannot be used. The text is `FILE:LINE: FIELD: REASON`, without the parts that are not known.
 class ConfigError : public std::runtime_error {
 public:
+    /// A reason without a place, such as an error of the command line.
     explicit ConfigError(const std::string& reason) : ConfigError(ConfigLocation{}, reason) {}
     /// `value`: the text that was found there; empty where something is missing.
     ConfigError(ConfigLocation location, const std::string& reason, std::string value = {})
@@ -30,8 +31,11 @@
           reason_(reason),
           value_(std::move(value)) {}
 
+    /// Where the error is: file, line and field, as far as known.
     const ConfigLocation& location() const { return location_; }
+    /// What is wrong, without the place.
     const std::string& reason() const { return reason_; }
+    /// The text that was found there; empty where something is missing.
     const std::string& value() const { return value_; }
 
 private:
--- a/src/config/inventory.hpp
+++ b/src/config/inventory.hpp
@@ -16,6 +16,7 @@
 /// An inventory with bad rows. The text is that of the first one.
 class InventoryError final : public ConfigError {
 public:
+    /// `all`: the error of each bad row, in the order of the file; not empty.
     explicit InventoryError(std::vector<ConfigError> all)
         : ConfigError(all.front()), errors(std::move(all)), row_errors(texts_of(errors)) {}
 
--- a/src/config/inventory_builder.hpp
+++ b/src/config/inventory_builder.hpp
@@ -21,6 +21,7 @@
 /// The inventory of one file while it is read.
 class InventoryBuilder {
 public:
+    /// `path`: the file that is read, for the text of errors.
     explicit InventoryBuilder(std::string path) : path_(std::move(path)) {}
 
     /// Throws a ConfigError at a line of the file.
--- a/src/config/inventory_diff.hpp
+++ b/src/config/inventory_diff.hpp
@@ -13,6 +13,7 @@
 struct InventoryDiff {
     std::vector<std::string> added, removed, changed;
 
+    /// Whether the two inventories name the same servers with the same fields.
     bool is_empty() const { return added.empty() && removed.empty() && changed.empty(); }
     /// One line with at most `max_names` names of each kind.
     std::string summary(std::size_t max_names) const;
--- a/src/config/operator.hpp
+++ b/src/config/operator.hpp
@@ -31,6 +31,7 @@
     int scgi = -1;
     int http = -1;
     int control = -1;
+    /// Whether any socket was handed down.
     bool any() const { return scgi >= 0 || http >= 0 || control >= 0; }
 };
 
--- a/src/config/yaml_reader.hpp
+++ b/src/config/yaml_reader.hpp
@@ -23,6 +23,7 @@
 /// Reads one file. Where a function takes a default value, it stands for a missing field.
 class YamlReader {
 public:
+    /// `path`: the file that is read, for the text of errors.
     explicit YamlReader(std::string path) : path_(std::move(path)) {}
 
     /// The file that is read.
