--- a/src/frontend/connection_admitter.hpp
+++ b/src/frontend/connection_admitter.hpp
@@ -19,6 +19,8 @@
 /// Carries out what connection limiter and descriptor budget decide.
 class ConnectionAdmitter {
 public:
+    /// `settings`: the connection limits of the configuration; `seed`: keeps clients from choosing
+    /// addresses that collide in the limiter's tables of sources.
     ConnectionAdmitter(base::TimerQueue& timers, request::RequestManager& server,
                        connection_admission::FileDescriptorBudget& descriptors,
                        connection_admission::Settings settings, std::uint64_t seed);
@@ -47,7 +49,9 @@
     /// Logs the connection table, the descriptors and the sources that were rejected most.
     void log_report(std::size_t max_sources);
 
+    /// The limiter whose decisions this carries out.
     connection_admission::ConnectionLimiter& limiter() { return limiter_; }
+    /// The descriptor budget that the frontends and the limiter draw leases from.
     connection_admission::FileDescriptorBudget& descriptors() { return descriptors_; }
 
 private:
--- a/src/frontend/connection_lifecycle.hpp
+++ b/src/frontend/connection_lifecycle.hpp
@@ -25,12 +25,16 @@
     bool accepts_requests() const { return phase_ <= Phase::draining; }
     /// Whether the next response says that the connection is closed after it.
     bool announces_close() const { return phase_ == Phase::draining; }
+    /// Whether the response has been written and the connection waits for the peer to close.
     bool is_lingering() const { return phase_ == Phase::lingering; }
+    /// Whether the connection is closed.
     bool is_closed() const { return phase_ == Phase::closed; }
 
     /// Each transition returns whether the state is a new one.
     bool drain() { return enter(Phase::draining); }
+    /// After the last response: wait for the peer to close.
     bool linger() { return enter(Phase::lingering); }
+    /// The end; no state follows.
     bool close() { return enter(Phase::closed); }
 
 private:
--- a/src/frontend/frontend.hpp
+++ b/src/frontend/frontend.hpp
@@ -25,6 +25,7 @@
     /// Makes the session of a new connection.
     using SessionFactory = std::function<std::unique_ptr<Session>(Frontend&)>;
 
+    /// Time bounds of the connections of one listening socket.
     struct Limits {
         /// From the accept, or for later requests from their first byte, to a complete request.
         base::Duration request_timeout{2'500'000};
@@ -64,7 +65,9 @@
 
     /// The port that is listened on, also where the address left it to the system.
     int port() const { return listener_.port(); }
+    /// The request manager that the sessions submit to.
     request::RequestManager& server() { return server_; }
+    /// Connections that have ended, by the reason they ended.
     const ClosedConnectionCounts& closed_connections() const { return closed_connections_; }
 
 private:
--- a/src/frontend/http/request_parser.hpp
+++ b/src/frontend/http/request_parser.hpp
@@ -23,6 +23,7 @@
 public:
     /// Where the current request stands.
     enum class Status { incomplete, complete, malformed, body_too_large };
+    /// What one call of `parse` found.
     struct Result {
         Status status;
         /// Bytes taken; those behind them belong to the next request.
@@ -46,12 +47,15 @@
 
     // Of a complete request:
     bool is_get() const { return parser_.method == HTTP_GET; }
+    /// Of a complete request: whether its method is POST.
     bool is_post() const { return parser_.method == HTTP_POST; }
     /// The target without its query.
     std::string path() const;
     /// The query without its question mark; empty where there is none.
     std::string query() const;
+    /// Of a complete request: the fields of its head.
     const RequestFields& fields() const { return message_.fields; }
+    /// Of a complete request: moves its body out; to be called once.
     std::string take_body() { return std::move(message_.body); }
 
 private:
--- a/src/frontend/scgi/request_parser.hpp
+++ b/src/frontend/scgi/request_parser.hpp
@@ -26,7 +26,9 @@
     const std::string& method() const { return method_; }
     /// REQUEST_URI without its query, or PATH_INFO.
     const std::string& path() const { return path_; }
+    /// QUERY_STRING; empty where there is none.
     const std::string& query() const { return query_; }
+    /// The fields of the request, as the frontend reads them.
     const RequestFields& fields() const { return fields_; }
     /// The body; the request's bytes are released.
     std::string take_body();
--- a/src/frontend/scgi/scgi_session.hpp
+++ b/src/frontend/scgi/scgi_session.hpp
@@ -15,6 +15,7 @@
 /// A connection of an SCGI caller.
 class ScgiSession final : public Session {
 public:
+    /// `defaults`: values of fields that a request may leave out, from the operator's file.
     ScgiSession(Frontend& frontend, FieldDefaults& defaults) : Session(frontend), defaults_(defaults) {}
 
 protected:
--- a/src/frontend/session.hpp
+++ b/src/frontend/session.hpp
@@ -28,11 +28,15 @@
 /// Base of the protocol sessions. A frontend and its sessions are one unit and use each other's private members.
 class Session : public net::Stream::Owner {
 public:
+    /// A session of `frontend`, which owns it; the stream is attached on accept.
     explicit Session(Frontend& frontend) : frontend_(frontend) {}
 
     // net::Stream::Owner:
     void on_bytes(std::string_view bytes) final;
+    /// net::Stream::Owner: the peer has sent its last byte; a request cut short is answered as such. Returns whether
+    /// a response is still being written.
     bool on_eof() final;
+    /// net::Stream::Owner: the stream is over; the open request, if any, is cancelled, and the session removed.
     void on_end(bool connect_failed) final;
 
     /// Writes the final response of the request in flight. Without one, nothing happens.
--- a/src/frontend/shutdown_coordinator.hpp
+++ b/src/frontend/shutdown_coordinator.hpp
@@ -21,6 +21,7 @@
                         base::Duration stop_delay)
         : loop_(loop), timers_(timers), server_(server), stop_delay_(stop_delay) {}
 
+    /// Takes ownership of a frontend; it drains with the others at graceful shutdown.
     void add_frontend(std::unique_ptr<Frontend> frontend) { frontends_.push_back(std::move(frontend)); }
     /// The frontend added last; there must be one.
     Frontend& last_frontend() { return *frontends_.back(); }
--- a/src/gossip/exchange_connection.hpp
+++ b/src/gossip/exchange_connection.hpp
@@ -36,6 +36,7 @@
         virtual void on_exchange_end(ExchangeConnection& connection) = 0;
     };
 
+    /// `handler` is told of the frame and of the end; `timers` holds the deadline.
     ExchangeConnection(Handler& handler, base::TimerQueue& timers, ExchangeDirection direction)
         : handler_(handler), timers_(timers), direction_(direction) {}
     ~ExchangeConnection() override;
@@ -44,6 +45,7 @@
 
     /// False if there is no connection; the lease has been given back then.
     bool connect(uv_loop_t* loop, const net::Address& address, Lease lease);
+    /// Accepts a connection of another member. False if there is none; the lease has been given back then.
     bool accept(net::Listener& listener, Lease lease);
 
     /// Calls `on_expired` at this time, unless the connection is destroyed before.
@@ -52,16 +54,23 @@
     /// The second of the two frames is the last thing that is written.
     void send_frame(const std::string& frame);
 
+    /// The id under which the exchange manager keeps this connection.
     base::SlotId id() const { return id_; }
+    /// Set by the exchange manager once the connection has a slot.
     void set_id(base::SlotId id) { id_ = id; }
+    /// Whether this side opened the connection or accepted it.
     ExchangeDirection direction() const { return direction_; }
+    /// Whether this side opened the connection.
     bool is_outbound() const { return direction_ == ExchangeDirection::outbound; }
 
     /// Whether the other side's whole frame has come.
     bool has_received_frame() const { return has_received_frame_; }
 
+    /// net::Stream::Owner: the connection is established; the handler is told.
     void on_open() override;
+    /// net::Stream::Owner: gathers the bytes of the other side's frame.
     void on_bytes(std::string_view bytes) override;
+    /// net::Stream::Owner: the stream is over, or was `refused`; the handler is told.
     void on_end(bool refused) override;
 
 private:
--- a/src/gossip/gossip_node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -45,6 +45,7 @@
     /// Begins to tell the others that this process leaves; see `MembershipTable::departure_announced`.
     void leave();
 
+    /// This process's view of the fleet, for the admin address and the log.
     const membership::MembershipTable& membership() const { return *membership_; }
 
     /// Appends the metrics `fleet.*`.
--- a/src/gossip/gossip_statistics.hpp
+++ b/src/gossip/gossip_statistics.hpp
@@ -12,6 +12,7 @@
 
 /// Totals and rates of a node's datagrams and exchanges.
 struct GossipStatistics {
+    /// Counts one datagram that was dropped for `reason`.
     void count_drop(membership::DropReason reason) { ++dropped_by_reason[static_cast<std::size_t>(reason)]; }
 
     TrafficMeter sent;
--- a/src/gossip/traffic_meter.hpp
+++ b/src/gossip/traffic_meter.hpp
@@ -20,7 +20,9 @@
     /// Mean over the last ten whole seconds; the present second is left out.
     std::uint64_t bytes_per_second(base::Timestamp now);
 
+    /// Bytes counted since the start, of connections and datagrams.
     std::uint64_t total_bytes() const { return total_bytes_; }
+    /// Datagrams counted since the start.
     std::uint64_t total_datagrams() const { return total_datagrams_; }
 
 private:
--- a/src/gossip/transport.hpp
+++ b/src/gossip/transport.hpp
@@ -12,6 +12,7 @@
 
 namespace cressledge::gossip {
 
+/// The IPv4 socket address of a member's endpoint.
 net::Address to_address(const membership::Endpoint& endpoint);
 
 /// All zero for an address that is not IPv4.
