--- a/src/load_balancing/balancer.hpp
+++ b/src/load_balancing/balancer.hpp
@@ -24,6 +24,7 @@
 
 using upstream_health::HostSet;
 
+/// Chooses the host of each call to an upstream by the policy of `BalancerSettings`, over the candidates of this process.
 class Balancer {
 public:
     /// `hosts` has to outlive the balancer.
@@ -42,6 +43,7 @@
     /// key of the request; 0: none. `no_host` if no host is eligible.
     HostId pick(Timestamp now, std::uint64_t key, const std::vector<HostId>& tried_hosts, Random& random);
 
+    /// To be called when a call to the host is sent.
     void on_call_started(Timestamp now, HostId host_id);
     /// To be called before `HostSet::on_call_finished`.
     void on_call_finished(Timestamp now, HostId host_id, upstream_health::CallResult result,
@@ -63,6 +65,7 @@
 
     /// Has other hosts chosen first until then.
     void deprioritize(HostId host_id, Timestamp until);
+    /// Whether the host is deprioritized at `now`.
     bool is_deprioritized(Timestamp now, HostId host_id) const {
         return host_loads_[host_id].deprioritized_until > now;
     }
@@ -71,6 +74,7 @@
     double cost(Timestamp now, HostId host_id) const;
     /// Hosts that this process uses now.
     const std::vector<HostId>& candidates() const { return candidates_.usable(); }
+    /// Whether the policy is `probe_first`: each call waits for its own load probes.
     bool probes_before_call() const { return settings_.policy == BalancingPolicy::probe_first; }
 
 private:
--- a/src/load_balancing/balancer_settings.hpp
+++ b/src/load_balancing/balancer_settings.hpp
@@ -24,6 +24,7 @@
     probe_first,
 };
 
+/// How hosts are chosen; read from the `routing` section of an operator's file.
 struct BalancerSettings {
     BalancingPolicy policy = BalancingPolicy::power_of_two_choices;
     /// Hosts of this data centre are preferred; empty: all are alike.
--- a/src/load_balancing/candidate_set.hpp
+++ b/src/load_balancing/candidate_set.hpp
@@ -9,6 +9,7 @@
 
 namespace cressledge::load_balancing {
 
+/// The hosts that this process may use now, the local ones apart, with its calls in flight to each.
 class CandidateSet {
 public:
     /// Takes the usable hosts of `subset`, or those of `fallback` where the subset has none. `local_data_centre` may be
@@ -16,10 +17,14 @@
     void rebuild(const upstream_health::HostSet& hosts, const std::vector<upstream_health::HostId>& subset,
                  const std::vector<upstream_health::HostId>& fallback, const std::string& local_data_centre);
 
+    /// Counts a call in flight to the host.
     void on_call_started(upstream_health::HostId host_id);
+    /// Counts the end of a call in flight to the host.
     void on_call_ended(upstream_health::HostId host_id);
 
+    /// The usable hosts, as of the last `rebuild`.
     const std::vector<upstream_health::HostId>& usable() const { return usable_; }
+    /// The usable hosts of this process's data centre; empty where none is named.
     const std::vector<upstream_health::HostId>& local() const { return local_; }
     /// The local hosts while their calls in flight stay below the bound for each unit of weight; all usable ones
     /// otherwise.
--- a/src/load_balancing/load_probes.hpp
+++ b/src/load_balancing/load_probes.hpp
@@ -25,6 +25,7 @@
 using upstream_health::no_host;
 using upstream_health::Random;
 
+/// How load probes are sent and their answers kept; read from `routing.probing` of an operator's file.
 struct LoadProbeSettings {
     /// Most answers in the pool.
     std::size_t pool_size = 16;
@@ -47,6 +48,7 @@
     explicit ProbePool(const LoadProbeSettings& settings, std::size_t host_count)
         : settings_(settings), host_count_(host_count) {}
 
+    /// Hosts that may be probed, after a change of the inventory.
     void set_host_count(std::size_t host_count) { host_count_ = host_count; }
     /// Takes effect with the next call; answers stay.
     void reconfigure(const LoadProbeSettings& settings) { settings_ = settings; }
@@ -63,6 +65,7 @@
     /// answers of eligible hosts are known.
     HostId pick(Timestamp now, const std::function<bool(HostId)>& is_eligible);
 
+    /// Answers in the pool.
     std::size_t size() const { return pool_.size(); }
 
 private:
@@ -93,11 +96,13 @@
 /// as 1 / `probes_per_call` calls.
 class ExpectedCallEstimator {
 public:
+    /// `window`: how long a probe may still bring a call; `probes_per_call`: 0 counts as 1.
     ExpectedCallEstimator(Duration window, unsigned probes_per_call)
         : window_(window), calls_per_probe_(1.0 / std::max(1U, probes_per_call)) {}
 
     /// Calls that probes within the window before `now` may bring.
     double expected_calls(Timestamp now);
+    /// Counts a probe sent at `now`.
     void on_probe(Timestamp now) { probe_times_.push_back(now); }
 
 private:
--- a/src/load_balancing/maglev.hpp
+++ b/src/load_balancing/maglev.hpp
@@ -10,6 +10,7 @@
 
 namespace cressledge::load_balancing {
 
+/// A Maglev lookup table from keys to indices of host names.
 class MaglevTable {
 public:
     static constexpr std::size_t default_size = 65'537;
@@ -19,6 +20,7 @@
     /// Index in `names` of a choice (counted from 0) for the key; two choices may be the same host. The table must
     /// not be empty.
     std::uint32_t find(std::uint64_t key, std::uint32_t choice = 0) const;
+    /// Whether the table was built from no names, or not built.
     bool empty() const { return table_.empty(); }
     /// Index in `names` for each place of the table.
     const std::vector<std::uint32_t>& table() const { return table_; }
--- a/src/load_balancing/peak_latency.hpp
+++ b/src/load_balancing/peak_latency.hpp
@@ -9,8 +9,10 @@
 
 namespace cressledge::load_balancing {
 
+/// The peak EWMA latency of one host, with the age of its calls in flight.
 class PeakLatency {
 public:
+    /// Counts a call sent at `now`.
     void on_call_started(base::Timestamp now);
     /// `calls_in_flight`: the host's, the ended call included.
     void on_call_ended(base::Timestamp started_at, std::uint32_t calls_in_flight);
--- a/src/load_balancing/seconds.hpp
+++ b/src/load_balancing/seconds.hpp
@@ -5,6 +5,7 @@
 
 namespace cressledge::load_balancing {
 
+/// A duration, counted in microseconds, in seconds.
 inline double to_seconds(base::Duration duration) {
     constexpr double seconds_per_microsecond = 1e-6;
     return static_cast<double>(duration.count()) * seconds_per_microsecond;
--- a/src/load_balancing/slow_start.hpp
+++ b/src/load_balancing/slow_start.hpp
@@ -19,6 +19,7 @@
 
 namespace cressledge::load_balancing {
 
+/// The bound on calls to hosts that warm up; read from `routing.slow_start` of an operator's file.
 struct SlowStartSettings {
     /// Calls a second that a warm host of weight 1 is allowed, from all processes together; 0: no bound.
     double calls_per_s = 0.0;
@@ -34,9 +35,12 @@
 /// This process's share of the calls to each host that warms up.
 class SlowStartLimiter {
 public:
+    /// `settings`: the default has no bound.
     explicit SlowStartLimiter(SlowStartSettings settings = {}) : settings_(settings) {}
 
+    /// Takes effect with the next call; slow starts under way go on.
     void reconfigure(SlowStartSettings settings) { settings_ = settings; }
+    /// Whether there is a bound: `calls_per_s` above 0.
     bool is_enabled() const { return settings_.calls_per_s > 0.0; }
 
     /// The live processes of the fleet by name, this one among them as `self`; to be told again regularly.
@@ -45,12 +49,14 @@
     /// A host's slow start begins, or has begun before this process knew of it.
     void begin(upstream_health::HostId host_id, const upstream_health::HostSpec& spec,
                base::Timestamp announced_at, upstream_health::Random& random);
+    /// The host's slow start is over, or it has gone.
     void finish(upstream_health::HostId host_id);
     /// Whether the slow start that was announced then is under way.
     bool is_running(upstream_health::HostId host_id, base::Timestamp announced_at) const;
 
     /// Whether this process may send the host one more call; true for a host without slow start.
     bool allows(base::Timestamp now, upstream_health::HostId host_id) const;
+    /// Counts a call sent to the host at `now`.
     void on_call_started(base::Timestamp now, upstream_health::HostId host_id);
 
     /// Calls that all processes together may send to a host of weight 1 in the span.
--- a/src/load_balancing/weighted_sampler.hpp
+++ b/src/load_balancing/weighted_sampler.hpp
@@ -20,6 +20,7 @@
     /// Up to `count` different indices, into `sampled`; fewer where there are fewer, or where eight draws for each
     /// wanted one have not found enough.
     void sample(upstream_health::Random& random, unsigned count, std::vector<std::uint32_t>& sampled) const;
+    /// Whether it was built from no weights, or not built.
     bool empty() const { return acceptance_.empty(); }
 
 private:
--- a/src/membership/anti_entropy.hpp
+++ b/src/membership/anti_entropy.hpp
@@ -25,6 +25,7 @@
     /// When `tick` is due.
     Timestamp next_deadline() const;
 
+    /// Addresses for full exchanges: always while no member is alive, now and then otherwise; from `fleet.seeds`.
     void set_seeds(std::vector<Endpoint> seeds);
 
     /// Leaves out the early exchanges of a process that has just started.
--- a/src/membership/broadcast_queue.hpp
+++ b/src/membership/broadcast_queue.hpp
@@ -20,6 +20,7 @@
 
 /// Orders broadcasts by their rank.
 struct BroadcastRankOrder {
+    /// Whether `a` goes before `b`.
     bool operator()(const BroadcastRank& a, const BroadcastRank& b) const {
         if (a.transmissions != b.transmissions)
             return a.transmissions < b.transmissions;
@@ -35,12 +36,15 @@
 
     /// Stops the member's broadcast, if there is one.
     void remove(MemberIndex member);
+    /// Stops all broadcasts.
     void clear();
 
     /// Counts one transmission for each of the members; a broadcast ends with the `max_transmissions`-th.
     void record_transmissions(const std::vector<MemberIndex>& members, unsigned max_transmissions);
 
+    /// Whether a broadcast of the member is queued.
     bool contains(MemberIndex member) const { return rank_by_member_.count(member) != 0; }
+    /// Whether no broadcast is queued.
     bool empty() const { return ranked_.empty(); }
 
     /// All pending broadcasts in their order.
--- a/src/membership/disseminator.hpp
+++ b/src/membership/disseminator.hpp
@@ -16,6 +16,7 @@
 /// The dissemination component of SWIM, with Lifeguard's buddy system: a member that is suspected hears of it first.
 class Disseminator {
 public:
+    /// `state` has to outlive the disseminator.
     explicit Disseminator(MembershipState& state) : state_(state) {}
 
     /// Sets the first gossip round at a random time within the interval, so that a fleet that was started at once
--- a/src/membership/member_index_table.hpp
+++ b/src/membership/member_index_table.hpp
@@ -11,6 +11,7 @@
 
 namespace cressledge::membership {
 
+/// Index of a member in the tables of this process; not on the wire.
 using MemberIndex = std::uint32_t;
 constexpr MemberIndex no_member = ~MemberIndex{0};
 
--- a/src/membership/member_records.hpp
+++ b/src/membership/member_records.hpp
@@ -32,10 +32,12 @@
 public:
     /// Null if the member is not known.
     MemberRecord* find(MemberIndex index);
+    /// Null if the member is not known.
     const MemberRecord* find(MemberIndex index) const;
 
     /// The record of a known member.
     MemberRecord& at(MemberIndex index) { return records_[index]; }
+    /// The record of a known member.
     const MemberRecord& at(MemberIndex index) const { return records_[index]; }
 
     /// Whether the member is known, and alive or suspect.
@@ -53,6 +55,7 @@
     /// Live members, this process not counted.
     std::size_t live_count() const { return live_count_; }
 
+    /// Known members that are dead or have left, until the retention drops them.
     const std::vector<MemberIndex>& departed() const { return departed_; }
 
     /// Known members, live or departed.
--- a/src/membership/membership_state.hpp
+++ b/src/membership/membership_state.hpp
@@ -17,6 +17,8 @@
 
 /// Owned by the membership table; its parts hold references.
 struct MembershipState {
+    /// `is_index_table_shared`: whether other tables use `index_table` too; `random_seed` seeds its random
+    /// choices.
     MembershipState(MemberIndexTable& index_table, bool is_index_table_shared,
                     const MembershipSettings& initial_settings, const LocalMember& local_member,
                     std::uint64_t random_seed);
--- a/src/membership/membership_table.hpp
+++ b/src/membership/membership_table.hpp
@@ -90,15 +90,19 @@
     /// Takes new settings and seeds over; members and suspicions stay.
     void reconfigure(const MembershipSettings& settings, std::vector<Endpoint> seeds);
 
+    /// This process as a member: id and endpoint.
     const LocalMember& local_member() const { return state_.local; }
+    /// This process's incarnation, raised above that of a suspicion of itself to refute it.
     std::uint32_t incarnation() const { return state_.local_incarnation; }
 
     /// Whether a process that started later holds this process's id.
     bool is_displaced() const { return state_.is_displaced; }
+    /// Whether this process has begun to announce that it leaves.
     bool is_leaving() const { return state_.is_leaving; }
 
     /// Alive and suspect members, this process not counted.
     std::size_t live_count() const { return state_.records.live_count(); }
+    /// Suspect members.
     std::size_t suspect_count() const { return state_.suspicions.size(); }
 
     /// All known members but this process, by id.
@@ -113,6 +117,7 @@
     /// The part of an alive member in the digest, which is the sum of these.
     static std::uint64_t member_digest(const std::string& id, const Endpoint& endpoint);
 
+    /// Counts of messages and changes since the start.
     const Counters& counters() const { return state_.counters; }
 
 private:
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -20,6 +20,7 @@
 /// State of a member. The values are the ones on the wire.
 enum class MemberState : std::uint8_t { alive, suspect, dead, left };
 
+/// The state's name in log lines and on the admin address, such as "alive".
 const char* to_string(MemberState state);
 
 /// Whether a member in this state takes no part any more: it is dead or has left.
--- a/src/membership/random_source.hpp
+++ b/src/membership/random_source.hpp
@@ -15,6 +15,7 @@
     /// Tables with one seed and different streams draw independent numbers.
     RandomSource(std::uint64_t seed, std::uint64_t stream) : generator_(seed, stream) {}
 
+    /// The next number of the stream.
     std::uint32_t next() { return generator_(); }
 
     /// Uniform in [0, bound); the bound is not zero.
--- a/src/membership/relay_table.hpp
+++ b/src/membership/relay_table.hpp
@@ -23,7 +23,9 @@
 /// Open relays by the sequence number of this process's own ping. Bounded, as strangers can cause entries.
 class RelayTable {
 public:
+    /// Whether no more relays may be opened.
     bool is_full() const { return relays_.size() >= max_relays; }
+    /// Opens a relay for this process's ping with `sequence`.
     void add(std::uint32_t sequence, const Relay& relay) { relays_[sequence] = relay; }
 
     /// Removes and returns the relay that the answer with this number belongs to.
@@ -35,6 +37,7 @@
     /// `never` if there is no relay.
     Timestamp next_deadline() const;
 
+    /// Drops all relays.
     void clear() { relays_.clear(); }
 
 private:
--- a/src/membership/suspicion_table.hpp
+++ b/src/membership/suspicion_table.hpp
@@ -42,6 +42,7 @@
     /// Distinct members that hold the suspicion, the latest last.
     std::vector<MemberIndex> accusers;
 
+    /// When the suspicion is next due: its recheck, or once rechecked, its expiry.
     Timestamp next_deadline() const { return is_rechecked ? expires_at : recheck_at; }
 };
 
@@ -52,6 +53,7 @@
 public:
     /// What the owner has to do for a suspicion whose deadline has come.
     enum class DueAction : std::uint8_t { recheck, declare_dead };
+    /// A suspicion whose deadline has come, with what to do.
     struct Due {
         MemberIndex member;
         DueAction action;
@@ -84,6 +86,7 @@
     /// Members that this process's own probes found silent.
     std::vector<MemberIndex> raised_locally() const;
 
+    /// Suspicions held.
     std::size_t size() const { return suspicions_.size(); }
 
 private:
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -21,6 +21,7 @@
     /// The address without its port.
     connection_admission::IpAddress ip() const;
 
+    /// Whether both are the same socket address, byte for byte.
     bool operator==(const Address& other) const { return std::memcmp(&raw, &other.raw, sizeof raw) == 0; }
 };
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -15,6 +15,7 @@
 /// Sends requests and reports their responses. Requests that are open when it is destroyed are dropped silently.
 class HttpClient {
 public:
+    /// What a request came to.
     struct Response {
         /// 0: no complete response came by the deadline.
         int status = 0;
@@ -25,6 +26,7 @@
     /// A response with a longer body counts as none.
     static constexpr std::size_t max_response_bytes = 4U << 20U;
 
+    /// `timers` holds the deadline of each request.
     HttpClient(Loop& loop, base::TimerQueue& timers);
     ~HttpClient();
     HttpClient(const HttpClient&) = delete;
@@ -40,6 +42,7 @@
         request(address, "GET", path, "", deadline, std::move(on_response));
     }
 
+    /// Requests that were sent and have not been reported yet.
     std::size_t requests_in_flight() const { return pending_requests_.size(); }
 
 private:
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -26,6 +26,7 @@
     /// `on_connection` may call Stream::accept; it is called again on each turn of the loop while a connection waits.
     /// Throws SocketError when the address cannot be listened on.
     Listener(uv_loop_t* loop, const Address& address, std::function<void()> on_connection);
+    /// As above, on the endpoint's address, or on its inherited socket where `inherited_fd` is not negative.
     Listener(uv_loop_t* loop, const ListenEndpoint& endpoint, std::function<void()> on_connection);
     ~Listener();
     Listener(const Listener&) = delete;
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -19,6 +19,7 @@
     Loop(const Loop&) = delete;
     Loop& operator=(const Loop&) = delete;
 
+    /// The system clock as a Unix time in microseconds.
     base::Timestamp unix_now() override;
 
     /// Calls `handler` on the loop for each delivery of `signal`.
@@ -26,6 +27,7 @@
 
     /// Runs until stop().
     void run();
+    /// Ends run() after the present turn of the loop; handles stay open.
     void stop();
 
     /// Handles what is ready; with `wait`, waits for the next event if nothing is.
--- a/src/net/socket_error.hpp
+++ b/src/net/socket_error.hpp
@@ -15,7 +15,9 @@
           operation_(std::move(operation)),
           reason_(std::move(reason)) {}
 
+    /// What failed, with the value that it failed for.
     const std::string& operation() const { return operation_; }
+    /// Why it failed, such as the system's text for the error.
     const std::string& reason() const { return reason_; }
 
 private:
