--- a/src/platform/directory_reporter.hpp
+++ b/src/platform/directory_reporter.hpp
@@ -12,8 +12,10 @@
 /// Keeps this server's entry in the directory alive. One report is under way at a time, on a connection that is kept.
 class DirectoryReporter final : public ReconnectingLink {
 public:
+    /// What a report says: this server takes requests, or no longer does.
     enum class Mode { open, closed };
 
+    /// `address`: the directory's, from the node configuration; `node_name`: this server's entry there.
     DirectoryReporter(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
                       connection_admission::FileDescriptorBudget& descriptors, std::string node_name);
     ~DirectoryReporter() override;
@@ -24,8 +26,11 @@
     /// Reports to another directory at once.
     void set_address(const net::Address& address);
 
+    /// net::Stream::Owner: the link is open; the report under way is sent.
     void on_open() override;
+    /// net::Stream::Owner: reads the directory's HTTP response to the report.
     void on_bytes(std::string_view bytes) override;
+    /// net::Stream::Owner: the link is over, or was `refused`.
     void on_end(bool refused) override;
 
 private:
--- a/src/platform/engine_client.hpp
+++ b/src/platform/engine_client.hpp
@@ -33,17 +33,30 @@
     /// Moves the link there at once. It continues after the last notice read: none is lost or handled twice.
     void set_address(const net::Address& address);
 
+    /// request::Executor: sends RUN for the request to the engine.
     void run(const request::Work& work) override;
+    /// request::Executor: sends HALT for the request's run.
     void suspend(request::RequestId request_id) override;
+    /// request::Executor: sends RESUME for the request's run.
     void resume(request::RequestId request_id) override;
+    /// request::Executor: sends FEED with the reply of the run's dependency call.
     void deliver_call_reply(request::RequestId request_id, std::string_view reply) override;
+    /// request::Executor: sends SKIP: the run goes on without the dependency call `call_id`.
     void skip_call(request::RequestId request_id, std::uint64_t call_id) override;
+    /// request::Executor: sends STAT. Returns false where the link is not in sync with
+    /// the engine.
     bool request_gauges(std::uint64_t query_id) override;
+    /// request::Executor: sends TEST. Returns false where the link is not in sync with
+    /// the engine.
     bool request_health_check(std::uint64_t query_id) override;
+    /// request::Executor: the request has ended: forgets its run and the run's name.
     void release(request::RequestId request_id) override;
 
+    /// net::Stream::Owner: the link is open; ATTACH names the last notice read.
     void on_open() override;
+    /// net::Stream::Owner: reads the engine's messages and notices.
     void on_bytes(std::string_view bytes) override;
+    /// net::Stream::Owner: the link is over, or was `refused`; it is opened again after a backoff.
     void on_end(bool refused) override;
 
 private:
--- a/src/platform/engine_protocol.hpp
+++ b/src/platform/engine_protocol.hpp
@@ -37,6 +37,7 @@
 /// A notice of which only the number counts.
 struct Remark {};
 
+/// A numbered message of the engine about a run; the engine numbers them without gaps.
 struct Notice {
     std::uint64_t number = 0;
     std::variant<Remark, RunEnded, CallNeeded> content;
@@ -74,6 +75,7 @@
 /// A message that this version does not know, or that lacks a field.
 struct Ignored {};
 
+/// Any one message of the engine, as `parse_message` reads it.
 using Message =
     std::variant<Ignored, Notice, MalformedNotice, GaugesReply, HealthCheckReply, Hello, CommandRejected>;
 
@@ -86,12 +88,19 @@
 
 /// Asks for all notices after `last_notice`.
 std::string encode_attach(std::uint64_t last_notice);
+/// RUN: starts a run of the class with the request's body.
 std::string encode_run(std::string_view run_name, std::string_view class_name, std::string_view body);
+/// RESUME: lets a suspended run go on.
 std::string encode_resume(std::string_view run_name);
+/// HALT: suspends a run.
 std::string encode_halt(std::string_view run_name);
+/// FEED: the reply of a run's dependency call.
 std::string encode_call_reply(std::string_view run_name, std::string_view body);
+/// SKIP: the run goes on without the dependency call of notice `notice`.
 std::string encode_skip_call(std::string_view run_name, std::uint64_t notice);
+/// STAT: asks for the engine's gauges; the reply carries `tag`.
 std::string encode_gauges_query(std::string_view tag);
+/// TEST: asks for a health check; the reply carries `query_id`.
 std::string encode_health_check(std::uint64_t query_id);
 
 }  // namespace cressledge::platform::engine_protocol
--- a/src/platform/line_reader.hpp
+++ b/src/platform/line_reader.hpp
@@ -19,15 +19,19 @@
 /// appended at a time.
 class LineReader {
 public:
+    /// Where the message under way stands.
     enum class Status { incomplete, complete, malformed };
 
     /// Whether a message with these words (never none) has a body. Its last word is then the body's length.
     using BodyRule = bool (*)(const std::vector<std::string_view>& words);
 
+    /// `max_body_bytes`: a longer body is malformed; `has_body` tells which messages have one.
     LineReader(std::size_t max_body_bytes, BodyRule has_body)
         : max_body_bytes_(max_body_bytes), has_body_(has_body) {}
 
+    /// Adds bytes read from the link.
     void append(std::string_view bytes) { buffer_.append(bytes); }
+    /// Drops what is buffered, as when a link is opened again.
     void clear();
 
     /// Takes the next message. After `malformed` the stream cannot be read any further.
--- a/src/platform/platform_node.hpp
+++ b/src/platform/platform_node.hpp
@@ -32,8 +32,13 @@
     /// Reads the configuration again: new addresses of the peers, new settings. An invalid file changes nothing.
     void reload(const std::string& path);
 
+    /// request::ConnectionSettingsSink: the idle timeout of the callers' connections, set by an
+    /// action of the admission controller.
     void set_idle_timeout(base::Duration timeout) override { shutdown_coordinator_.set_idle_limit(timeout); }
+    /// admin::AdminSource: whether the request manager has started and is not draining.
     bool is_ready() override;
+    /// admin::AdminSource: counts of each class, of connections, and of configurations
+    /// applied and rejected.
     void collect_metrics(base::Metrics& out) override;
 
     /// The port that callers connect to.
--- a/src/platform/reconnecting_link.hpp
+++ b/src/platform/reconnecting_link.hpp
@@ -12,6 +12,7 @@
 /// `stream_` and decide when to connect again.
 class ReconnectingLink : public net::Stream::Owner {
 public:
+    /// `address`: the peer's; each connection takes a descriptor lease of `descriptors`.
     ReconnectingLink(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
                      connection_admission::FileDescriptorBudget& descriptors);
     ~ReconnectingLink() override;
--- a/src/platform/records_client.hpp
+++ b/src/platform/records_client.hpp
@@ -20,6 +20,7 @@
 /// The shared dependency of the platform's runs. Never retries a call: that is the admission controller's decision.
 class RecordsClient final : public request::DependencyClient {
 public:
+    /// `address`: the records service's; at most `max_connections` are open at a time.
     RecordsClient(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
                   std::size_t max_connections, request::RequestManager& request_manager,
                   connection_admission::FileDescriptorBudget& descriptors);
@@ -27,8 +28,11 @@
     RecordsClient(const RecordsClient&) = delete;
     RecordsClient& operator=(const RecordsClient&) = delete;
 
+    /// request::DependencyClient: sends the call on an idle connection, or on a new one while
+    /// fewer than `max_connections` are open; `deadline` is absolute.
     void call(request::RequestId request_id, std::string_view name, std::string_view body,
               base::Timestamp deadline) override;
+    /// request::DependencyClient: the outcome is no longer reported; the call's connection is closed.
     void abandon(request::RequestId request_id) override;
 
     /// New calls go there from now on. A call that was sent ends where it is, while its connection stands.
