--- a/src/request/executor_queries.hpp
+++ b/src/request/executor_queries.hpp
@@ -18,6 +18,7 @@
     using GaugesHandler = std::function<void(const policy::Gauges&)>;
     using HealthHandler = std::function<void(bool passed)>;
 
+    /// `timers` holds the time-out of each question.
     explicit ExecutorQueries(base::TimerQueue& timers) : timers_(timers) {}
 
     /// Asks for gauges. Without an answer the handler gets empty ones.
@@ -31,6 +32,7 @@
 
     /// The answers of the executor.
     void gauges_received(std::uint64_t query_id, const policy::Gauges& gauges);
+    /// The executor's answer to health check `query_id`; a late or unknown one is dropped.
     void health_check_finished(std::uint64_t query_id, bool passed);
 
 private:
--- a/src/request/idempotency_store.hpp
+++ b/src/request/idempotency_store.hpp
@@ -27,6 +27,7 @@
     bool operator==(const PayloadDigest&) const = default;
 };
 
+/// The 128-bit XXH3 hash of a request's payload, to tell a repeat from another request under the same key.
 PayloadDigest digest_payload(std::string_view payload);
 
 /// A retained key.
@@ -59,6 +60,7 @@
     /// Called once for each repeat: with a record that succeeded and its result, or with one that did not.
     using ReplayHandler = std::function<void(RequestId repeat_id, const IdempotencyRecord& record)>;
 
+    /// `timers` holds the expiry of each record; `replay` is told of each repeat.
     IdempotencyStore(base::TimerQueue& timers, ReplayHandler replay)
         : timers_(timers), replay_(std::move(replay)) {}
 
--- a/src/request/request_counters.hpp
+++ b/src/request/request_counters.hpp
@@ -39,8 +39,11 @@
 /// Counts by the names of classes, so that a class keeps its figures over changes of the settings.
 class RequestCounters {
 public:
+    /// Counts a request that was submitted.
     void count_received() { ++totals_.received; }
+    /// Counts a request that its caller gave up.
     void count_cancelled() { ++totals_.cancelled; }
+    /// Counts a run that the executor reported as ended.
     void count_run_finished() { ++totals_.runs_finished; }
 
     /// Counts a run handed to the executor. An unknown class index counts as class "unknown", here as below.
@@ -55,7 +58,9 @@
     /// Counts the latency of a served request.
     void count_latency(const policy::Settings& settings, std::size_t class_index, Duration latency);
 
+    /// Counts of all classes together since the start.
     const RequestCounts& totals() const { return totals_; }
+    /// Counts by the names of classes since the start.
     const std::map<std::string, ClassCounts>& by_class() const { return by_class_; }
 
 private:
--- a/src/request/request_manager.hpp
+++ b/src/request/request_manager.hpp
@@ -62,12 +62,14 @@
 
     /// Begins to admit requests: the executor is up. Its start may lie back a little. Later calls do nothing.
     void start(Timestamp executor_started_at);
+    /// Whether `start` has been called.
     bool started() const { return started_; }
 
     // ---- settings ----
 
     /// The index of a class or tenant in the newest settings; `policy::unknown_index` where there is none.
     std::size_t class_index_of(std::string_view name) const;
+    /// As `class_index_of`, for a tenant.
     std::size_t tenant_index_of(std::string_view name) const;
 
     /// The newest settings.
@@ -96,7 +98,9 @@
 
     /// Begins the graceful shutdown: the process ends at `deadline`. Later calls do nothing.
     void drain(Timestamp deadline);
+    /// Whether the graceful shutdown has begun.
     bool draining() const { return draining_; }
+    /// The absolute time at which the process ends; meaningful while draining only.
     Timestamp shutdown_deadline() const { return shutdown_deadline_; }
 
     /// Reports whether the process is healthy, at once or later. A deep check asks the executor where the controller
@@ -119,6 +123,7 @@
 
     /// Answers to `Executor::request_gauges` and `Executor::request_health_check`.
     void gauges_received(std::uint64_t query_id, const policy::Gauges& gauges);
+    /// The executor's answer to health check `query_id`.
     void health_check_finished(std::uint64_t query_id, bool passed);
 
     // ---- estimates and figures ----
@@ -132,6 +137,7 @@
     /// Gives saved estimates to the newest controller. Has an effect before `start` only.
     void restore(const policy::Estimates& estimates) { generations_.newest().controller->restore(estimates); }
 
+    /// Counts of all classes together since the start.
     const RequestCounts& counts() const { return counters_.totals(); }
     /// By the names of classes.
     const std::map<std::string, ClassCounts>& counts_by_class() const { return counters_.by_class(); }
--- a/src/request/settings_generations.hpp
+++ b/src/request/settings_generations.hpp
@@ -22,6 +22,7 @@
 /// last request has been released. There is always at least one.
 class SettingsGenerations {
 public:
+    /// The first generation, with serial number 0.
     SettingsGenerations(policy::Settings settings, std::unique_ptr<policy::AdmissionController> controller);
 
     /// Adds a newest generation and gives its controller the estimates of the one before.
@@ -30,11 +31,16 @@
     /// The generation of that serial number; null where it has been dropped.
     SettingsGeneration* find(std::uint64_t serial);
 
+    /// The generation that takes new requests.
     SettingsGeneration& newest() { return generations_.back(); }
+    /// The generation that takes new requests.
     const SettingsGeneration& newest() const { return generations_.back(); }
 
+    /// Serial number of the oldest generation that is kept.
     std::uint64_t oldest_serial() const { return oldest_serial_; }
+    /// Serial number of the newest generation; serial numbers have no gaps.
     std::uint64_t newest_serial() const { return oldest_serial_ + generations_.size() - 1; }
+    /// Generations kept; at least one.
     std::size_t size() const { return generations_.size(); }
 
     /// Drops the oldest generations as far as they have no open request. The newest always stays.
--- a/src/retry/hedge_policy.hpp
+++ b/src/retry/hedge_policy.hpp
@@ -14,6 +14,7 @@
 /// constant space (the P-square algorithm, Jain and Chlamtac, 1985).
 class HedgePolicy {
 public:
+    /// `settings.hedge_quantile`: the quantile of the latency after which a second attempt is sent.
     explicit HedgePolicy(const RetrySettings& settings)
         : settings_(settings),
           quantile_(boost::accumulators::quantile_probability = settings.hedge_quantile) {}
--- a/src/retry/retry_budget.hpp
+++ b/src/retry/retry_budget.hpp
@@ -15,10 +15,12 @@
     static constexpr double default_initial_tokens = 5.0;
     static constexpr double default_max_tokens = 100.0;
 
+    /// `ratio`: tokens earned by each first attempt; from `routing.retries.share` of an operator's file.
     explicit RetryBudget(double ratio = default_ratio, double initial_tokens = default_initial_tokens,
                          double max_tokens = default_max_tokens)
         : ratio_(ratio), max_tokens_(max_tokens), tokens_(initial_tokens) {}
 
+    /// Earns `ratio` tokens, up to `max_tokens`.
     void on_first_attempt() { tokens_ = tokens_ + ratio_ < max_tokens_ ? tokens_ + ratio_ : max_tokens_; }
 
     /// Takes a token for one retry or hedged request; false if there is none.
