--- a/bench/flood.py
+++ b/bench/flood.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Rehearses floods against a built cressledge: 5,000 connections from one loopback address, beside a
+"""Runs flood experiments against a built cressledge: 5,000 connections from one loopback address, beside a
 caller on another.
 
 Use: bench/flood.py build/cressledge [--plain]     (--plain: no admission section, for versions before it)
--- a/bench/restart.py
+++ b/bench/restart.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Rehearses a restart: the first 10 s of a cold start against one with restored knowledge, right and wrong
+"""Restart experiment: the first 10 s of a cold start against one with restored knowledge, right and wrong
 by 4 times.
 
 Use: bench/restart.py build/cressledge [REPEATS]
--- a/bench/rollout_rig.cpp
+++ b/bench/rollout_rig.cpp
@@ -11,7 +11,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "experiment/rehearsal.hpp"
+#include "experiment/rollout_testbed.hpp"
 
 namespace {
 
@@ -24,7 +24,7 @@
     std::fflush(stdout);
 }
 
-ordered_json judged(experiment::Rehearsal& r, const std::string& plan, int status) {
+ordered_json judged(experiment::RolloutTestbed& r, const std::string& plan, int status) {
     ordered_json j = {{"status", status}};
     const json report = r.report(plan);
     if (!report.is_object())
@@ -44,7 +44,7 @@
 }
 
 // One roll from beginning to end.
-void one(experiment::Rehearsal& r, const std::string& what, const std::string& change, double most_s) {
+void one(experiment::RolloutTestbed& r, const std::string& what, const std::string& change, double most_s) {
     const std::string plan = r.plan(what, change);
     r.forget();
     const auto before = r.driver().total();
@@ -75,7 +75,7 @@
     say(j);
 }
 
-void kills(experiment::Rehearsal& r, int times, std::uint64_t seed) {
+void kills(experiment::RolloutTestbed& r, int times, std::uint64_t seed) {
     pcg32 random(seed, 31);
     int resumed = 0, astray = 0, done = 0, reverted = 0;
     for (int k = 0; k < times; ++k) {
@@ -159,7 +159,7 @@
         {
             base::TimerQueue timers;
             net::Loop loop(timers);
-            experiment::Rehearsal r(loop, timers, scene);
+            experiment::RolloutTestbed r(loop, timers, scene);
             r.up();
             r.run(3.0);
             std::ofstream(scene.folder + "/good-settings.yaml") << "routing: {policy: probe-pool}\n";
--- a/tests/cressledge/rollout_test.cpp
+++ b/tests/cressledge/rollout_test.cpp
@@ -2,7 +2,7 @@
 #include <filesystem>
 
 #include "emulator/roll.hpp"
-#include "experiment/rehearsal.hpp"
+#include "experiment/rollout_testbed.hpp"
 #include "support.hpp"
 
 namespace {
@@ -41,12 +41,12 @@
 
 namespace {
 
-struct RehearsalFixture {
+struct RolloutTestbedFixture {
     TestLoop test_loop;
     TemporaryDirectory directory;
     experiment::Scene scene;
-    std::unique_ptr<experiment::Rehearsal> rehearsal;
-    RehearsalFixture() {
+    std::unique_ptr<experiment::RolloutTestbed> testbed;
+    RolloutTestbedFixture() {
         scene.program = CRESSLEDGE_PROGRAM;
         scene.faulty = CRESSLEDGE_FAULTY;
         scene.folder = directory.path + "/run";
@@ -60,16 +60,16 @@
         scene.look_ms = 200;
         scene.least = 10.0;
         std::filesystem::create_directory(scene.folder);
-        rehearsal = std::make_unique<experiment::Rehearsal>(test_loop.loop, test_loop.timers, scene);
-        rehearsal->up();
+        testbed = std::make_unique<experiment::RolloutTestbed>(test_loop.loop, test_loop.timers, scene);
+        testbed->up();
     }
-    ~RehearsalFixture() {
-        rehearsal.reset();
+    ~RolloutTestbedFixture() {
+        testbed.reset();
         std::filesystem::remove_all(scene.folder);
     }
     int run_rollout(const std::string& plan) {
-        const auto controller = rehearsal->start(plan);
-        return rehearsal->wait(*controller, 60.0);
+        const auto controller = testbed->start(plan);
+        return testbed->wait(*controller, 60.0);
     }
 };
 
@@ -78,60 +78,60 @@
 TEST_CASE(
     "rollout of real processes: settings and a program pass every stage, one that never starts is rolled "
     "back, and no request is lost") {
-    RehearsalFixture fixture;
+    RolloutTestbedFixture fixture;
     std::ofstream(fixture.scene.folder + "/pool.yaml") << "routing: {policy: round-robin}\n";
-    const std::string settings = fixture.rehearsal->plan("settings", "{settings: pool.yaml}");
+    const std::string settings = fixture.testbed->plan("settings", "{settings: pool.yaml}");
     CHECK(fixture.run_rollout(settings) == 0);
-    CHECK(fixture.rehearsal->astray(settings, true).empty());
-    for (const auto& p : fixture.rehearsal->processes())
+    CHECK(fixture.testbed->astray(settings, true).empty());
+    for (const auto& p : fixture.testbed->processes())
         CHECK(p["overlay"] == "routing: {policy: round-robin}\n");
     // It has finished already.
     CHECK(fixture.run_rollout(settings) == 0);
     const std::string program =
-        fixture.rehearsal->plan("program", "{program: " + fixture.rehearsal->faulty("none") + '}');
+        fixture.testbed->plan("program", "{program: " + fixture.testbed->faulty("none") + '}');
     CHECK(fixture.run_rollout(program) == 0);
-    CHECK(fixture.rehearsal->astray(program, true).empty());
-    for (const auto& p : fixture.rehearsal->processes())
+    CHECK(fixture.testbed->astray(program, true).empty());
+    for (const auto& p : fixture.testbed->processes())
         CHECK(p["starts"] == 2);
-    const std::string never = fixture.rehearsal->plan("never", "{program: /nowhere/cressledge}");
+    const std::string never = fixture.testbed->plan("never", "{program: /nowhere/cressledge}");
     CHECK(fixture.run_rollout(never) == 1);
-    CHECK(fixture.rehearsal->astray(never, true).empty());
-    CHECK(fixture.rehearsal->report(never)["why"].get<std::string>().find("ended before it was ready") !=
+    CHECK(fixture.testbed->astray(never, true).empty());
+    CHECK(fixture.testbed->report(never)["why"].get<std::string>().find("ended before it was ready") !=
           std::string::npos);
     std::ofstream(fixture.scene.folder + "/bad.yaml") << "cores: many\n";
-    const std::string bad = fixture.rehearsal->plan("bad", "{settings: bad.yaml}");
+    const std::string bad = fixture.testbed->plan("bad", "{settings: bad.yaml}");
     CHECK(fixture.run_rollout(bad) == 1);
-    INFO(fixture.rehearsal->report(bad)["why"].dump());
-    CHECK(fixture.rehearsal->report(bad)["why"].get<std::string>().find("cores: not a number") !=
+    INFO(fixture.testbed->report(bad)["why"].dump());
+    CHECK(fixture.testbed->report(bad)["why"].get<std::string>().find("cores: not a number") !=
           std::string::npos);
-    CHECK(fixture.rehearsal->settle(20.0) == "");
-    CHECK(fixture.rehearsal->driver().total().count(load_generator::End::failed) == 0);
+    CHECK(fixture.testbed->settle(20.0) == "");
+    CHECK(fixture.testbed->driver().total().count(load_generator::End::failed) == 0);
 }
 
 TEST_CASE(
     "rollout of real processes: a killed controller continues, and another rollout is rejected meanwhile") {
-    RehearsalFixture fixture;
+    RolloutTestbedFixture fixture;
     const std::string plan =
-        fixture.rehearsal->plan("first", "{program: " + fixture.rehearsal->faulty("none") + '}');
+        fixture.testbed->plan("first", "{program: " + fixture.testbed->faulty("none") + '}');
     const std::string second =
-        fixture.rehearsal->plan("second", "{program: " + fixture.rehearsal->faulty("also-none") + '}');
-    auto controller = fixture.rehearsal->start(plan);
+        fixture.testbed->plan("second", "{program: " + fixture.testbed->faulty("also-none") + '}');
+    auto controller = fixture.testbed->start(plan);
     const auto updated_count = [&fixture] {
-        const auto all = fixture.rehearsal->processes();
+        const auto all = fixture.testbed->processes();
         return std::count_if(all.begin(), all.end(),
                              [&](const auto& p) { return p["program"] != fixture.scene.program; });
     };
     fixture.test_loop.run_until([&] { return updated_count() >= 1; });
     controller->signal(SIGKILL);
-    CHECK(fixture.rehearsal->wait(*controller, 10.0) == -1);
-    CHECK(fixture.rehearsal->astray(plan, false).empty());
+    CHECK(fixture.testbed->wait(*controller, 10.0) == -1);
+    CHECK(fixture.testbed->astray(plan, false).empty());
     CHECK(fixture.run_rollout(second) == 3);
     // Of the calls of the controller.
-    fixture.rehearsal->wire(0).loss(0.3);
+    fixture.testbed->wire(0).loss(0.3);
     CHECK(fixture.run_rollout(plan) == 0);
     CHECK(updated_count() == 6);
-    CHECK(fixture.rehearsal->astray(plan, true).empty());
-    fixture.rehearsal->wire(0).loss(0.0);
+    CHECK(fixture.testbed->astray(plan, true).empty());
+    fixture.testbed->wire(0).loss(0.0);
     CHECK(fixture.run_rollout(second) == 0);
-    CHECK(fixture.rehearsal->settle(20.0) == "");
+    CHECK(fixture.testbed->settle(20.0) == "");
 }
--- a/tools/experiment/rehearsal.cpp
+++ b/tools/experiment/rollout_testbed.cpp
@@ -1,4 +1,4 @@
-#include "experiment/rehearsal.hpp"
+#include "experiment/rollout_testbed.hpp"
 
 #include <signal.h>
 #include <unistd.h>
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-Rehearsal::Rehearsal(net::Loop& loop, base::TimerQueue& timers, const Scene& scene)
+RolloutTestbed::RolloutTestbed(net::Loop& loop, base::TimerQueue& timers, const Scene& scene)
     : loop_(loop), timers_(timers), scene_(scene), asks_(loop, timers) {
     fake_upstream::Plan servers;
     fake_upstream::Nature nature;
@@ -78,7 +78,7 @@
     }
 }
 
-Rehearsal::~Rehearsal() {
+RolloutTestbed::~RolloutTestbed() {
     timers_.cancel(watch_);
     // The supervisors end their processes themselves, if they are told and not killed.
     for (const auto& c : children_)
@@ -89,7 +89,7 @@
         run(0.05);
 }
 
-void Rehearsal::run(double seconds) {
+void RolloutTestbed::run(double seconds) {
     const Timestamp until = loop_.unix_now() + span(seconds);
     base::TimerQueue::Handle end = timers_.schedule(until, [] {});
     while (loop_.unix_now() < until)
@@ -97,7 +97,7 @@
     timers_.cancel(end);
 }
 
-std::vector<json> Rehearsal::processes() {
+std::vector<json> RolloutTestbed::processes() {
     std::vector<json> all;
     for (const std::string& control : controls_)
         asks_.get(*net::Address::parse(control), "/v1/processes", loop_.unix_now() + answer_within,
@@ -112,7 +112,7 @@
     return all;
 }
 
-void Rehearsal::up() {
+void RolloutTestbed::up() {
     for (std::size_t s = 0; s < scene_.supervisors; ++s)
         children_.push_back(std::make_unique<fault_injection::Child>(
             loop_,
@@ -150,7 +150,7 @@
 }
 
 // Who runs another program now, a few times a second.
-void Rehearsal::watch() {
+void RolloutTestbed::watch() {
     for (const std::string& control : controls_)
         asks_.get(*net::Address::parse(control), "/v1/processes", loop_.unix_now() + answer_within,
                   [this](const net::HttpClient::Response& r) {
@@ -167,18 +167,18 @@
     watch_ = timers_.schedule(loop_.unix_now() + watch_every, [this] { watch(); });
 }
 
-double Rehearsal::met() const {
+double RolloutTestbed::met() const {
     return all_ == 0 ? 0.0 : static_cast<double>(met_) / static_cast<double>(all_);
 }
 
-std::string Rehearsal::faulty(const std::string& fault) {
+std::string RolloutTestbed::faulty(const std::string& fault) {
     const std::string path = file("cressledge-" + fault);
     if (!std::filesystem::exists(path))
         std::filesystem::create_symlink(scene_.faulty, path);
     return path;
 }
 
-std::string Rehearsal::plan(const std::string& name, const std::string& change) {
+std::string RolloutTestbed::plan(const std::string& name, const std::string& change) {
     const std::string path = file(name + ".roll.yaml");
     std::ofstream out(path);
     out << "name: " << name << "\nsupervisors: [";
@@ -191,7 +191,7 @@
     return path;
 }
 
-std::unique_ptr<fault_injection::Child> Rehearsal::start(const std::string& plan) {
+std::unique_ptr<fault_injection::Child> RolloutTestbed::start(const std::string& plan) {
     const std::string stem = plan.substr(0, plan.size() - std::string(".roll.yaml").size());
     return std::make_unique<fault_injection::Child>(
         loop_,
@@ -200,19 +200,19 @@
         stem + ".log");
 }
 
-int Rehearsal::wait(fault_injection::Child& controller, double most_s) {
+int RolloutTestbed::wait(fault_injection::Child& controller, double most_s) {
     const Timestamp end = loop_.unix_now() + span(most_s);
     while (controller.running() && loop_.unix_now() < end)
         run(0.02);
     return controller.running() ? -2 : controller.status();
 }
 
-json Rehearsal::report(const std::string& plan) const {
+json RolloutTestbed::report(const std::string& plan) const {
     std::ifstream in(plan.substr(0, plan.size() - std::string(".roll.yaml").size()) + ".json");
     return json::parse(in, nullptr, false);
 }
 
-std::optional<rollout::RolloutState> Rehearsal::state(const std::string& plan) const {
+std::optional<rollout::RolloutState> RolloutTestbed::state(const std::string& plan) const {
     store::PosixFileSystem files(plan.substr(0, plan.size() - std::string(".roll.yaml").size()) + ".state");
     store::Store kept(files);
     if (kept.open_read_only() != 0)
@@ -223,7 +223,7 @@
     return rollout::from_json(json::parse(it->second, nullptr, false));
 }
 
-std::string Rehearsal::astray(const std::string& plan, bool ended) {
+std::string RolloutTestbed::astray(const std::string& plan, bool ended) {
     const auto s = state(plan);
     for (const json& p : processes()) {
         const rollout::ProcessSpec spec{p["program"], p["overlay"]};
@@ -250,7 +250,7 @@
     return "";
 }
 
-std::string Rehearsal::settle(double most_s) {
+std::string RolloutTestbed::settle(double most_s) {
     driver_->stop();
     const Timestamp end = loop_.unix_now() + span(most_s);
     while (driver_->open() > 0 && loop_.unix_now() < end)
@@ -268,7 +268,7 @@
     return wrong;
 }
 
-void Rehearsal::kill(const std::string& id) {
+void RolloutTestbed::kill(const std::string& id) {
     for (const json& p : processes())
         if (p["id"] == id && p["pid"] != 0)
             ::kill(p["pid"].get<pid_t>(), SIGKILL);
--- a/tools/experiment/rehearsal.hpp
+++ b/tools/experiment/rollout_testbed.hpp
@@ -1,5 +1,6 @@
-// A roll with real processes: supervisors with the program under them, stand-in servers behind, steady load in front, and
-// the roll's controller as a process of its own that may be killed. Counts what every request came to.
+// Rollout testbed: a rollout on real processes. Supervisors run the program, fake upstreams stand behind it, a load
+// generator sends steady load in front of it, and the rollout controller runs as a process of its own that may be
+// killed. Counts the outcome of every request.
 #pragma once
 
 #include <memory>
@@ -21,6 +22,7 @@
 using base::Duration;
 using base::Timestamp;
 
+// The shape of a testbed: programs, folder, fleet size, load and rollout stages.
 struct Scene {
     std::string program, faulty;  // cressledge, and the program with faults
     std::string folder;  // for files and logs; it exists
@@ -33,10 +35,11 @@
     std::uint64_t seed = 1;
 };
 
-class Rehearsal {
+// A running testbed; the destructor stops every process it started.
+class RolloutTestbed {
 public:
-    Rehearsal(net::Loop& loop, base::TimerQueue& timers, const Scene& scene);
-    ~Rehearsal();
+    RolloutTestbed(net::Loop& loop, base::TimerQueue& timers, const Scene& scene);
+    ~RolloutTestbed();
 
     void up();  // until every process is ready; then load. Throws std::runtime_error
     void run(double seconds);
--- a/tools/fault_injection/faulty_main.cpp
+++ b/tools/fault_injection/faulty_main.cpp
@@ -1,4 +1,4 @@
-// The program with one fault, for rehearsals of rolls. Which one is the last word of the name it is started by:
+// The program with one fault, for rollout tests on a real fleet. Which one is the last word of the name it is started by:
 //
 //   ...-tail       3% of the answers take 1.5 s longer
 //   ...-errors     2% of the requests of route-profile fail
