--- a/bench/membership_rig.cpp
+++ b/bench/membership_rig.cpp
@@ -14,7 +14,7 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "fault_injection/crowd.hpp"
+#include "fault_injection/process_cluster.hpp"
 
 namespace {
 
@@ -26,20 +26,20 @@
 struct Rig {
     base::TimerQueue timers;
     net::Loop loop{timers};
-    fault_injection::Crowd crowd;
+    fault_injection::ProcessCluster cluster;
     std::size_t seeds = 3;
-    explicit Rig(const fault_injection::Plan& plan) : crowd(loop, timers, plan) {}
+    explicit Rig(const fault_injection::Plan& plan) : cluster(loop, timers, plan) {}
     Timestamp now() { return loop.unix_now(); }
     void say(const ordered_json& j) {
         std::printf("%s\n", j.dump().c_str());
         std::fflush(stdout);
     }
-    void wait(double seconds) { crowd.run(now() + Duration(static_cast<std::int64_t>(seconds * 1e6))); }
+    void wait(double seconds) { cluster.run(now() + Duration(static_cast<std::int64_t>(seconds * 1e6))); }
     std::size_t add() {
         std::vector<std::size_t> at;
-        for (std::size_t s = 0; s < std::min(seeds, crowd.size()); ++s)
+        for (std::size_t s = 0; s < std::min(seeds, cluster.size()); ++s)
             at.push_back(s);
-        return crowd.add(at);
+        return cluster.add(at);
     }
     // Ms from `since` until each of `whom` saw `expected`; reports median and worst, and who did not by the bound.
     ordered_json spread(const std::vector<std::size_t>& whom, const std::vector<std::size_t>& expected,
@@ -47,7 +47,7 @@
         std::vector<double> ms;
         std::size_t missing = 0;
         for (const auto& s :
-             crowd.until_seen(whom, expected, now() + Duration(static_cast<std::int64_t>(bound_s * 1e6)))) {
+             cluster.until_seen(whom, expected, now() + Duration(static_cast<std::int64_t>(bound_s * 1e6)))) {
             if (s)
                 ms.push_back(static_cast<double>((*s - since).count()) / 1000.0);
             else
@@ -62,7 +62,7 @@
         return j;
     }
     ordered_json spread(Timestamp since, double bound_s) {
-        const auto all = crowd.all_running();
+        const auto all = cluster.all_running();
         return spread(all, all, since, bound_s);
     }
     // Starts all and waits for them; the time counts from when the last process was started.
@@ -79,8 +79,8 @@
     }
     ordered_json sums(std::initializer_list<const char*> names) {
         ordered_json j = ordered_json::object();
-        for (const std::size_t no : crowd.all_running()) {
-            const auto f = crowd.figures(no);
+        for (const std::size_t no : cluster.all_running()) {
+            const auto f = cluster.figures(no);
             for (const char* name : names) {
                 std::string key = "fleet.";
                 const auto it = f.find(key += name);
@@ -96,11 +96,11 @@
     for (int k = 0; k < times; ++k) {
         const std::size_t victim = r.seeds + static_cast<std::size_t>(k);
         const Timestamp at = r.now();
-        r.crowd.signal(victim, SIGKILL);
+        r.cluster.signal(victim, SIGKILL);
         auto j = r.spread(at, 30);
         worst.push_back(j["not_agreed"] == 0 ? j["worst_ms"].get<long>() : -1);
         j["what"] = "kill";
-        j["member"] = r.crowd.id(victim);
+        j["member"] = r.cluster.id(victim);
         r.say(j);
     }
     std::sort(worst.begin(), worst.end());
@@ -115,10 +115,10 @@
     std::vector<long> worst;
     for (int k = 0; k < times; ++k) {
         const std::size_t goer = r.seeds + 40 + static_cast<std::size_t>(k);
-        if (goer >= r.crowd.size())
+        if (goer >= r.cluster.size())
             break;
         const Timestamp at = r.now();
-        r.crowd.signal(goer, SIGTERM);
+        r.cluster.signal(goer, SIGTERM);
         worst.push_back(r.spread(at, 30).value("worst_ms", -1L));
     }
     std::sort(worst.begin(), worst.end());
@@ -131,7 +131,7 @@
 void loss(Rig& r, double seconds, double share) {
     const auto names = {"dead",        "suspicions",  "suspected", "refuted",
                         "refutations", "standstills", "probes",    "indirect_probes"};
-    r.crowd.relay().harm({share, 0.0, Duration(0), Duration(0)});
+    r.cluster.relay().harm({share, 0.0, Duration(0), Duration(0)});
     const Timestamp end = r.now() + Duration(static_cast<std::int64_t>(seconds * 1e6));
     while (r.now() < end) {
         r.wait(std::min(30.0, static_cast<double>((end - r.now()).count()) / 1e6));
@@ -143,23 +143,23 @@
     auto j = r.sums(names);
     j["what"] = "loss";
     j["share"] = share;
-    j["lost"] = r.crowd.relay().counts().lost;
-    j["passed"] = r.crowd.relay().counts().passed;
-    j["crashes"] = r.crowd.crashes();
+    j["lost"] = r.cluster.relay().counts().lost;
+    j["passed"] = r.cluster.relay().counts().passed;
+    j["crashes"] = r.cluster.crashes();
     r.say(j);
 }
 
 void partition(Rig& r, double seconds) {
-    const auto all = r.crowd.all_running();
+    const auto all = r.cluster.all_running();
     std::set<std::string> names;
     std::vector<std::size_t> halves[2];
     for (std::size_t i = 0; i < all.size(); ++i) {
         halves[i % 2].push_back(all[i]);
         if (i % 2 == 0)
-            names.insert(r.crowd.id(all[i]));
+            names.insert(r.cluster.id(all[i]));
     }
     const Timestamp cut = r.now();
-    r.crowd.relay().part(names);
+    r.cluster.relay().part(names);
     for (int h = 0; h < 2; ++h) {
         auto j = r.spread(halves[h], halves[h], cut, seconds);
         j["what"] = "partition, each half of itself";
@@ -167,7 +167,7 @@
     }
     r.wait(std::max(0.0, seconds - static_cast<double>((r.now() - cut).count()) / 1e6));
     const Timestamp healed = r.now();
-    r.crowd.relay().heal();
+    r.cluster.relay().heal();
     auto j = r.spread(healed, 60);
     j["what"] = "heal";
     j["cut_seconds"] = seconds;
@@ -175,30 +175,30 @@
 }
 
 void pause(Rig& r, double seconds) {
-    const std::size_t who = r.crowd.all_running().back();
-    const std::uint64_t before = r.crowd.figures(who)["fleet.suspicions"];
-    r.crowd.signal(who, SIGSTOP);
+    const std::size_t who = r.cluster.all_running().back();
+    const std::uint64_t before = r.cluster.figures(who)["fleet.suspicions"];
+    r.cluster.signal(who, SIGSTOP);
     r.wait(seconds);
     const Timestamp on = r.now();
-    r.crowd.signal(who, SIGCONT);
+    r.cluster.signal(who, SIGCONT);
     auto j = r.spread(on, 30);
     j["what"] = "pause";
     j["seconds"] = seconds;
-    j["suspicions_by_it"] = r.crowd.figures(who)["fleet.suspicions"] - before;
+    j["suspicions_by_it"] = r.cluster.figures(who)["fleet.suspicions"] - before;
     r.say(j);
 }
 
 void replace(Rig& r, double seconds) {
-    const std::size_t n = r.crowd.size(), gone = n * 6 / 10;
+    const std::size_t n = r.cluster.size(), gone = n * 6 / 10;
     const Timestamp from = r.now();
     for (std::size_t k = 0; k < gone; ++k) {
-        r.crowd.signal(n - 1 - k, k % 2 == 0 ? SIGTERM : SIGKILL);
+        r.cluster.signal(n - 1 - k, k % 2 == 0 ? SIGTERM : SIGKILL);
         r.add();
         const Timestamp due =
             from + Duration(static_cast<std::int64_t>(seconds * 1e6 * static_cast<double>(k + 1) /
                                                       static_cast<double>(gone)));
         if (r.now() < due)
-            r.crowd.run(due);
+            r.cluster.run(due);
     }
     const Timestamp done = r.now();
     auto j = r.spread(done, 60);
@@ -215,13 +215,13 @@
     r.wait(seconds);
     const auto after = r.sums({"bytes_sent", "bytes_received", "datagrams_sent"});
     const double s = static_cast<double>((r.now() - from).count()) / 1e6 *
-                     static_cast<double>(r.crowd.all_running().size());
+                     static_cast<double>(r.cluster.all_running().size());
     const auto rate = [&](const char* name) {
         return std::lround(
             static_cast<double>(after[name].get<std::uint64_t>() - before[name].get<std::uint64_t>()) / s);
     };
     r.say({{"what", "bytes"},
-           {"processes", r.crowd.all_running().size()},
+           {"processes", r.cluster.all_running().size()},
            {"seconds", seconds},
            {"sent_per_process_s", rate("bytes_sent")},
            {"received_per_process_s", rate("bytes_received")},
@@ -276,8 +276,8 @@
                 else if (what != "join")
                     throw std::invalid_argument(what + ": no such scenario");
             }
-            if (r.crowd.crashes() > 0)
-                r.say({{"what", "crashes"}, {"count", r.crowd.crashes()}});
+            if (r.cluster.crashes() > 0)
+                r.say({{"what", "crashes"}, {"count", r.cluster.crashes()}});
         }
         if (!keep)
             std::filesystem::remove_all(plan.folder);
--- a/tests/cressledge/fault_injection_test.cpp
+++ b/tests/cressledge/fault_injection_test.cpp
@@ -2,7 +2,7 @@
 #include <csignal>
 #include <filesystem>
 
-#include "fault_injection/crowd.hpp"
+#include "fault_injection/process_cluster.hpp"
 #include "support.hpp"
 
 namespace {
@@ -21,10 +21,11 @@
 struct Fleet {
     TestLoop w;
     Place folder;
-    fault_injection::Crowd crowd;
-    explicit Fleet(std::size_t n, std::uint64_t seed = 1) : crowd(w.loop, w.timers, plan(folder.path, seed)) {
+    fault_injection::ProcessCluster cluster;
+    explicit Fleet(std::size_t n, std::uint64_t seed = 1)
+        : cluster(w.loop, w.timers, plan(folder.path, seed)) {
         for (std::size_t i = 0; i < n; ++i)
-            crowd.add(i == 0 ? std::vector<std::size_t>{} : std::vector<std::size_t>{0});
+            cluster.add(i == 0 ? std::vector<std::size_t>{} : std::vector<std::size_t>{0});
     }
     static fault_injection::Plan plan(const std::string& folder, std::uint64_t seed) {
         fault_injection::Plan p;
@@ -35,11 +36,11 @@
         return p;
     }
     bool agreed() {
-        return crowd.agreed(Duration(20'000'000));
+        return cluster.agreed(Duration(20'000'000));
     }  // the bound only ends a test that has failed
     // Whether some see just some, by the same bound.
     bool see(const std::vector<std::size_t>& whom, const std::vector<std::size_t>& expected) {
-        const auto seen = crowd.until_seen(whom, expected, wall_clock_now() + Duration(20'000'000));
+        const auto seen = cluster.until_seen(whom, expected, wall_clock_now() + Duration(20'000'000));
         return std::all_of(seen.begin(), seen.end(), [](const auto& s) { return s.has_value(); });
     }
 };
@@ -49,42 +50,42 @@
 TEST_CASE("processes join, one is killed and started again, one leaves: every view agrees each time") {
     Fleet f(6);
     REQUIRE(f.agreed());
-    f.crowd.signal(3, SIGKILL);
+    f.cluster.signal(3, SIGKILL);
     REQUIRE(f.agreed());
-    for (const std::size_t no : f.crowd.all_running())
-        CHECK(f.crowd.figures(no)["fleet.dead"] == 1);
-    f.crowd.start(3);  // the same id and address, incarnation 0 again
+    for (const std::size_t no : f.cluster.all_running())
+        CHECK(f.cluster.figures(no)["fleet.dead"] == 1);
+    f.cluster.start(3);  // the same id and address, incarnation 0 again
     REQUIRE(f.agreed());
-    f.crowd.signal(5, SIGTERM);
+    f.cluster.signal(5, SIGTERM);
     REQUIRE(f.agreed());
-    CHECK(f.crowd.sum("fleet.left") == 5);
-    CHECK(f.crowd.crashes() == 0);
+    CHECK(f.cluster.sum("fleet.left") == 5);
+    CHECK(f.cluster.crashes() == 0);
 }
 
 TEST_CASE("a fleet in two halves sees half, and is whole again after it heals") {
     Fleet f(6);
     REQUIRE(f.agreed());
-    f.crowd.relay().part({"n0", "n1", "n2"});
+    f.cluster.relay().part({"n0", "n1", "n2"});
     CHECK(f.see({0, 1, 2}, {0, 1, 2}));
     CHECK(f.see({3, 4, 5}, {3, 4, 5}));
-    f.crowd.relay().heal();
+    f.cluster.relay().heal();
     CHECK(f.agreed());
-    CHECK(f.crowd.relay().counts().cut > 0);
-    CHECK(f.crowd.crashes() == 0);
+    CHECK(f.cluster.relay().counts().cut > 0);
+    CHECK(f.cluster.crashes() == 0);
 }
 
 TEST_CASE("lossy, doubling, overtaking links and one dead direction: nobody alive is taken for dead") {
     Fleet f(6, 7);
     REQUIRE(f.agreed());
-    f.crowd.relay().harm({0.1, 0.05, Duration(0), Duration(20'000)});
-    f.crowd.relay().cut("n1", "n2");
-    f.crowd.run(wall_clock_now() + Duration(4'000'000));
-    CHECK(f.crowd.sum("fleet.dead") == 0);
-    CHECK(f.crowd.sum("fleet.indirect_probes") > 0);
-    const auto& n = f.crowd.relay().counts();
+    f.cluster.relay().harm({0.1, 0.05, Duration(0), Duration(20'000)});
+    f.cluster.relay().cut("n1", "n2");
+    f.cluster.run(wall_clock_now() + Duration(4'000'000));
+    CHECK(f.cluster.sum("fleet.dead") == 0);
+    CHECK(f.cluster.sum("fleet.indirect_probes") > 0);
+    const auto& n = f.cluster.relay().counts();
     CHECK((n.lost > 0 && n.doubled > 0 && n.cut > 0));
-    f.crowd.relay().heal();
-    f.crowd.relay().harm({});
+    f.cluster.relay().heal();
+    f.cluster.relay().harm({});
     CHECK(f.agreed());
 }
 
@@ -92,11 +93,11 @@
     "a process that is stopped for three seconds and goes on is alive in every view, and condemned nobody") {
     Fleet f(5);
     REQUIRE(f.agreed());
-    f.crowd.signal(2, SIGSTOP);
-    f.crowd.run(wall_clock_now() + Duration(3'000'000));
-    f.crowd.signal(2, SIGCONT);
+    f.cluster.signal(2, SIGSTOP);
+    f.cluster.run(wall_clock_now() + Duration(3'000'000));
+    f.cluster.signal(2, SIGCONT);
     CHECK(f.agreed());
-    auto figures = f.crowd.figures(2);
+    auto figures = f.cluster.figures(2);
     CHECK(figures["fleet.dead"] == 0);
     CHECK(figures["fleet.suspicions"] == 0);
     CHECK(figures["fleet.standstills"] >= 1);
@@ -106,23 +107,23 @@
     Fleet f(5);
     REQUIRE(f.agreed());
     for (const char* to : {"n0", "n1", "n2", "n4"})
-        f.crowd.relay().cut("n3", to);
+        f.cluster.relay().cut("n3", to);
     CHECK(f.see({0, 1, 2, 4}, {0, 1, 2, 4}));
-    f.crowd.relay().heal();
+    f.cluster.relay().heal();
     CHECK(f.agreed());
 }
 
 TEST_CASE("a fleet whose only seed is dead at the start is whole once it comes") {
     TestLoop w;
     Place folder;
-    fault_injection::Crowd crowd(w.loop, w.timers, Fleet::plan(folder.path, 3));
-    crowd.add({});
-    crowd.signal(0, SIGKILL);
+    fault_injection::ProcessCluster cluster(w.loop, w.timers, Fleet::plan(folder.path, 3));
+    cluster.add({});
+    cluster.signal(0, SIGKILL);
     for (int i = 0; i < 4; ++i)
-        crowd.add({0});
-    crowd.run(wall_clock_now() + Duration(500'000));
+        cluster.add({0});
+    cluster.run(wall_clock_now() + Duration(500'000));
     for (std::size_t no = 1; no < 5; ++no)
-        CHECK(crowd.until_seen({no}, {no}, wall_clock_now() + Duration(10'000'000))[0].has_value());
-    crowd.start(0);
-    CHECK(crowd.agreed(Duration(20'000'000)));
+        CHECK(cluster.until_seen({no}, {no}, wall_clock_now() + Duration(10'000'000))[0].has_value());
+    cluster.start(0);
+    CHECK(cluster.agreed(Duration(20'000'000)));
 }
--- a/tests/cressledge/slow_start_test.cpp
+++ b/tests/cressledge/slow_start_test.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "fake_upstream/fleet.hpp"
-#include "fault_injection/crowd.hpp"
+#include "fault_injection/process_cluster.hpp"
 #include "load_balancing/balancer.hpp"
 #include "load_generator/driver.hpp"
 #include "support.hpp"
@@ -253,28 +253,28 @@
         "routing: {probes: false, watch_ms: 0, members: {slow_start_ms: 6000}, slow_start: {calls_per_s: 40, "
         "peers: 35}}\n"
         "classes:\n  - {name: sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\n";
-    fault_injection::Crowd crowd(loop.loop, loop.timers, plan);
+    fault_injection::ProcessCluster cluster(loop.loop, loop.timers, plan);
     for (std::size_t i = 0; i < 30; ++i)
-        crowd.add(i == 0 ? std::vector<std::size_t>{} : std::vector<std::size_t>{0});
-    REQUIRE(crowd.agreed(Duration(40'000'000)));
+        cluster.add(i == 0 ? std::vector<std::size_t>{} : std::vector<std::size_t>{0});
+    REQUIRE(cluster.agreed(Duration(40'000'000)));
     load_generator::Driver driver(loop.loop, loop.timers,
                                   load_generator::Arrivals(400.0, 1, {{"sheet", 1.0, false}}, 5));
     const auto update_targets = [&] {
         std::vector<net::Address> addresses;
-        for (const std::size_t process : crowd.all_running())
-            addresses.push_back(*net::Address::parse(membership::to_string(crowd.door(process))));
+        for (const std::size_t process : cluster.all_running())
+            addresses.push_back(*net::Address::parse(membership::to_string(cluster.door(process))));
         driver.doors(addresses);
     };
     update_targets();
     driver.start();
-    const auto run_for = [&](Duration length) { crowd.run(wall_clock_now() + length); };
+    const auto run_for = [&](Duration length) { cluster.run(wall_clock_now() + length); };
     // Each process tells its balancer of the others, as it does every second.
     run_for(Duration(1'500'000));
     // The fourth host is announced to all at once.
     std::ofstream(directory + "/servers.csv") << inventory(4);
     const Timestamp announced_at = wall_clock_now();
-    for (const std::size_t process : crowd.all_running())
-        crowd.signal(process, SIGHUP);
+    for (const std::size_t process : cluster.all_running())
+        cluster.signal(process, SIGHUP);
     std::vector<Timestamp> calls;
     const auto count_calls_for = [&](Duration length) {
         for (const Timestamp end = wall_clock_now() + length; wall_clock_now() < end;) {
@@ -285,18 +285,18 @@
     };
     count_calls_for(Duration(1'500'000));
     for (const std::size_t process : {7U, 8U, 9U})
-        crowd.signal(process, SIGKILL);
+        cluster.signal(process, SIGKILL);
     update_targets();
     count_calls_for(Duration(1'000'000));
     std::set<std::string> half;
     for (std::size_t i = 0; i < 15; ++i)
-        half.insert(crowd.id(i));
-    crowd.relay().part(half);
+        half.insert(cluster.id(i));
+    cluster.relay().part(half);
     count_calls_for(Duration(1'500'000));
-    crowd.relay().heal();
+    cluster.relay().heal();
     // They know of no other process yet.
     for (const std::size_t process : {7U, 8U, 9U})
-        crowd.start(process);
+        cluster.start(process);
     count_calls_for(Duration(2'000'000));
     driver.stop();
     const SlowStartLimiter limiter(settings);
@@ -311,5 +311,5 @@
     CHECK(excess <= 0.0);
     // It is called at all: how much depends on the machine.
     CHECK(static_cast<double>(calls.size()) > 0.15 * allowed);
-    CHECK(crowd.crashes() == 0);
+    CHECK(cluster.crashes() == 0);
 }
--- a/tools/experiment/trial.cpp
+++ b/tools/experiment/trial.cpp
@@ -4,7 +4,7 @@
 #include <stdexcept>
 
 #include "experiment/servers.hpp"
-#include "fault_injection/crowd.hpp"
+#include "fault_injection/process_cluster.hpp"
 #include "gossip/transport.hpp"
 #include "load_generator/driver.hpp"
 
@@ -60,7 +60,7 @@
         : e_(e),
           where_(where),
           servers_(loop_, timers_, where.self, where.file),
-          crowd_(loop_, timers_, plan()),
+          cluster_(loop_, timers_, plan()),
           driver_(loop_, timers_, load_generator::Arrivals(e.rate_s(), e.bursty ? 10 : 1, e.kinds, e.seed),
                   20'000) {}
 
@@ -68,11 +68,11 @@
         // Told to end, it takes the processes that it has started with it.
         for (const int signal : {SIGINT, SIGTERM})
             loop_.on_signal(signal, [this] { stopped_ = true; });
-        while (crowd_.size() < e_.processes)
+        while (cluster_.size() < e_.processes)
             add();
         settle();
         if (e_.gossip_loss > 0.0)
-            crowd_.relay().harm({e_.gossip_loss, 0.0, Duration(0), Duration(0)});
+            cluster_.relay().harm({e_.gossip_loss, 0.0, Duration(0), Duration(0)});
         doors();
         driver_.start();
         wait(e_.warm_up_s, "warming up");
@@ -81,14 +81,14 @@
         std::vector<base::TimerQueue::Handle> handles;
         for (const emulator::Trouble& t : e_.troubles)
             handles.push_back(timers_.schedule(loop_.unix_now() + span(t.at_s), [this, &t] { meet(t); }));
-        const auto probes_before = crowd_.sum("upstream.load_probes");
+        const auto probes_before = cluster_.sum("upstream.load_probes");
         wait(e_.seconds, "measuring");
         servers_.ask({{"do", "observe"}, {"on", false}});
-        const auto probes = crowd_.sum("upstream.load_probes") - probes_before;
+        const auto probes = cluster_.sum("upstream.load_probes") - probes_before;
         driver_.stop();
         const Timestamp end = loop_.unix_now() + span(drain_s);
         while (driver_.open() > 0 && loop_.unix_now() < end)
-            crowd_.run(loop_.unix_now() + Duration(50'000));
+            cluster_.run(loop_.unix_now() + Duration(50'000));
         const auto seen = servers_.ask({{"do", "report"}});
         if (!seen.is_object())
             throw std::runtime_error("no report from the stand-in servers");
@@ -109,7 +109,7 @@
                             {"given_up", seen["given_up"]}, {"bad", seen["bad"]},
                             {"doubled", seen["doubled"]}};
         j["calls_by_server"] = seen["calls_by_server"];
-        j["crashes"] = crowd_.crashes();
+        j["crashes"] = cluster_.crashes();
         j["evenness"] = even;
         return j;
     }
@@ -133,24 +133,24 @@
     }
     void add() {
         std::vector<std::size_t> at;
-        for (std::size_t s = 0; s < std::min(seeds, crowd_.size()); ++s)
+        for (std::size_t s = 0; s < std::min(seeds, cluster_.size()); ++s)
             at.push_back(s);
-        crowd_.add(at);
+        cluster_.add(at);
     }
     void settle() {
-        if (!crowd_.agreed(span(60.0)))
+        if (!cluster_.agreed(span(60.0)))
             throw std::runtime_error("the processes do not see each other within a minute");
     }
     void doors() {
         std::vector<net::Address> all;
-        for (const std::size_t no : crowd_.all_running())
-            all.push_back(gossip::to_address(crowd_.door(no)));
+        for (const std::size_t no : cluster_.all_running())
+            all.push_back(gossip::to_address(cluster_.door(no)));
         driver_.doors(std::move(all));
     }
     void wait(double seconds, const char* what) {
         const Timestamp end = loop_.unix_now() + span(seconds);
         while (loop_.unix_now() < end) {
-            crowd_.run(std::min(end, loop_.unix_now() + span(0.25)));
+            cluster_.run(std::min(end, loop_.unix_now() + span(0.25)));
             if (stopped_)
                 throw std::runtime_error("told to end");
             if (!where_.progress || (loop_.unix_now() < next_line_ && loop_.unix_now() < end))
@@ -175,14 +175,14 @@
             case T::restart_servers:
                 return servers_.tell({{"do", "restart"}, {"servers", t.servers}, {"for_s", t.for_s}});
             case T::restart_processes:
-                for (const std::size_t no : crowd_.all_running())
-                    crowd_.restart(no);
+                for (const std::size_t no : cluster_.all_running())
+                    cluster_.restart(no);
                 return;
             case T::processes: {
-                const auto running = crowd_.all_running();
+                const auto running = cluster_.all_running();
                 const auto want = static_cast<std::size_t>(t.by);
                 for (std::size_t i = want; i < running.size(); ++i)
-                    crowd_.signal(running[i], SIGTERM);
+                    cluster_.signal(running[i], SIGTERM);
                 for (std::size_t i = running.size(); i < want; ++i)
                     add();
                 return doors();
@@ -200,7 +200,7 @@
     base::TimerQueue timers_;
     net::Loop loop_{timers_};
     Servers servers_;
-    fault_injection::Crowd crowd_;
+    fault_injection::ProcessCluster cluster_;
     load_generator::Driver driver_;
     bool stopped_ = false;
     Timestamp next_line_{0};
--- a/tools/fault_injection/crowd.cpp
+++ b/tools/fault_injection/process_cluster.cpp
@@ -1,4 +1,4 @@
-#include "fault_injection/crowd.hpp"
+#include "fault_injection/process_cluster.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -28,14 +28,14 @@
 
 }  // namespace
 
-Crowd::Crowd(net::Loop& loop, base::TimerQueue& timers, const Plan& plan)
+ProcessCluster::ProcessCluster(net::Loop& loop, base::TimerQueue& timers, const Plan& plan)
     : loop_(loop), timers_(timers), plan_(plan), asks_(loop, timers) {
     if (plan.relay)
         relay_ = std::make_unique<Relay>(loop, timers, plan.fleet, plan.seed);
     std::ofstream(plan_.folder + "/servers.csv") << plan_.servers;
 }
 
-Crowd::~Crowd() {
+ProcessCluster::~ProcessCluster() {
     for (std::size_t no = 0; no < members_.size(); ++no) {
         members_[no]->again = false;
         signal(no, SIGKILL);
@@ -44,7 +44,7 @@
         loop_.run_once(true);
 }
 
-membership::Endpoint Crowd::free_place(std::uint32_t ip) const {
+membership::Endpoint ProcessCluster::free_place(std::uint32_t ip) const {
     const net::Address any = gossip::to_address({ip, 0});
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in name{};
@@ -59,7 +59,7 @@
     return {ip, ntohs(name.sin_port)};
 }
 
-void Crowd::write_file(Member& m, const std::vector<std::size_t>& seeds) {
+void ProcessCluster::write_file(Member& m, const std::vector<std::size_t>& seeds) {
     std::string list;
     for (const std::size_t s : seeds)
         list += (list.empty() ? "\"" : ", \"") + membership::to_string(members_[s]->place) + '"';
@@ -72,7 +72,7 @@
                           << plan_.more;
 }
 
-std::size_t Crowd::add(const std::vector<std::size_t>& seeds) {
+std::size_t ProcessCluster::add(const std::vector<std::size_t>& seeds) {
     const std::size_t no = members_.size();
     auto m = std::make_unique<Member>();
     m->id = "n" + std::to_string(no);
@@ -87,14 +87,14 @@
     return no;
 }
 
-void Crowd::start(std::size_t no) {
+void ProcessCluster::start(std::size_t no) {
     Member& m = *members_[no];
     struct Child {
         uv_process_t handle{};
-        Crowd* crowd = nullptr;
+        ProcessCluster* cluster = nullptr;
     };
     auto* child = new Child;
-    child->crowd = this;
+    child->cluster = this;
     child->handle.data = child;
     const int log =
         ::open((plan_.folder + '/' + m.id + ".log").c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
@@ -111,7 +111,7 @@
     options.stdio_count = 3;
     options.exit_cb = [](uv_process_t* p, std::int64_t, int) {
         const auto* c = static_cast<Child*>(p->data);
-        c->crowd->ended(p->pid);
+        c->cluster->ended(p->pid);
         uv_close(reinterpret_cast<uv_handle_t*>(p),
                  [](uv_handle_t* h) { delete static_cast<Child*>(h->data); });
     };
@@ -129,7 +129,7 @@
     ++alive_;
 }
 
-void Crowd::ended(pid_t pid) {
+void ProcessCluster::ended(pid_t pid) {
     --alive_;
     for (std::size_t no = 0; no < members_.size(); ++no) {
         Member& m = *members_[no];
@@ -143,12 +143,12 @@
     }
 }
 
-void Crowd::restart(std::size_t no) {
+void ProcessCluster::restart(std::size_t no) {
     members_[no]->again = members_[no]->pid != 0;
     signal(no, SIGKILL);
 }
 
-void Crowd::signal(std::size_t no, int signal) {
+void ProcessCluster::signal(std::size_t no, int signal) {
     Member& m = *members_[no];
     if (m.pid == 0)
         return;
@@ -159,14 +159,15 @@
     ::kill(m.pid, signal);
 }
 
-void Crowd::ask(std::size_t no, const std::string& path, std::function<void(const std::string&)> told) {
+void ProcessCluster::ask(std::size_t no, const std::string& path,
+                         std::function<void(const std::string&)> told) {
     asks_.get(gossip::to_address(members_[no]->control), path, loop_.unix_now() + answer_within,
               [told = std::move(told)](const net::HttpClient::Response& r) {
                   told(r.status == 200 ? r.body : std::string());
               });
 }
 
-std::vector<std::size_t> Crowd::all_running() const {
+std::vector<std::size_t> ProcessCluster::all_running() const {
     std::vector<std::size_t> all;
     for (std::size_t no = 0; no < members_.size(); ++no)
         if (members_[no]->running)
@@ -174,16 +175,16 @@
     return all;
 }
 
-void Crowd::run(Timestamp until) {
+void ProcessCluster::run(Timestamp until) {
     base::TimerQueue::Handle end = timers_.schedule(until, [] {});
     while (loop_.unix_now() < until)
         loop_.run_once(true);
     timers_.cancel(end);
 }
 
-std::vector<std::optional<Timestamp>> Crowd::until_seen(const std::vector<std::size_t>& whom,
-                                                        const std::vector<std::size_t>& expected,
-                                                        Timestamp bound) {
+std::vector<std::optional<Timestamp>> ProcessCluster::until_seen(const std::vector<std::size_t>& whom,
+                                                                 const std::vector<std::size_t>& expected,
+                                                                 Timestamp bound) {
     std::uint64_t digest = 0;
     for (const std::size_t no : expected)
         digest += membership::MembershipTable::member_digest(members_[no]->id, members_[no]->place);
@@ -217,13 +218,13 @@
     return looks->seen;
 }
 
-bool Crowd::agreed(Duration within) {
+bool ProcessCluster::agreed(Duration within) {
     const auto all = all_running();
     const auto seen = until_seen(all, all, loop_.unix_now() + within);
     return std::all_of(seen.begin(), seen.end(), [](const auto& s) { return s.has_value(); });
 }
 
-std::map<std::string, std::uint64_t> Crowd::figures(std::size_t no) {
+std::map<std::string, std::uint64_t> ProcessCluster::figures(std::size_t no) {
     std::map<std::string, std::uint64_t> all;
     auto done = std::make_shared<std::optional<std::string>>();
     ask(no, "/v1/metrics", [done](const std::string& body) { *done = body; });
@@ -239,7 +240,7 @@
     return all;
 }
 
-std::uint64_t Crowd::sum(const std::string& figure) {
+std::uint64_t ProcessCluster::sum(const std::string& figure) {
     std::uint64_t n = 0;
     for (const std::size_t no : all_running())
         n += figures(no)[figure];
--- a/tools/fault_injection/crowd.hpp
+++ b/tools/fault_injection/process_cluster.hpp
@@ -1,5 +1,6 @@
-// Many processes of the program on loopback, each with an operator's file of its own, perhaps with a relay between
-// them: starts, signals and ends them by id, and looks at their views of the fleet through their control addresses.
+// Process cluster for fault injection: many processes of the program on loopback, each with an operator's file of its
+// own, perhaps with a relay between them. Starts, signals and ends them by id, and reads their views of the fleet
+// through their control addresses.
 #pragma once
 
 #include <sys/types.h>
@@ -19,6 +20,7 @@
 
 namespace cressledge::fault_injection {
 
+// The shape of a cluster: the program, its folder, and the common part of each process's operator's file.
 struct Plan {
     std::string program;  // the path of cressledge
     std::string folder;  // for files and logs; it exists
@@ -36,12 +38,13 @@
     bool relay = true;
 };
 
-class Crowd {
+// A running cluster; the destructor kills the processes that still run and waits for them.
+class ProcessCluster {
 public:
-    Crowd(net::Loop& loop, base::TimerQueue& timers, const Plan& plan);
-    ~Crowd();  // kills what runs still, and waits for it
-    Crowd(const Crowd&) = delete;
-    Crowd& operator=(const Crowd&) = delete;
+    ProcessCluster(net::Loop& loop, base::TimerQueue& timers, const Plan& plan);
+    ~ProcessCluster();  // kills what runs still, and waits for it
+    ProcessCluster(const ProcessCluster&) = delete;
+    ProcessCluster& operator=(const ProcessCluster&) = delete;
 
     std::size_t add(const std::vector<std::size_t>& seeds);  // a process that is started; its number
     void start(std::size_t no);  // again: the same id and addresses
