--- a/src/policy/aces_admission_controller.cpp
+++ b/src/policy/aces_admission_controller.cpp
@@ -32,27 +32,37 @@
     std::vector<double> weights, bands;
     for (const RequestClass& c : settings.classes) {
         weights.push_back(c.priority_weight);
-        if (!settings.tenants.empty()) weights.push_back(c.priority_weight * settings.over_quota_weight);
+        if (!settings.tenants.empty())
+            weights.push_back(c.priority_weight * settings.over_quota_weight);
     }
     std::sort(weights.begin(), weights.end());
     for (const double weight : weights)
-        if (bands.empty() || weight > band_width * bands.back()) bands.push_back(weight);
-    if (bands.empty()) bands.push_back(1.0);
+        if (bands.empty() || weight > band_width * bands.back())
+            bands.push_back(weight);
+    if (bands.empty())
+        bands.push_back(1.0);
     return bands;
 }
 
 Duration make_period(const Settings& settings) {
     Duration tightest{10'000'000};
-    for (const RequestClass& c : settings.classes) tightest = min(tightest, c.latency_objective);
+    for (const RequestClass& c : settings.classes)
+        tightest = min(tightest, c.latency_objective);
     return clamp(from_seconds(period_ratio * to_seconds(tightest)), min_period, max_period);
 }
 
 class AcesAdmissionController final : public AdmissionController {
 public:
     explicit AcesAdmissionController(const Settings& settings)
-        : settings_(settings), bands_(make_bands(settings)), period_(make_period(settings)),
-          min_objective_(to_seconds(period_) / period_ratio), capacity_(settings.cores),
-          queue_(bands_.size()), budget_(bands_.size()), concurrency_(settings.cores), dependency_(settings) {
+        : settings_(settings),
+          bands_(make_bands(settings)),
+          period_(make_period(settings)),
+          min_objective_(to_seconds(period_) / period_ratio),
+          capacity_(settings.cores),
+          queue_(bands_.size()),
+          budget_(bands_.size()),
+          concurrency_(settings.cores),
+          dependency_(settings) {
         for (const RequestClass& c : settings_.classes)
             prices_.emplace_back(price_ratio * to_seconds(c.latency_objective));
         for (const Tenant& t : settings_.tenants)
@@ -77,7 +87,8 @@
         return result;
     }
     void restore(const Estimates& saved) override {
-        if (started_) return;
+        if (started_)
+            return;
         for (const auto& c : saved.classes)
             for (std::size_t i = 0; i < prices_.size(); ++i)
                 if (settings_.classes[i].name == c.name)
@@ -111,24 +122,29 @@
         now = max(now, now_);  // a clock that runs backwards is a breach of contract: stay at the latest
         // A timer later than any batch proves a pause of the process, in which no core time was given.
         const Timestamp next_timer = wakeups_.empty() ? next_gauge_at_ : min(wakeups_.back(), next_gauge_at_);
-        if (now > now_) ended_unrun_.clear();
-        if (now > now_) pause_ = started_ && now - next_timer > min_pause ? now - next_timer : Duration(0);
+        if (now > now_)
+            ended_unrun_.clear();
+        if (now > now_)
+            pause_ = started_ && now - next_timer > min_pause ? now - next_timer : Duration(0);
         const double elapsed = started_ ? max(0.0, to_seconds(now - now_ - pause_)) : 0.0;
         if (elapsed > 0.0) {
             const double core_seconds = elapsed * min(cpu_.share, settings_.cores / max(1.0, running_));
             core_seconds_per_run_ += core_seconds;
             stall_.decay(elapsed);
             stall_.delivered += core_seconds * running_;
-            if (!queue_.empty()) capacity_.busy_seconds += elapsed;
+            if (!queue_.empty())
+                capacity_.busy_seconds += elapsed;
         }
         now_ = now;
         dependency_.advance(now);
-        while (keys_.has_due(now)) keys_.erase(keys_.entries.begin()->id);
+        while (keys_.has_due(now))
+            keys_.erase(keys_.entries.begin()->id);
         if (!std::exchange(started_, true)) {
             started_at_ = period_start_ = now;
             failures_.record_progress(now);
         }
-        if (now_ - period_start_ >= period_) close_period();
+        if (now_ - period_start_ >= period_)
+            close_period();
     }
     double period_capacity() const { return capacity_.quanta_per_second * to_seconds(period_); }
     void close_period() {
@@ -138,14 +154,17 @@
         rejected_share_ = arrivals_ > 0 ? rejections_ / arrivals_ : 0.0;
         blend(top_rejected_share_, top_arrivals_ > 0 ? top_rejections_ / top_arrivals_ : 0.0, top_gain);
         arrivals_ = rejections_ = top_arrivals_ = top_rejections_ = 0.0;
-        for (DemandPredictor& predictor : budget_.predictors) predictor.close_period();
+        for (DemandPredictor& predictor : budget_.predictors)
+            predictor.close_period();
         const bool quotas_fit = in_quota_quanta_ < stretch_fit * capacity_.quanta_per_second * seconds;
         quota_stretch_ = clamp(quota_stretch_ * (quotas_fit ? stretch_rise : stretch_fall), 1.0, max_stretch);
         in_quota_quanta_ = 0.0;
-        for (TenantQuota& quota : quotas_) quota.close_period(seconds);
+        for (TenantQuota& quota : quotas_)
+            quota.close_period(seconds);
         // What has waited a whole period moves to the backup queue, of which a period's quanta are kept.
         for (const QueuePosition& position : std::set(queue_.main_queue)) {
-            if (now_ - position.arrived_at < period_) continue;
+            if (now_ - position.arrived_at < period_)
+                continue;
             TrackedRequest& request = requests_.at(position.id);
             queue_.remove(request);
             request.in_backup_queue = true;
@@ -192,25 +211,34 @@
     void account(TrackedRequest& r, double sign) {
         requests_kb_ +=
             sign * (r.memory_kb * (in_flight(r) ? max(1.0, settings_.running_memory_factor) : 1.0));
-        if (requires_call(r) && r.calls_made == 0 && r.state < in_call) expected_calls_[r.band] += sign;
-        if (in_flight(r)) in_flight_ += sign;
-        if (r.state == queued) sign > 0 ? queue_.add(r) : queue_.remove(r);
-        if (r.state == awaiting_call && sign > 0) call_queue_.insert(r.position());
-        if (r.state == awaiting_call && sign < 0) call_queue_.erase(r.position());
-        if (r.state != running) return;
+        if (requires_call(r) && r.calls_made == 0 && r.state < in_call)
+            expected_calls_[r.band] += sign;
+        if (in_flight(r))
+            in_flight_ += sign;
+        if (r.state == queued)
+            sign > 0 ? queue_.add(r) : queue_.remove(r);
+        if (r.state == awaiting_call && sign > 0)
+            call_queue_.insert(r.position());
+        if (r.state == awaiting_call && sign < 0)
+            call_queue_.erase(r.position());
+        if (r.state != running)
+            return;
         running_ += sign;
         r.used_quanta -= sign * core_seconds_per_run_;
     }
 
     // -- timers: whatever it waits for, no request waits beyond the drain deadline --
     void set_timer(const TrackedRequest& request, Timestamp at) {
-        if (at <= Timestamp(0)) return timers_.erase(request.id);
+        if (at <= Timestamp(0))
+            return timers_.erase(request.id);
         timers_.set(request.id, draining_ ? max(now_, min(at, drain_deadline_)) : at);
     }
     void schedule_wakeup() {
-        if (timers_.entries.empty()) return;
+        if (timers_.entries.empty())
+            return;
         const Timestamp next = max(now_, timers_.entries.begin()->at);
-        if (!wakeups_.empty() && wakeups_.back() <= next) return;
+        if (!wakeups_.empty() && wakeups_.back() <= next)
+            return;
         wakeups_.push_back(next);
         emit(ScheduleTimer{next - now_, request_timer_token});
     }
@@ -220,7 +248,8 @@
     }
     void emit(Action action) { actions_->push_back(std::move(action)); }
     void log(const char* message, double figure) {
-        if (now_ - last_log_at_ < log_interval) return;
+        if (now_ - last_log_at_ < log_interval)
+            return;
         last_log_at_ = now_;
         emit(WriteLog{std::string(message).append(" ").append(std::to_string(figure))});
     }
@@ -231,33 +260,41 @@
         return !own_fault && retry_share_ > exhaustive_attempts / settings_.replica_count;
     }
     void reject(TrackedRequest& request) {
-        if (request.state != queued || request.answered) return fail(request);
+        if (request.state != queued || request.answered)
+            return fail(request);
         emit(Reject{request.id, retry_after(), discourages_retry()});
         rejections_ += 1.0;
         top_rejections_ += in_top_band(request);
         remove(request);
     }
     void fail(TrackedRequest& request) {
-        if (!request.answered) emit(Fail{request.id});
+        if (!request.answered)
+            emit(Fail{request.id});
         request.answered = true;
-        if (!in_flight(request)) return remove(request);
+        if (!in_flight(request))
+            return remove(request);
         timers_.erase(request.id);
         stop_work(request);
     }
     void stop_work(TrackedRequest& r) {
-        if (r.state == awaiting_call) call_queue_.erase(r.position());
-        if (r.state != running || settings_.preemption == Preemption::none) return;
+        if (r.state == awaiting_call)
+            call_queue_.erase(r.position());
+        if (r.state != running || settings_.preemption == Preemption::none)
+            return;
         emit(Suspend{r.id});
         // A pause does not reach work that waits for a disk: it is tried again until the work is over.
-        if (settings_.preemption == Preemption::pause && !draining_) set_timer(r, now_ + gauge_interval);
+        if (settings_.preemption == Preemption::pause && !draining_)
+            set_timer(r, now_ + gauge_interval);
     }
     void release_key(const TrackedRequest& request) {
         emit(ReleaseKey{request.id});
         keys_.erase(request.id);
     }
     void remove(TrackedRequest& request) {
-        if (request.state == queued) ended_unrun_.insert(request.id);
-        if (request.state == queued && request.key_retained) release_key(request);
+        if (request.state == queued)
+            ended_unrun_.insert(request.id);
+        if (request.state == queued && request.key_retained)
+            release_key(request);
         timers_.erase(request.id);
         account(request, -1.0);
         requests_.erase(request.id);
@@ -268,7 +305,8 @@
         const double objective = to_seconds(class_of(r).latency_objective);
         const double longest = can_skip_call(r) ? max_skippable_run * objective : 1e6;
         const double run = min(longest, price_of(r).run_seconds * stall_.slowdown(settings_.cores));
-        if (!requires_call(r)) return run;
+        if (!requires_call(r))
+            return run;
         const QueuePosition next_band{r.position().negative_band + 1, Timestamp::min(), 0};
         const auto ahead = std::distance(call_queue_.begin(), call_queue_.lower_bound(next_band));
         const double calls = std::accumulate(expected_calls_.begin() + r.band, expected_calls_.end(), 0.0);
@@ -301,20 +339,25 @@
     void on_event(const RequestArrived& event) {
         arrivals_ += 1.0;
         blend(intake_delay_, max(0.0, to_seconds(event.age - pause_)) / min_objective_, intake_gain);
-        if (requests_.count(event.id) != 0) return;
+        if (requests_.count(event.id) != 0)
+            return;
         // Whether an unknown class may run again is not known: never run it.
-        if (event.class_index >= settings_.classes.size()) return emit(Reject{event.id, Duration(0), false});
+        if (event.class_index >= settings_.classes.size())
+            return emit(Reject{event.id, Duration(0), false});
         const bool in_quota = event.tenant_index >= quotas_.size() ||
                               quotas_[event.tenant_index].try_acquire(quota_stretch_, event.is_retry);
         TrackedRequest& request = track(event, in_quota);
         const bool is_repeat = event.repeated_id != 0 && ended_unrun_.count(event.repeated_id) == 0;
-        if (is_repeat && join_original(request, find(event.repeated_id))) return;
-        if (in_quota) in_quota_quanta_ += request.price;
+        if (is_repeat && join_original(request, find(event.repeated_id)))
+            return;
+        if (in_quota)
+            in_quota_quanta_ += request.price;
         budget_.predictors[request.band].current_quanta += request.price;
         top_arrivals_ += in_top_band(request);
         const bool admitted = admit(request);
         blend(retry_share_, settings_.callers_mark_retries ? event.is_retry : !admitted, retry_share_gain);
-        if (!admitted) return reject(request);
+        if (!admitted)
+            return reject(request);
         budget_.charged[request.band] += request.price;
         retain_key(request, event.has_key && !event.is_write);
         set_timer(request, latest_start(request));
@@ -339,7 +382,8 @@
     }
     // A repeat takes the place of a request that never ran, and shares the result of one that did.
     bool join_original(TrackedRequest& request, TrackedRequest& original) {
-        if (class_of(request).idempotency == Idempotency::never) return false;
+        if (class_of(request).idempotency == Idempotency::never)
+            return false;
         if (needs_key(request) && original.state == queued) {
             queue_.remove(request);
             request.band = max(request.band, original.band);
@@ -364,9 +408,11 @@
         const Duration window = class_of(request).idempotency_window - (now_ - request.arrived_at);
         Duration lifetime = max(window + settings_.answer_slack, min_key_lifetime);
         if (!needs_key(request)) {
-            if (!can_run_again(request) || !shareable || settings_.result_ttl <= Duration(0)) return;
+            if (!can_run_again(request) || !shareable || settings_.result_ttl <= Duration(0))
+                return;
             const double memory_kb = used_memory_kb() + settings_.idempotency_key_kb;
-            if (memory_kb >= max_result_memory * settings_.memory_kb) return;
+            if (memory_kb >= max_result_memory * settings_.memory_kb)
+                return;
             lifetime = request.deadline - now_ + settings_.result_ttl;
         }
         emit(RetainKey{request.id, lifetime});
@@ -377,7 +423,8 @@
     bool make_room(const TrackedRequest& request, double extra_kb, double max_share) {
         while (used_memory_kb() + extra_kb > max_share * settings_.memory_kb) {
             const RequestId last = queue_.last();
-            if (last == request.id) return false;
+            if (last == request.id)
+                return false;
             log("memory: shed held, used", used_memory_kb() / settings_.memory_kb);
             reject(requests_.at(last));
         }
@@ -388,67 +435,90 @@
     }
     // ACES at arrival, and what must hold besides.
     bool admit(const TrackedRequest& request) {
-        if (came_after_grace(request) || failures_.hung) return false;
+        if (came_after_grace(request) || failures_.hung)
+            return false;
         // What may not run again goes elsewhere unrun; the rest stays while most runs succeed.
-        if (failures_.degraded() && !can_run_again(request)) return false;
+        if (failures_.degraded() && !can_run_again(request))
+            return false;
         if (failures_.failing) {
-            if (now_ - last_probe_at_ < probe_interval) return false;
+            if (now_ - last_probe_at_ < probe_interval)
+                return false;
             last_probe_at_ = now_;
         }
         const double key_kb = needs_key(request) ? settings_.idempotency_key_kb : 0.0;
-        if (!make_room(request, key_kb, max_queue_memory)) return false;
+        if (!make_room(request, key_kb, max_queue_memory))
+            return false;
         // Prices may say that nothing fits: one request at a time finds out whether that is still so.
         const bool fresh = (now_ - request.arrived_at) * probe_divisor < class_of(request).latency_objective;
-        if (running_ < 1.0 && queue_.size() <= 1.0 && can_run_again(request) && fresh) return true;
+        if (running_ < 1.0 && queue_.size() <= 1.0 && can_run_again(request) && fresh)
+            return true;
         const double pending = queue_.quanta_at_or_above(request.band);
         const double delay = pending / max(0.1, capacity_.quanta_per_second);
         const double own = request.price / capacity_.quanta_per_second;
-        if (now_ + from_seconds(max(0.0, delay - own)) > latest_start(request)) return false;
+        if (now_ + from_seconds(max(0.0, delay - own)) > latest_start(request))
+            return false;
         // The CPU gauge is half a second old; what was started or queued since must still fit the cores.
         const double cores = settings_.cores, load = cpu_.share * running_ + queue_.size();
-        if (cpu_utilization_ < 1.0 - 1.0 / cores && load <= max_free_core_load * cores) return true;
-        if (load <= cores) return true;
+        if (cpu_utilization_ < 1.0 - 1.0 / cores && load <= max_free_core_load * cores)
+            return true;
+        if (load <= cores)
+            return true;
         // One or two may wait beside busy cores, or these run dry between arrivals.
         const double coming = cpu_.share * in_flight_ + queue_.size();
         const double min_band_weight = min_short_queue_weight * class_of(request).priority_weight;
-        if (coming <= cores + std::sqrt(cores) && bands_[request.band] > min_band_weight) return true;
+        if (coming <= cores + std::sqrt(cores) && bands_[request.band] > min_band_weight)
+            return true;
         const bool is_small = budget_.period_quanta < small_budget_prices * request.price;
-        if (in_top_band(request) && is_small && pending + request.price <= budget_.period_quanta) return true;
+        if (in_top_band(request) && is_small && pending + request.price <= budget_.period_quanta)
+            return true;
         return request.price <= budget_.remaining(request.band);
     }
 
     // -- runs and their calls --
     void on_event(const RunFinished& event) {
         TrackedRequest& request = find(event.id);
-        if (request.state == none) return;
-        if (!in_flight(request)) return remove(request);
+        if (request.state == none)
+            return;
+        if (!in_flight(request))
+            return remove(request);
         const bool succeeded = event.outcome == Outcome::ok;
         const bool completed = succeeded || event.outcome == Outcome::error;
         const bool was_busy = !queue_.empty();
         failures_.record_progress(now_);
-        if (request.state == in_call) dependency_.finish_call(now_, true);
+        if (request.state == in_call)
+            dependency_.finish_call(now_, true);
         set_state(request, awaiting_result);  // off the cores: its quanta are complete
         ClassPrice& price = prices_[request.class_index];
-        if (completed) stall_.completed += price.quanta;
-        if (succeeded) price.learn(request.used_quanta, to_seconds(now_ - request.started_at));
-        if (succeeded && !request.answered && was_busy) capacity_.completed_quanta += request.used_quanta;
-        if (completed && !request.call_failed && !request.answered) failures_.record_run(!succeeded);
-        if (event.outcome == Outcome::cancelled && !request.answered) emit(Fail{request.id});
-        if (event.outcome == Outcome::not_started && request.key_retained) release_key(request);
+        if (completed)
+            stall_.completed += price.quanta;
+        if (succeeded)
+            price.learn(request.used_quanta, to_seconds(now_ - request.started_at));
+        if (succeeded && !request.answered && was_busy)
+            capacity_.completed_quanta += request.used_quanta;
+        if (completed && !request.call_failed && !request.answered)
+            failures_.record_run(!succeeded);
+        if (event.outcome == Outcome::cancelled && !request.answered)
+            emit(Fail{request.id});
+        if (event.outcome == Outcome::not_started && request.key_retained)
+            release_key(request);
         remove(request);
     }
     void on_event(const DependencyCallRequested& event) {
         TrackedRequest& request = find(event.id);
-        if (request.state != running) return;
+        if (request.state != running)
+            return;
         failures_.record_progress(now_);
         set_state(request, awaiting_call);
-        if (request.answered) return emit(Fail{request.id});
+        if (request.answered)
+            return emit(Fail{request.id});
         wait_for_call(request);
     }
     void wait_for_call(TrackedRequest& request) {
-        if (!can_skip_call(request)) return set_timer(request, give_up_at(request));
+        if (!can_skip_call(request))
+            return set_timer(request, give_up_at(request));
         const Timestamp skip_at = skip_by(request);
-        if (now_ >= skip_at - from_seconds(dependency_.call_seconds)) return skip_call(request);
+        if (now_ >= skip_at - from_seconds(dependency_.call_seconds))
+            return skip_call(request);
         set_timer(request, max(now_, skip_at));
     }
     void skip_call(TrackedRequest& request) {
@@ -458,14 +528,18 @@
     }
     void on_event(const DependencyCallFinished& event) {
         TrackedRequest& request = find(event.id);
-        if (request.state != in_call) return;
+        if (request.state != in_call)
+            return;
         const bool succeeded = event.outcome == Outcome::ok;
         dependency_.finish_call(now_, event.outcome == Outcome::timeout);
         dependency_.learn(succeeded, to_seconds(event.duration));
         set_state(request, succeeded ? running : awaiting_call);
-        if (request.answered && !succeeded) emit(Fail{request.id});
-        if (request.answered) return timers_.erase(request.id);
-        if (succeeded) return set_timer(request, give_up_at(request));
+        if (request.answered && !succeeded)
+            emit(Fail{request.id});
+        if (request.answered)
+            return timers_.erase(request.id);
+        if (succeeded)
+            return set_timer(request, give_up_at(request));
         request.call_failed = true;
         if (can_retry_call(request, event.outcome)) {
             call_queue_.erase(request.position());
@@ -494,7 +568,8 @@
             const Timestamp until = can_skip_call(request) ? min(skip_by(request), give_up) : give_up;
             const Duration timeout = max(min_call_timeout, min(until - now_, dependency_.call_timeout()));
             emit(CallDependency{request.id, timeout});
-            if (can_skip_call(request)) set_timer(request, give_up);
+            if (can_skip_call(request))
+                set_timer(request, give_up);
             dependency_.start_call();
         }
     }
@@ -504,14 +579,16 @@
         while (!queue_.empty() && in_flight_ + 1.0 > max_in_flight() &&
                cpu_.share * running_ < idle_core_share * settings_.cores) {
             const auto lowest = std::find_if(call_queue_.rbegin(), call_queue_.rend(), skips);
-            if (lowest == call_queue_.rend()) return;
+            if (lowest == call_queue_.rend())
+                return;
             skip_call(requests_.at(lowest->id));
         }
     }
     void dispatch_runs() {
         while (cpu_.share * (running_ + 1.0) <= concurrency_.limit && !queue_.empty()) {
             TrackedRequest& request = requests_.at(queue_.first());
-            if (!can_run(request)) break;
+            if (!can_run(request))
+                break;
             emit(Run{request.id});
             set_state(request, running);
             request.started_at = now_;
@@ -519,9 +596,11 @@
         }
     }
     bool can_run(const TrackedRequest& r) const {
-        if (r.answered || came_after_grace(r) || (draining_ && now_ >= drain_deadline_)) return false;
+        if (r.answered || came_after_grace(r) || (draining_ && now_ >= drain_deadline_))
+            return false;
         const double growth_kb = r.memory_kb * (max(1.0, settings_.running_memory_factor) - 1.0);
-        if (used_memory_kb() + growth_kb > max_run_memory * settings_.memory_kb) return false;
+        if (used_memory_kb() + growth_kb > max_run_memory * settings_.memory_kb)
+            return false;
         return in_flight_ + 1.0 <= max(1.0, max_in_flight());
     }
 
@@ -531,16 +610,20 @@
     }
     void on_event(const Cancelled& event) {
         TrackedRequest& request = find(event.id);
-        if (request.state == none) return;
-        if (!in_flight(request)) return remove(request);
+        if (request.state == none)
+            return;
+        if (!in_flight(request))
+            return remove(request);
         request.answered = true;
         timers_.erase(request.id);
         // A run with a key goes on: its repeat will ask for the outcome.
-        if (request.state == awaiting_call || !needs_key(request)) stop_work(request);
+        if (request.state == awaiting_call || !needs_key(request))
+            stop_work(request);
     }
     void on_event(const DrainStarted& event) {
         // The grace counts from the first notice, which may have come in while the process was paused.
-        if (!std::exchange(draining_, true)) drain_started_at_ = now_ - pause_;
+        if (!std::exchange(draining_, true))
+            drain_started_at_ = now_ - pause_;
         drain_deadline_ = max(now_, event.deadline - drain_margin);
         emit(SetHealth{false, true});
         log("drain: seconds left", to_seconds(event.deadline - now_));
@@ -551,8 +634,10 @@
         advertise_load();
     }
     void on_event(const TimerFired& event) {
-        if (event.token == request_timer_token && !wakeups_.empty()) wakeups_.pop_back();
-        if (event.token == gauge_timer_token) update_gauges(event.gauges);
+        if (event.token == request_timer_token && !wakeups_.empty())
+            wakeups_.pop_back();
+        if (event.token == gauge_timer_token)
+            update_gauges(event.gauges);
         while (timers_.has_due(now_)) {
             TrackedRequest& r = requests_.at(timers_.entries.begin()->id);
             if (std::exchange(r.call_retry_pending, false)) {
@@ -577,8 +662,10 @@
             longest_run = max(longest_run, price.run_seconds);
         }
         relative_speed_ = speeds / class_count;
-        if (gauges.runnable && running_ >= 1.0) cpu_.update(*gauges.runnable, running_);
-        if (gauges.runnable && gauges.connections) update_idle_timeout(*gauges.runnable, *gauges.connections);
+        if (gauges.runnable && running_ >= 1.0)
+            cpu_.update(*gauges.runnable, running_);
+        if (gauges.runnable && gauges.connections)
+            update_idle_timeout(*gauges.runnable, *gauges.connections);
         const double max_utilization = pressure_ > 1.0 ? full_utilization : free_utilization;
         const bool can_grow = !queue_.empty() && cpu_utilization_ < max_utilization;
         concurrency_.update(can_grow, relative_speed_, max_in_flight());
@@ -591,13 +678,15 @@
             advertise_load();
         }
         const bool is_level = settings_.load_advertisement == LoadAdvertisement::level;
-        if (is_level && intake_overload() > 0.0) advertise_load();
+        if (is_level && intake_overload() > 0.0)
+            advertise_load();
     }
 
     // -- what callers are told of the load --
     void update_idle_timeout(double runnable, double connections) {
         const double longest = to_seconds(settings_.idle_timeout), shortest = min(min_objective_, longest);
-        if (longest <= 0.0) return;
+        if (longest <= 0.0)
+            return;
         blend(other_runnable_, max(0.0, runnable - cpu_.share * running_), others_gain);
         max_connections_ = max(max_connections_, connections);
         const double idle = connections - static_cast<double>(requests_.size());
--- a/src/policy/estimators.hpp
+++ b/src/policy/estimators.hpp
@@ -13,10 +13,16 @@
 
 using std::clamp, std::max, std::min;
 
-inline double to_seconds(Duration duration) { return static_cast<double>(duration.count()) * 1e-6; }
-inline Duration from_seconds(double seconds) { return Duration(std::llround(seconds * 1e6)); }
+inline double to_seconds(Duration duration) {
+    return static_cast<double>(duration.count()) * 1e-6;
+}
+inline Duration from_seconds(double seconds) {
+    return Duration(std::llround(seconds * 1e6));
+}
 /// Moves an exponentially weighted mean by the fraction `gain` towards `sample`.
-inline void blend(double& mean, double sample, double gain) { mean += gain * (sample - mean); }
+inline void blend(double& mean, double sample, double gain) {
+    mean += gain * (sample - mean);
+}
 
 /// Price of a request class: quanta and latency of a run, the latter with its calls.
 struct ClassPrice {
@@ -84,7 +90,8 @@
     static constexpr double step = 0.10, gain = 0.3, odds_decay = 0.95;
     void restore(double rate, const std::array<double, 3>& odds, double confidence) {
         const double total = max(1e-9, odds[0] + odds[1] + odds[2]);
-        for (std::size_t i = 0; i < 3; ++i) blend(trend_odds[i], 3.0 * odds[i] / total, confidence);
+        for (std::size_t i = 0; i < 3; ++i)
+            blend(trend_odds[i], 3.0 * odds[i] / total, confidence);
         quanta_per_period = confidence * rate;
         restored = true;
     }
@@ -92,7 +99,8 @@
         const double previous = std::exchange(restored, false) ? 0.0 : quanta_per_period;
         quanta_per_period = previous > 0.0 ? previous + gain * (current_quanta - previous) : current_quanta;
         const double change = previous > 0.0 ? quanta_per_period / previous - 1.0 : 0.0;
-        for (double& odds : trend_odds) odds *= odds_decay;
+        for (double& odds : trend_odds)
+            odds *= odds_decay;
         trend_odds[change > step / 2 ? 0U : change < -step / 2 ? 2U : 1U] += 1.0;
         current_quanta = 0.0;
     }
@@ -132,7 +140,8 @@
         hung = false;
     }
     void update(Timestamp now, double running, double run_seconds) {
-        if (running < 1.0) last_progress = now;
+        if (running < 1.0)
+            last_progress = now;
         hung = now - last_progress > max(min_hang, from_seconds(hang_run_times * run_seconds));
     }
     bool degraded() const { return failure_share > degraded_share; }
--- a/src/policy/limiters.hpp
+++ b/src/policy/limiters.hpp
@@ -27,7 +27,8 @@
     }
     double demand() const {
         double total = 0.0;
-        for (const DemandPredictor& predictor : predictors) total += predictor.current_quanta;
+        for (const DemandPredictor& predictor : predictors)
+            total += predictor.current_quanta;
         return total;
     }
 
@@ -48,7 +49,8 @@
     /// Up while cores idle and work waits, else by `relative_speed`: crowding makes runs dearer.
     void update(bool can_grow, double relative_speed, double max_limit) {
         restored = restored && !can_grow;  // what nobody waits for is given back as fast as it is learned
-        if (restored) limit = max(min_limit, limit - growth * limit);
+        if (restored)
+            limit = max(min_limit, limit - growth * limit);
         limit += can_grow ? max(1.0, growth * limit) : speed_gain * limit * (relative_speed - 1.0) - decay;
         limit = clamp(limit, min(min_limit, max_limit), max_limit);
     }
@@ -71,9 +73,12 @@
           base_refill_(refill_share * s.dependency_call_quota),
           max_budget_(base_refill_ * to_seconds(s.dependency_call_window)),
           max_limit_(shared_ ? max(min_quota, s.dependency_call_quota) : calls_per_core * s.cores),
-          budget_(max_budget_), limit_(max_limit_), grace_(s.abandoned_call_grace) {}
+          budget_(max_budget_),
+          limit_(max_limit_),
+          grace_(s.abandoned_call_grace) {}
     void advance(Timestamp now) {
-        while (!abandoned_until_.empty() && abandoned_until_.front() <= now) abandoned_until_.pop_front();
+        while (!abandoned_until_.empty() && abandoned_until_.front() <= now)
+            abandoned_until_.pop_front();
         budget_ = min(max_budget_, budget_ + (refill_rate() - in_flight()) * to_seconds(now - advanced_at_));
         advanced_at_ = now;
     }
@@ -83,17 +88,20 @@
         return in_flight() + 1.0 <= max(1.0, limit_) && (!shared_ || to_seconds(call_timeout()) > required);
     }
     Duration call_timeout() const {
-        if (!shared_) return Duration::max();
+        if (!shared_)
+            return Duration::max();
         return max(Duration(0), from_seconds(min(max_seconds, budget_ / (outstanding_ + 1.0))) - grace_);
     }
     void start_call() { ++outstanding_; }
     void finish_call(Timestamp now, bool abandoned) {
         --outstanding_;
-        if (abandoned) abandoned_until_.push_back(now + grace_);
+        if (abandoned)
+            abandoned_until_.push_back(now + grace_);
     }
     void learn(bool succeeded, double seconds) {
         const Gains& gains = fractional_ ? fractional : whole;
-        if (!succeeded) seconds = max(call_seconds, seconds + to_seconds(grace_));
+        if (!succeeded)
+            seconds = max(call_seconds, seconds + to_seconds(grace_));
         blend(call_seconds, seconds, max(gains.mean, 1.0 / ++call_count));
         fastest_ = call_count < warm_up ? call_seconds : min(call_seconds, fastest_ * base_drift);
         if (succeeded && call_seconds <= slow_ratio * fastest_) {
@@ -131,9 +139,11 @@
     bool try_acquire(double stretch, bool is_retry) {
         attempts += 1.0;
         first_attempts += is_retry ? 0.0 : 1.0;
-        if (first_attempt_rate <= stretch * per_second) return true;
+        if (first_attempt_rate <= stretch * per_second)
+            return true;
         credit = min(credit + min(1.0, stretch * per_second / max(attempt_rate, 1e-9)), max_credit);
-        if (credit < 1.0) return false;
+        if (credit < 1.0)
+            return false;
         credit -= 1.0;
         return true;
     }
--- a/src/policy/load_advertiser.cpp
+++ b/src/policy/load_advertiser.cpp
@@ -18,9 +18,12 @@
 std::optional<double> LoadAdvertiser::advertise(const LoadReading& reading) {
     const double excess =
         reading.rejected_share > min_rejected_share ? reading.pressure - full_pressure : 0.0;
-    if (mode_ == LoadAdvertisement::weight) return next_weight(reading, excess);
-    if (mode_ == LoadAdvertisement::level) return next_level(reading, excess);
-    if (mode_ == LoadAdvertisement::credit) return credit(reading);
+    if (mode_ == LoadAdvertisement::weight)
+        return next_weight(reading, excess);
+    if (mode_ == LoadAdvertisement::level)
+        return next_level(reading, excess);
+    if (mode_ == LoadAdvertisement::credit)
+        return credit(reading);
     return std::nullopt;
 }
 
--- a/src/policy/run_queue.hpp
+++ b/src/policy/run_queue.hpp
@@ -48,14 +48,16 @@
     }
     void add_quanta(const TrackedRequest& request, double quanta) {
         band_quanta[request.band] += quanta;
-        if (request.in_backup_queue) backup_quanta += quanta;
+        if (request.in_backup_queue)
+            backup_quanta += quanta;
     }
     bool empty() const { return main_queue.empty() && backup_queue.empty(); }
     double size() const { return static_cast<double>(main_queue.size() + backup_queue.size()); }
     RequestId first() const { return (main_queue.empty() ? backup_queue : main_queue).begin()->id; }
     /// The request that is missed least.
     RequestId last() const {
-        if (main_queue.empty()) return backup_queue.rbegin()->id;
+        if (main_queue.empty())
+            return backup_queue.rbegin()->id;
         const QueuePosition& lowest = *main_queue.rbegin();
         const bool from_main =
             backup_queue.empty() || backup_queue.rbegin()->negative_band < lowest.negative_band;
@@ -63,7 +65,8 @@
     }
     double quanta_at_or_above(std::size_t band) const {
         double total = 0.0;
-        for (std::size_t b = band; b < band_quanta.size(); ++b) total += band_quanta[b];
+        for (std::size_t b = band; b < band_quanta.size(); ++b)
+            total += band_quanta[b];
         return max(0.0, total);
     }
 
