--- /dev/null
+++ b/src/policy/class_price.cpp
@@ -0,0 +1,41 @@
+#include "policy/class_price.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "policy/moving_average.hpp"
+
+namespace cressledge::policy::aces {
+namespace {
+
+constexpr double min_gain = 0.05;  // share of a sample
+constexpr double max_outlier = 4.0;  // prices
+constexpr double warm_up_completions = 20.0;
+constexpr double base_drift = 1.002;  // ratio a completion: a lasting change is accepted
+constexpr double min_speed = 0.2;  // ratio
+constexpr double min_quanta = 1e-9;  // core seconds
+
+}  // namespace
+
+ClassPrice::ClassPrice(double initial_seconds)
+    : quanta_(initial_seconds), cheapest_quanta_(initial_seconds), run_seconds_(initial_seconds) {}
+
+void ClassPrice::learn(double used_quanta, double latency_seconds) {
+    ++completions_;
+    const double gain = std::max(min_gain, 1.0 / (completions_ + 1.0));
+    update_average(quanta_, std::min(used_quanta, max_outlier * quanta_), gain);
+    update_average(run_seconds_, std::min(latency_seconds, max_outlier * run_seconds_), gain);
+    const bool is_warm = completions_ >= warm_up_completions;
+    cheapest_quanta_ = is_warm ? std::min(quanta_, cheapest_quanta_ * base_drift) : quanta_;
+}
+
+void ClassPrice::restore(double saved_quanta, double saved_run_seconds, double confidence) {
+    quanta_ = cheapest_quanta_ = quanta_ * std::pow(saved_quanta / quanta_, confidence);
+    run_seconds_ *= std::pow(saved_run_seconds / run_seconds_, confidence);
+}
+
+double ClassPrice::relative_speed() const {
+    return std::clamp(cheapest_quanta_ / std::max(quanta_, min_quanta), min_speed, 1.0);
+}
+
+}  // namespace cressledge::policy::aces
--- a/src/policy/load_advertiser.cpp
+++ b/src/policy/load_advertiser.cpp
@@ -1,7 +1,9 @@
 // The load that this server advertises to its callers. README.md has the reason for each tuned value.
 #include "policy/load_advertiser.hpp"
 
-#include "policy/estimators.hpp"
+#include <algorithm>
+
+#include "policy/moving_average.hpp"
 
 namespace cressledge::policy::aces {
 namespace {
@@ -28,23 +30,23 @@
 }
 
 double LoadAdvertiser::next_weight(const LoadReading& reading, double excess) {
-    const double overload = max(0.0, max(excess, overload_excess * reading.intake_overload));
-    blend(advertised_weight_, 1.0 / (1.0 + overload), weight_gain);
-    return reading.unavailable ? min_advertised : max(min_weight, advertised_weight_);
+    const double overload = std::max(0.0, std::max(excess, overload_excess * reading.intake_overload));
+    update_average(advertised_weight_, 1.0 / (1.0 + overload), weight_gain);
+    return reading.unavailable ? min_advertised : std::max(min_weight, advertised_weight_);
 }
 
 double LoadAdvertiser::next_level(const LoadReading& reading, double excess) {
     const double rise = level_rise * excess / (1.0 + excess) * (1.0 - advertised_level_);
     const double level = advertised_level_ + (excess > 0.0 ? rise : -level_fall);
-    advertised_level_ = clamp(level, 0.0, max_pressure_level);
-    return reading.unavailable ? 1.0 : max(advertised_level_, overload_level * reading.intake_overload);
+    advertised_level_ = std::clamp(level, 0.0, max_pressure_level);
+    return reading.unavailable ? 1.0 : std::max(advertised_level_, overload_level * reading.intake_overload);
 }
 
 double LoadAdvertiser::credit(const LoadReading& reading) const {
     const double answerable = reading.capacity_quanta_per_second * reading.min_objective_seconds /
-                              max(1e-3, reading.mean_price_quanta);
-    const double credit = answerable / max(1, caller_count_) / max(1.0, reading.pressure);
-    return reading.unavailable ? min_advertised : max(min_advertised, credit);
+                              std::max(1e-3, reading.mean_price_quanta);
+    const double credit = answerable / std::max(1, caller_count_) / std::max(1.0, reading.pressure);
+    return reading.unavailable ? min_advertised : std::max(min_advertised, credit);
 }
 
 }  // namespace cressledge::policy::aces
--- /dev/null
+++ b/src/policy/moving_average.hpp
@@ -0,0 +1,13 @@
+// The exponentially weighted moving average by which the module smooths what it measures.
+//
+// Invariant: with a gain from 0 to 1 the mean stays between its former value and the sample.
+#pragma once
+
+namespace cressledge::policy::aces {
+
+/// Moves the average by the fraction `gain` (0 to 1) of its distance to `sample`.
+inline void update_average(double& average, double sample, double gain) {
+    average += gain * (sample - average);
+}
+
+}  // namespace cressledge::policy::aces
--- /dev/null
+++ b/src/policy/request_table.cpp
@@ -0,0 +1,91 @@
+#include "policy/request_table.hpp"
+
+#include <algorithm>
+#include <iterator>
+#include <numeric>
+
+namespace cressledge::policy::aces {
+
+RequestTable::RequestTable(const Settings& settings, std::size_t band_count)
+    : running_memory_factor_(std::max(1.0, settings.running_memory_factor)),
+      idempotency_key_kb_(settings.idempotency_key_kb),
+      run_queue_(band_count),
+      expected_calls_(band_count, 0.0) {}
+
+TrackedRequest* RequestTable::find(RequestId id) {
+    const auto it = requests_.find(id);
+    return it == requests_.end() ? nullptr : &it->second;
+}
+
+TrackedRequest& RequestTable::insert(const TrackedRequest& request) {
+    TrackedRequest& inserted = requests_[request.id] = request;
+    account(inserted, 1.0);
+    return inserted;
+}
+
+void RequestTable::erase(const TrackedRequest& request) {
+    const RequestId id = request.id;
+    account(requests_.at(id), -1.0);
+    requests_.erase(id);
+}
+
+void RequestTable::set_state(TrackedRequest& request, RequestState state) {
+    account(request, -1.0);
+    request.state = state;
+    account(request, 1.0);
+}
+
+void RequestTable::move_to_backup_queue(TrackedRequest& request) {
+    run_queue_.remove(request);
+    request.in_backup_queue = true;
+    run_queue_.add(request);
+}
+
+void RequestTable::inherit_queue(TrackedRequest& request, const TrackedRequest& original) {
+    run_queue_.remove(request);
+    request.band = std::max(request.band, original.band);
+    request.in_backup_queue = original.in_backup_queue;
+    run_queue_.add(request);
+}
+
+double RequestTable::waiting_calls_at_or_above(std::size_t band) const {
+    const QueuePosition next_band{1 - static_cast<std::ptrdiff_t>(band), Timestamp::min(), 0};
+    return static_cast<double>(std::distance(call_queue_.begin(), call_queue_.lower_bound(next_band)));
+}
+
+double RequestTable::expected_calls_at_or_above(std::size_t band) const {
+    const auto first = expected_calls_.begin() + static_cast<std::ptrdiff_t>(band);
+    return std::accumulate(first, expected_calls_.end(), 0.0);
+}
+
+void RequestTable::retain_key(TrackedRequest& request, Timestamp until) {
+    retained_keys_.set(request.id, until);
+    request.key_retained = true;
+}
+
+void RequestTable::expire_keys(Timestamp now) {
+    while (retained_keys_.has_due(now))
+        retained_keys_.erase(retained_keys_.first().id);
+}
+
+double RequestTable::used_memory_kb() const {
+    return requests_kb_ + retained_keys_.size() * idempotency_key_kb_;
+}
+
+void RequestTable::account(TrackedRequest& request, double sign) {
+    requests_kb_ += sign * (request.memory_kb * (request.is_in_flight() ? running_memory_factor_ : 1.0));
+    if (request.requires_call() && request.calls_made == 0 && request.state < RequestState::in_call)
+        expected_calls_[request.band] += sign;
+    if (request.is_in_flight())
+        in_flight_ += sign;
+    if (request.state == RequestState::queued)
+        sign > 0 ? run_queue_.add(request) : run_queue_.remove(request);
+    if (request.state == RequestState::awaiting_call)
+        sign > 0 ? join_call_queue(request) : leave_call_queue(request);
+    if (request.state != RequestState::running)
+        return;
+    running_ += sign;
+    request.used_quanta -= sign * core_seconds_per_run_;
+}
+
+}  // namespace cressledge::policy::aces
