--- a/bench/gossip_sim.cpp
+++ b/bench/gossip_sim.cpp
@@ -1,9 +1,13 @@
-// Fleets of the gossip protocol in one process: how long a crash, a join and a leave take to be known, whether anybody
-// alive is taken for dead, and what it costs beside a heartbeat of all to all. Bounded in count and time.
+// Emulated fleets of the gossip protocol in one process: how long a crash, a
+// join and a leave take until every member knows them, whether a live member is
+// declared dead, and what the protocol costs beside an all-to-all heartbeat.
+// Bounded in count and time; seeded, so that a run gives the same numbers on
+// every machine.
 //
-//   gossip_sim sizes [--most 10000]           a table by size, growing as the logarithm
-//   gossip_sim runs [--runs 1000] [--loss 1]  seeded runs: false deaths counted
-//   gossip_sim bytes                          bytes a process a second, beside the heartbeat
+//   gossip_sim sizes [--most 10000]           detection times, ms, by fleet
+//   size gossip_sim runs [--runs 1000] [--loss 1]  false deaths over seeded
+//   runs with lost datagrams (percent) gossip_sim bytes bytes a process sends a
+//   second
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -19,132 +23,183 @@
 using emulator::Fleet;
 using membership::MemberState;
 
-base::Duration ms(std::int64_t n) {
-    return base::Duration(n * 1000);
+constexpr std::int64_t detection_timeout_ms = 30'000;
+constexpr std::uint64_t sizes_random_seed = 17;
+constexpr std::uint64_t bytes_random_seed = 23;
+
+base::Duration milliseconds(std::int64_t count) {
+    return base::Duration(count * 1000);
 }
 
-membership::MembershipSettings rules(std::int64_t probe) {
-    membership::MembershipSettings r;
-    r.probe_interval = ms(probe);
-    return r;
+membership::MembershipSettings settings_with(std::int64_t probe_ms) {
+    membership::MembershipSettings settings;
+    settings.probe_interval = milliseconds(probe_ms);
+    return settings;
 }
 
-struct Spread {
-    double first = -1, all = -1;  // ms; -1: not within the bound
+// When a change of one member was known, in ms after it; -1: not within the
+// timeout.
+struct DetectionTime {
+    double first_ms = -1;
+    double all_ms = -1;
 };
 
-// When the first and when all other running views say `state` (or hold no such live member) of `no`.
-Spread until_known(Fleet& f, std::size_t no, MemberState state, int bound_ms) {
-    const base::Timestamp from = f.now();
-    Spread s;
-    f.run(from + ms(bound_ms), ms(10), [&] {
-        std::size_t knowing = 0, running = 0;
-        for (std::size_t i = 0; i < f.size(); ++i) {
-            if (i == no || !f.running(i))
+// When the first and when all other running members had `state` for member
+// `index`.
+DetectionTime wait_until_known(Fleet& fleet, std::size_t index, MemberState state) {
+    const base::Timestamp start = fleet.now();
+    DetectionTime detection;
+    fleet.run(start + milliseconds(detection_timeout_ms), milliseconds(10), [&] {
+        std::size_t informed = 0;
+        std::size_t running = 0;
+        for (std::size_t i = 0; i < fleet.size(); ++i) {
+            if (i == index || !fleet.running(i))
                 continue;
             ++running;
-            knowing += f.view(i).state_of(f.id(no)) == state;
+            informed += fleet.view(i).state_of(fleet.id(index)) == state;
         }
-        const double at = static_cast<double>((f.now() - from).count()) / 1000.0;
-        if (knowing > 0 && s.first < 0)
-            s.first = at;
-        if (knowing == running)
-            s.all = at;
-        return knowing == running;
+        const double elapsed_ms = static_cast<double>((fleet.now() - start).count()) / 1000.0;
+        if (informed > 0 && detection.first_ms < 0)
+            detection.first_ms = elapsed_ms;
+        if (informed == running)
+            detection.all_ms = elapsed_ms;
+        return informed == running;
     });
-    return s;
+    return detection;
+}
+
+double median(std::vector<double> values) {
+    std::sort(values.begin(), values.end());
+    return values.empty() ? 0.0 : values[values.size() / 2];
+}
+
+// A cell of the table: median (worst).
+std::string format_cell(const std::vector<double>& values) {
+    const double worst = *std::max_element(values.begin(), values.end());
+    return std::to_string(std::lround(median(values))) + " (" + std::to_string(std::lround(worst)) + ")";
 }
 
-double median(std::vector<double> v) {
-    std::sort(v.begin(), v.end());
-    return v.empty() ? 0.0 : v[v.size() / 2];
+int repeats_for(std::size_t members) {
+    if (members >= 10'000)
+        return 3;
+    return members >= 1'000 ? 10 : 20;
 }
 
-int sizes(std::size_t most, std::int64_t probe) {
-    std::printf("probe period %lld ms, no loss; times in ms, median (worst) over the repeats\n",
-                static_cast<long long>(probe));
+void print_size_row(std::size_t members, std::int64_t probe_ms) {
+    const int repeats = repeats_for(members);
+    std::vector<double> crash_first;
+    std::vector<double> crash_all;
+    std::vector<double> join_all;
+    std::vector<double> leave_all;
+    Fleet fleet(members + 64, settings_with(probe_ms), {}, sizes_random_seed);
+    fleet.start_agreed(members);
+    fleet.run(fleet.now() + milliseconds(2'000));
+    for (int i = 0; i < repeats; ++i) {
+        const auto crashed = static_cast<std::size_t>(i) * 4 + 3;
+        fleet.crash(crashed);
+        const DetectionTime crash = wait_until_known(fleet, crashed, MemberState::dead);
+        crash_first.push_back(crash.first_ms);
+        crash_all.push_back(crash.all_ms);
+        const std::size_t joined = fleet.start({0});
+        join_all.push_back(wait_until_known(fleet, joined, MemberState::alive).all_ms);
+        const std::size_t departed = crashed + 1;
+        fleet.leave(departed);
+        leave_all.push_back(wait_until_known(fleet, departed, MemberState::left).all_ms);
+    }
+    std::printf("%8zu %8d %18s %18s %18s %18s %12llu\n", members, repeats, format_cell(crash_first).c_str(),
+                format_cell(crash_all).c_str(), format_cell(join_all).c_str(), format_cell(leave_all).c_str(),
+                static_cast<unsigned long long>(fleet.false_deaths()));
+    std::fflush(stdout);
+}
+
+int run_sizes(std::size_t max_members, std::int64_t probe_ms) {
+    std::printf(
+        "probe period %lld ms, no loss; times in ms, median (worst) over "
+        "the repeats\n",
+        static_cast<long long>(probe_ms));
     std::printf("%8s %8s %18s %18s %18s %18s %12s\n", "members", "repeats", "crash first", "crash all",
                 "join all", "leave all", "false deaths");
-    for (const std::size_t n : {std::size_t{100}, std::size_t{1'000}, std::size_t{10'000}}) {
-        if (n > most)
-            break;
-        const int repeats = n >= 10'000 ? 3 : n >= 1'000 ? 10 : 20;
-        std::vector<double> first, all, join, leave;
-        Fleet f(n + 64, rules(probe), {}, 17);
-        f.start_agreed(n);
-        f.run(f.now() + ms(2'000));
-        for (int k = 0; k < repeats; ++k) {
-            const auto victim = static_cast<std::size_t>(k) * 4 + 3;
-            f.crash(victim);
-            const Spread c = until_known(f, victim, MemberState::dead, 30'000);
-            first.push_back(c.first), all.push_back(c.all);
-            join.push_back(until_known(f, f.start({0}), MemberState::alive, 30'000).all);
-            const std::size_t goer = victim + 1;
-            f.leave(goer);
-            leave.push_back(until_known(f, goer, MemberState::left, 30'000).all);
-        }
-        const std::uint64_t wrong = f.false_deaths();
-        const auto cell = [](const std::vector<double>& v) {
-            return std::to_string(std::lround(median(v))) + " (" +
-                   std::to_string(std::lround(*std::max_element(v.begin(), v.end()))) + ")";
-        };
-        std::printf("%8zu %8d %18s %18s %18s %18s %12llu\n", n, repeats, cell(first).c_str(),
-                    cell(all).c_str(), cell(join).c_str(), cell(leave).c_str(),
-                    static_cast<unsigned long long>(wrong));
-        std::fflush(stdout);
-    }
+    for (const std::size_t members : {std::size_t{100}, std::size_t{1'000}, std::size_t{10'000}})
+        if (members <= max_members)
+            print_size_row(members, probe_ms);
     return 0;
 }
 
-int runs(int count, double loss, std::size_t n, std::int64_t probe) {
-    std::uint64_t wrong = 0, bad = 0, suspicions = 0, refutations = 0;
+// Sums over the seeded runs.
+struct RunTotals {
+    std::uint64_t false_deaths = 0;
+    std::uint64_t disagreements = 0;
+    std::uint64_t suspicions = 0;
+    std::uint64_t refutations = 0;
+};
+
+void run_seed(std::uint64_t seed, double loss_percent, std::size_t members, std::int64_t probe_ms,
+              RunTotals& totals) {
+    Fleet fleet(members + 4, settings_with(probe_ms),
+                {loss_percent / 100.0, base::Duration(200), base::Duration(2'000)}, seed);
+    fleet.start_agreed(members);
+    fleet.run(fleet.now() + milliseconds(10'000));
+    fleet.crash(3);
+    fleet.start({0});
+    const bool agreed =
+        fleet.run(fleet.now() + milliseconds(10'000), milliseconds(50), [&] { return fleet.agreed(); });
+    totals.disagreements += agreed ? 0 : 1;
+    totals.false_deaths += fleet.false_deaths();
+    for (std::size_t i = 0; i < fleet.size(); ++i) {
+        if (!fleet.running(i))
+            continue;
+        totals.suspicions += fleet.view(i).counters().suspicions_raised;
+        totals.refutations += fleet.view(i).counters().own_refutations;
+    }
+}
+
+int run_seeds(int count, double loss_percent, std::size_t members, std::int64_t probe_ms) {
+    RunTotals totals;
     for (int seed = 1; seed <= count; ++seed) {
-        Fleet f(n + 4, rules(probe), {loss / 100.0, base::Duration(200), base::Duration(2'000)},
-                static_cast<std::uint64_t>(seed));
-        f.start_agreed(n);
-        f.run(f.now() + ms(10'000));
-        f.crash(3);
-        f.start({0});
-        bad += !f.run(f.now() + ms(10'000), ms(50), [&] { return f.agreed(); });
-        wrong += f.false_deaths();
-        for (std::size_t i = 0; i < f.size(); ++i)
-            if (f.running(i))
-                suspicions += f.view(i).counters().suspicions_raised,
-                    refutations += f.view(i).counters().own_refutations;
+        run_seed(static_cast<std::uint64_t>(seed), loss_percent, members, probe_ms, totals);
         if (seed % 100 == 0)
             std::fprintf(stderr, "%d runs, %llu false deaths\n", seed,
-                         static_cast<unsigned long long>(wrong));
+                         static_cast<unsigned long long>(totals.false_deaths));
     }
     std::printf(
-        "%d seeded runs of %zu members at %.1f%% loss: %llu live members declared dead (in any view), %llu "
+        "%d seeded runs of %zu members at %.1f%% loss: %llu live members "
+        "declared dead (in any view), %llu "
         "runs without "
-        "agreement 10 s after a crash and a join, %llu suspicions raised, %llu refuted by their subjects\n",
-        count, n, loss, static_cast<unsigned long long>(wrong), static_cast<unsigned long long>(bad),
-        static_cast<unsigned long long>(suspicions), static_cast<unsigned long long>(refutations));
-    return wrong == 0 && bad == 0 ? 0 : 1;
+        "agreement 10 s after a crash and a join, %llu suspicions "
+        "raised, %llu refuted by their subjects\n",
+        count, members, loss_percent, static_cast<unsigned long long>(totals.false_deaths),
+        static_cast<unsigned long long>(totals.disagreements),
+        static_cast<unsigned long long>(totals.suspicions),
+        static_cast<unsigned long long>(totals.refutations));
+    return totals.false_deaths == 0 && totals.disagreements == 0 ? 0 : 1;
 }
 
-// The plain way: each tells each other, every period, that it is there. One datagram holds its own entry only.
-double heartbeat(std::size_t n, std::int64_t probe) {
-    membership::Message m;
-    m.sender = {"n100", {1, 1}, 1, 0, MemberState::alive, {}};
-    return static_cast<double>((n - 1) * membership::max_encoded_size(m, 5)) * 1000.0 /
-           static_cast<double>(probe);
+// Bytes a process sends a second where each member sends each other its own
+// entry in every probe period.
+double heartbeat_bytes_per_second(std::size_t members, std::int64_t probe_ms) {
+    membership::Message message;
+    message.sender = {"n100", {1, 1}, 1, 0, MemberState::alive, {}};
+    return static_cast<double>((members - 1) * membership::max_encoded_size(message, 5)) * 1000.0 /
+           static_cast<double>(probe_ms);
 }
 
-int bytes(std::int64_t probe) {
-    std::printf("bytes sent a process a second, quiet fleet, 120 s, probe period %lld ms\n",
-                static_cast<long long>(probe));
+int run_bytes(std::int64_t probe_ms) {
+    constexpr std::int64_t measured_seconds = 120;
+    std::printf(
+        "bytes sent a process a second, quiet fleet, 120 s, probe period "
+        "%lld ms\n",
+        static_cast<long long>(probe_ms));
     std::printf("%8s %12s %22s\n", "members", "gossip", "all-to-all heartbeat");
-    for (const std::size_t n : {std::size_t{50}, std::size_t{200}, std::size_t{800}}) {
-        Fleet f(n, rules(probe), {}, 23);
-        f.start_agreed(n);
-        f.run(f.now() + ms(5'000));
-        const auto before = f.bytes();
-        f.run(f.now() + ms(120'000));
-        std::printf("%8zu %12.0f %22.0f\n", n,
-                    static_cast<double>(f.bytes() - before) / 120.0 / static_cast<double>(n),
-                    heartbeat(n, probe));
+    for (const std::size_t members : {std::size_t{50}, std::size_t{200}, std::size_t{800}}) {
+        Fleet fleet(members, settings_with(probe_ms), {}, bytes_random_seed);
+        fleet.start_agreed(members);
+        fleet.run(fleet.now() + milliseconds(5'000));
+        const auto bytes_before = fleet.bytes();
+        fleet.run(fleet.now() + milliseconds(measured_seconds * 1000));
+        std::printf("%8zu %12.0f %22.0f\n", members,
+                    static_cast<double>(fleet.bytes() - bytes_before) /
+                        static_cast<double>(measured_seconds) / static_cast<double>(members),
+                    heartbeat_bytes_per_second(members, probe_ms));
     }
     return 0;
 }
@@ -161,16 +216,16 @@
         "members", "runs: fleet size", cxxopts::value<std::size_t>()->default_value("100"))(
         "probe", "probe period, ms", cxxopts::value<std::int64_t>()->default_value("250"));
     options.parse_positional({"what"});
-    const auto given = options.parse(argc, argv);
-    const auto what = given["what"].as<std::string>();
-    const auto probe = given["probe"].as<std::int64_t>();
-    if (what == "sizes")
-        return sizes(given["most"].as<std::size_t>(), probe);
-    if (what == "runs")
-        return runs(given["runs"].as<int>(), given["loss"].as<double>(), given["members"].as<std::size_t>(),
-                    probe);
-    if (what == "bytes")
-        return bytes(probe);
+    const auto arguments = options.parse(argc, argv);
+    const auto experiment = arguments["what"].as<std::string>();
+    const auto probe_ms = arguments["probe"].as<std::int64_t>();
+    if (experiment == "sizes")
+        return run_sizes(arguments["most"].as<std::size_t>(), probe_ms);
+    if (experiment == "runs")
+        return run_seeds(arguments["runs"].as<int>(), arguments["loss"].as<double>(),
+                         arguments["members"].as<std::size_t>(), probe_ms);
+    if (experiment == "bytes")
+        return run_bytes(probe_ms);
     std::fprintf(stderr, "gossip_sim: sizes, runs or bytes\n");
     return 2;
 }
