--- a/bench/load_spread_sim.cpp
+++ b/bench/load_spread_sim.cpp
@@ -1,8 +1,20 @@
-// How evenly each rule of choice spreads the load of many processes over many servers of capacities 1, 2 and 4, in one
-// table. Bounded; the same numbers on every machine for one seed.
+// Emulates many balancing processes, each with a partial view, before many
+// servers of capacities 1, 2 and 4, and measures how evenly each balancing
+// policy spreads the load. Bounded; the same numbers on every machine for one
+// seed.
 //
-//   load_spread_sim [--processes 300] [--servers 300] [--slots 16] [--seconds 10] [--load 80,95]
+//   load_spread_sim [--processes 300] [--servers 300] [--slots 16] [--seconds
+//   10] [--load 80,95]
 //              [--trouble none|slow|fails|burst|cold|restart|crowd|dead]
+//
+// Prints a table, a row for each load and policy. "worst p99": 99th percentile
+// over time of the busiest server's utilization over the mean; "over 2 s":
+// longest time, in seconds, for which it was over 2; "cv": coefficient of
+// variation of the utilizations; "idle": percent of server time without calls
+// while another server queues; "x JSQ": the p99 latency over that of
+// join-the-shortest-queue; "errors": percent of calls; "probes": probes a call;
+// "moved": percent of subset places that a change in the number of processes
+// moved.
 #include <cstdio>
 #include <cxxopts.hpp>
 
@@ -12,34 +24,37 @@
 
 using namespace cressledge::emulator;
 
-// The hard cases, a quarter of the time in.
-std::vector<Trouble> troubles(const std::string& name, const Spread& s) {
-    const double at = s.seconds / 4;
-    std::vector<std::size_t> third;
-    for (std::size_t i = 0; i < s.servers; i += 3)
-        third.push_back(i);
-    if (name == "none")
+constexpr std::size_t crowd_processes_before = 50;
+constexpr double crowd_processes_during = 300.0;
+
+// The faults of a named scenario. They begin a quarter of the time in.
+std::vector<Trouble> faults_of(const std::string& scenario, const Spread& spread) {
+    const double start_s = spread.seconds / 4;
+    if (scenario == "none")
         return {};
-    if (name == "slow")
-        return {{at, Trouble::slow, {2}, 10.0, 0.0}};
-    if (name == "fails")
-        return {{at, Trouble::fail, {1}, 1.0, 0.0}};
-    if (name == "burst")
-        return {{at, Trouble::burst, {}, 2.0, 5.0}};
-    if (name == "cold")
-        return {{at, Trouble::restart_servers, {2}, 1.0, 1.0}};
-    if (name == "restart")
-        return {{at, Trouble::restart_processes, {}, 1.0, 0.0}};
-    if (name == "crowd")
-        return {{at, Trouble::processes, {}, 300.0, 0.0}, {3 * at, Trouble::processes, {}, 50.0, 0.0}};
-    if (name == "dead")
-        return {{at, Trouble::restart_servers, third, 1.0, 2.0}};
-    throw std::invalid_argument(name + ": no such trouble");
+    if (scenario == "slow")
+        return {{start_s, Trouble::slow, {2}, 10.0, 0.0}};
+    if (scenario == "fails")
+        return {{start_s, Trouble::fail, {1}, 1.0, 0.0}};
+    if (scenario == "burst")
+        return {{start_s, Trouble::burst, {}, 2.0, 5.0}};
+    if (scenario == "cold")
+        return {{start_s, Trouble::restart_servers, {2}, 1.0, 1.0}};
+    if (scenario == "restart")
+        return {{start_s, Trouble::restart_processes, {}, 1.0, 0.0}};
+    if (scenario == "crowd")
+        return {{start_s, Trouble::processes, {}, crowd_processes_during, 0.0},
+                {3 * start_s, Trouble::processes, {}, static_cast<double>(crowd_processes_before), 0.0}};
+    if (scenario == "dead") {
+        std::vector<std::size_t> every_third;
+        for (std::size_t i = 0; i < spread.servers; i += 3)
+            every_third.push_back(i);
+        return {{start_s, Trouble::restart_servers, every_third, 1.0, 2.0}};
+    }
+    throw std::invalid_argument(scenario + ": no such trouble");
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
+cxxopts::Options make_options() {
     cxxopts::Options options("load_spread_sim", "even load from partial views");
     options.add_options()("processes", "balancing processes",
                           cxxopts::value<std::size_t>()->default_value("300"))(
@@ -52,45 +67,68 @@
         "hot", "quantile, probe pool", cxxopts::value<double>()->default_value("0"))(
         "subset", "servers a process uses; 0: all", cxxopts::value<std::size_t>()->default_value("0"))(
         "trouble",
-        "none, slow, fails, burst, cold (a server restarts), restart (all processes), crowd (50, 300, 50 "
+        "none, slow, fails, burst, cold (a server restarts), restart (all "
+        "processes), crowd (50, 300, 50 "
         "processes) or dead (a third of the servers gone for 2 s)",
         cxxopts::value<std::string>()->default_value("none"))(
         "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"));
+    return options;
+}
+
+Spread read_spread(const cxxopts::ParseResult& arguments, double load_percent) {
+    Spread spread;
+    spread.processes = arguments["processes"].as<std::size_t>();
+    spread.servers = arguments["servers"].as<std::size_t>();
+    spread.nature.slots = arguments["slots"].as<unsigned>();
+    spread.seconds = arguments["seconds"].as<double>();
+    spread.load = load_percent / 100.0;
+    spread.probes = arguments["probes"].as<unsigned>();
+    spread.expected = arguments.count("unexpected") == 0;
+    spread.pool.hot_quantile = arguments["hot"].as<double>();
+    spread.subset = arguments["subset"].as<std::size_t>();
+    spread.seed = arguments["seed"].as<std::uint64_t>();
+    const auto scenario = arguments["trouble"].as<std::string>();
+    if (scenario == "crowd")
+        spread.processes = crowd_processes_before;
+    spread.troubles = faults_of(scenario, spread);
+    return spread;
+}
+
+void print_header() {
+    std::printf("%5s  %-24s %9s %9s %7s %8s %8s %8s %8s %9s %9s %7s\n", "load", "choice", "worst p99",
+                "over 2 s", "cv", "idle", "p50 ms", "p99 ms", "x JSQ", "errors", "probes", "moved");
+}
+
+// A row for each policy at one load; the first is join-the-shortest-queue, to
+// which the others are compared.
+void print_rows(Spread spread, double load_percent) {
+    double shortest_queue_p99_ms = 0.0;
+    for (const Choice choice : {Choice::all_seen, Choice::random, Choice::round_robin, Choice::stale,
+                                Choice::own_two, Choice::today, Choice::pool, Choice::probed}) {
+        spread.choice = choice;
+        const Outcome outcome = run(spread);
+        if (choice == Choice::all_seen)
+            shortest_queue_p99_ms = outcome.p99_ms;
+        std::printf(
+            "%4.0f%%  %-24s %9.3f %9.2f %7.3f %7.3f%% %8.1f %8.1f %8.2f "
+            "%8.3f%% %9.2f %6.1f%%\n",
+            load_percent, word(choice), outcome.even.worst_p99, outcome.even.longest_over(2.0),
+            outcome.even.variation, 100.0 * outcome.even.idle, outcome.p50_ms, outcome.p99_ms,
+            outcome.p99_ms / shortest_queue_p99_ms, 100.0 * outcome.errors,
+            static_cast<double>(outcome.probes) / static_cast<double>(outcome.calls), 100.0 * outcome.moved);
+        std::fflush(stdout);
+    }
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    cxxopts::Options options = make_options();
     try {
-        const auto given = options.parse(argc, argv);
-        std::printf("%5s  %-24s %9s %9s %7s %8s %8s %8s %8s %9s %9s %7s\n", "load", "choice", "worst p99",
-                    "over 2 s", "cv", "idle", "p50 ms", "p99 ms", "x JSQ", "errors", "probes", "moved");
-        for (const double load : given["load"].as<std::vector<double>>()) {
-            Spread s;
-            s.processes = given["processes"].as<std::size_t>();
-            s.servers = given["servers"].as<std::size_t>();
-            s.nature.slots = given["slots"].as<unsigned>();
-            s.seconds = given["seconds"].as<double>();
-            s.load = load / 100.0;
-            s.probes = given["probes"].as<unsigned>();
-            s.expected = given.count("unexpected") == 0;
-            s.pool.hot_quantile = given["hot"].as<double>();
-            s.subset = given["subset"].as<std::size_t>();
-            s.seed = given["seed"].as<std::uint64_t>();
-            const auto trouble = given["trouble"].as<std::string>();
-            if (trouble == "crowd")
-                s.processes = 50;
-            s.troubles = troubles(trouble, s);
-            double best = 0.0;
-            for (const Choice c : {Choice::all_seen, Choice::random, Choice::round_robin, Choice::stale,
-                                   Choice::own_two, Choice::today, Choice::pool, Choice::probed}) {
-                s.choice = c;
-                const Outcome o = run(s);
-                if (c == Choice::all_seen)
-                    best = o.p99_ms;
-                std::printf(
-                    "%4.0f%%  %-24s %9.3f %9.2f %7.3f %7.3f%% %8.1f %8.1f %8.2f %8.3f%% %9.2f %6.1f%%\n",
-                    load, word(c), o.even.worst_p99, o.even.longest_over(2.0), o.even.variation,
-                    100.0 * o.even.idle, o.p50_ms, o.p99_ms, o.p99_ms / best, 100.0 * o.errors,
-                    static_cast<double>(o.probes) / static_cast<double>(o.calls), 100.0 * o.moved);
-                std::fflush(stdout);
-            }
-        }
+        const auto arguments = options.parse(argc, argv);
+        print_header();
+        for (const double load_percent : arguments["load"].as<std::vector<double>>())
+            print_rows(read_spread(arguments, load_percent), load_percent);
     } catch (const std::exception& e) {
         std::fprintf(stderr, "load_spread_sim: %s\n", e.what());
         return 2;
