--- a/bench/connection_limiter_bench.cpp
+++ b/bench/connection_limiter_bench.cpp
@@ -1,5 +1,12 @@
-// What a decision of the gate costs, by how many sources it has seen: build with -DCRESSLEDGE_BENCH=ON and run
-// build/connection_limiter_bench. The table is full, so that each accept also chooses who makes room.
+// What a decision of the connection limiter costs, by the number of sources it
+// has seen. The table is full, so that each accepted connection also chooses
+// one to evict.
+//
+//   connection_limiter_bench        flags of Google Benchmark, such as
+//   --benchmark_filter=accept_one
+//
+// Prints ns a decision; for accept_one also the memory of the limiter (`bytes`)
+// and the sources it tracks (`known`).
 #include <benchmark/benchmark.h>
 
 #include <random>
@@ -10,54 +17,60 @@
 
 using namespace cressledge::connection_admission;
 
-ConnectionLimiter made(std::uint32_t connections, const SourceLimits& caps) {
-    Settings s;
-    s.max_connections = connections;
-    s.tracked_sources = 16'384;
-    s.unlisted_source_limits = caps;
-    s.rejection_slots = 16;
-    NetworkError wrong;
-    for (std::uint32_t g = 0; g < 4; ++g) {
-        s.groups.push_back({"g" + std::to_string(g), {}, 8, 8});
-        s.networks.add({IpAddress::from_v4(0x7f010000U + (g << 16U)), 112}, g + 1, wrong);
+constexpr std::uint32_t max_connections = 768;
+constexpr std::uint32_t group_count = 4;
+constexpr Timestamp start_time{1'764'576'000'000'000};
+
+ConnectionLimiter make_limiter(const SourceLimits& source_limits) {
+    Settings settings;
+    settings.max_connections = max_connections;
+    settings.tracked_sources = 16'384;
+    settings.unlisted_source_limits = source_limits;
+    settings.rejection_slots = 16;
+    NetworkError error;
+    for (std::uint32_t group = 0; group < group_count; ++group) {
+        settings.groups.push_back({"g" + std::to_string(group), {}, 8, 8});
+        settings.networks.add({IpAddress::from_v4(0x7f010000U + (group << 16U)), 112}, group + 1, error);
     }
-    return {s, 7};
+    return {settings, 7};
 }
 
-// One connection comes, brings a request, is answered and rests, from one of `sources` addresses in a random order.
+// A connection arrives from one of `sources` addresses at random, sends a
+// request, gets the response and becomes idle.
 void accept_one(benchmark::State& state) {
-    ConnectionLimiter gate = made(768, {768, 768, 1e9, 1e9});  // every rule is applied, and none refuses
+    // Every rule is applied, and none rejects.
+    ConnectionLimiter limiter = make_limiter({max_connections, max_connections, 1e9, 1e9});
     std::mt19937 random(1);
     const auto sources = static_cast<std::uint32_t>(state.range(0));
-    Timestamp now{1'764'576'000'000'000};
-    const auto one = [&](std::uint32_t n) {
+    Timestamp now = start_time;
+    const auto serve_connection_from = [&](std::uint32_t source) {
         now += Duration(20);
-        const auto e = gate.admit_connection(now, IpAddress::from_v4(0x0a000000U + n), 0, 1);
-        if (e.rejected)
+        const auto decision = limiter.admit_connection(now, IpAddress::from_v4(0x0a000000U + source), 0, 1);
+        if (decision.rejected)
             state.SkipWithError("refused");
-        gate.admit_request(now, e.slot_id);
-        gate.on_response_sent(now, e.slot_id, true);
+        limiter.admit_request(now, decision.slot_id);
+        limiter.on_response_sent(now, decision.slot_id, true);
     };
-    for (std::uint32_t i = 0; i < sources; ++i)
-        one(i);
-    const std::size_t bytes = gate.memory_bytes();
+    for (std::uint32_t source = 0; source < sources; ++source)
+        serve_connection_from(source);
+    const std::size_t bytes_before = limiter.memory_bytes();
     for (auto _ : state)
-        one(static_cast<std::uint32_t>(random() % sources));
-    if (gate.memory_bytes() != bytes)
+        serve_connection_from(static_cast<std::uint32_t>(random() % sources));
+    if (limiter.memory_bytes() != bytes_before)
         state.SkipWithError("the memory has grown");
-    state.counters["bytes"] = static_cast<double>(gate.memory_bytes());
-    state.counters["known"] = static_cast<double>(gate.tracked_source_count());
+    state.counters["bytes"] = static_cast<double>(limiter.memory_bytes());
+    state.counters["known"] = static_cast<double>(limiter.tracked_source_count());
 }
 BENCHMARK(accept_one)->Arg(10)->Arg(10'000)->Arg(1'000'000);
 
-// A refusal: the source is over its rate.
+// A rejection: the source is over its rate.
 void refuse_one(benchmark::State& state) {
-    ConnectionLimiter gate = made(768, {768, 768, 50.0, 100.0});
-    const Timestamp now{1'764'576'000'000'000};
+    ConnectionLimiter limiter = make_limiter({max_connections, max_connections, 50.0, 100.0});
+    const IpAddress source = IpAddress::from_v4(0x0a000001U);
     for (int i = 0; i < 1'000; ++i)
-        gate.admit_connection(now, IpAddress::from_v4(0x0a000001U), 0, 1);
+        limiter.admit_connection(start_time, source, 0, 1);
     for (auto _ : state)
-        benchmark::DoNotOptimize(gate.admit_connection(now, IpAddress::from_v4(0x0a000001U), 0, 1));
+        benchmark::DoNotOptimize(limiter.admit_connection(start_time, source, 0, 1));
 }
 BENCHMARK(refuse_one);
 
--- a/bench/load_balancing_bench.cpp
+++ b/bench/load_balancing_bench.cpp
@@ -1,4 +1,11 @@
-// What one choice costs, by the number of servers, and what a server known takes.
+// What one choice of a host costs with the probing policies, and the assignment
+// of subsets, by the number of servers.
+//
+//   load_balancing_bench            flags of Google Benchmark, such as
+//   --benchmark_filter=pool_pick
+//
+// Prints ns a choice, ms an assignment; for choose_of_five also the memory a
+// server takes (`bytes/server`).
 #include <benchmark/benchmark.h>
 
 #include "load_balancing/load_probes.hpp"
@@ -9,46 +16,55 @@
 using namespace cressledge;
 using upstream_health::HostId;
 
-// Both halves of a choice whose probes go out first: whom to ask, and whom to take.
+constexpr unsigned probes_per_call = 5;
+constexpr std::size_t subset_size = 20;
+
+// Both halves of a choice by `probe_first`: the hosts to probe, and the host to
+// call by their answers.
 void choose_of_five(benchmark::State& state) {
-    load_balancing::WeightedSampler by;
     std::vector<double> capacities;
     for (std::int64_t i = 0; i < state.range(0); ++i)
         capacities.push_back(static_cast<double>(1 << i % 3));
-    by.build(capacities);
+    load_balancing::WeightedSampler sampler;
+    sampler.build(capacities);
     upstream_health::Random random(1);
-    std::vector<std::uint32_t> asked;
+    std::vector<std::uint32_t> probed_hosts;
     std::vector<load_balancing::ProbeAnswer> answers;
     for (auto _ : state) {
-        by.sample(random, 5, asked);
+        sampler.sample(random, probes_per_call, probed_hosts);
         answers.clear();
-        for (const std::uint32_t no : asked)
-            answers.push_back({no, {static_cast<double>(no % 7), 4.0, 0.1}});
+        for (const std::uint32_t host_id : probed_hosts)
+            answers.push_back({host_id, {static_cast<double>(host_id % 7), 4.0, 0.1}});
         benchmark::DoNotOptimize(load_balancing::least_loaded(answers));
     }
     state.counters["bytes/server"] = sizeof(double) + sizeof(std::uint32_t);
 }
+
+// A choice by `probe_pool`, with the answers to its probes.
 void pool_pick(benchmark::State& state) {
-    const auto n = static_cast<std::uint32_t>(state.range(0));
-    load_balancing::ProbePool pool({}, n);
+    const auto host_count = static_cast<std::uint32_t>(state.range(0));
+    load_balancing::ProbePool pool({}, host_count);
     upstream_health::Random random(1);
     base::Timestamp now{0};
-    const std::function<bool(HostId)> may = [](HostId) { return true; };
+    const std::function<bool(HostId)> is_eligible = [](HostId) { return true; };
     for (auto _ : state) {
         now += base::Duration(100);
-        for (unsigned k = pool.take_due_probes(); k > 0; --k)
-            pool.add(now, random(n), {static_cast<double>(random(10)), 8.0, 0.05});
-        benchmark::DoNotOptimize(pool.pick(now, may));
+        for (unsigned due_probes = pool.take_due_probes(); due_probes > 0; --due_probes)
+            pool.add(now, random(host_count), {static_cast<double>(random(10)), 8.0, 0.05});
+        benchmark::DoNotOptimize(pool.pick(now, is_eligible));
     }
 }
+
+// The subsets of all processes, of a fleet with as many servers.
 void subsets_of_all(benchmark::State& state) {
-    std::vector<std::string> processes, servers;
+    std::vector<std::string> processes;
+    std::vector<std::string> servers;
     for (std::int64_t i = 0; i < state.range(0); ++i) {
         processes.push_back("p" + std::to_string(i));
         servers.push_back("s" + std::to_string(i));
     }
     for (auto _ : state)
-        benchmark::DoNotOptimize(load_balancing::assign_subsets(processes, servers, 20));
+        benchmark::DoNotOptimize(load_balancing::assign_subsets(processes, servers, subset_size));
 }
 
 BENCHMARK(choose_of_five)->RangeMultiplier(10)->Range(10, 10'000);
--- a/bench/save_bench.cpp
+++ b/bench/save_bench.cpp
@@ -1,6 +1,13 @@
-// How long a save stops the event loop, and what it writes. Ten seconds without saves and ten with one each 50 ms, of a
-// state of 3 classes and 200 servers of which all change each time; a timer each millisecond tells how late the loop
-// is. Use: save_bench FOLDER (on the disk in question).
+// How long a save of the learned state blocks the event loop, and how many
+// bytes it writes. Ten seconds without saves and ten with one every 50 ms, of 3
+// classes and 200 upstreams that all change each time; a timer each millisecond
+// measures how late the loop is.
+//
+//   save_bench FOLDER               on the disk to be measured
+//
+// Prints quantiles of the loop's lateness and the longest part of a save on the
+// loop, us; bytes a commit, and kB an hour with a save every 30 s. Exits with 1
+// if a commit failed.
 #include <algorithm>
 #include <chrono>
 #include <iostream>
@@ -16,16 +23,92 @@
 using namespace cressledge;
 using Clock = std::chrono::steady_clock;
 
-constexpr int servers = 200, saves_every_ms = 50;
+constexpr int upstream_count = 200;
+constexpr int ticks = 10'000;
+constexpr std::chrono::milliseconds tick_interval{1};
+constexpr int ticks_per_save = 50;
+/// Saves an hour at the default period of 30 s.
+constexpr double saves_per_hour = 120.0;
 
-struct Seen {
+double microseconds_since(Clock::time_point start) {
+    return std::chrono::duration<double, std::micro>(Clock::now() - start).count();
+}
+
+/// How late each tick was, in microseconds.
+struct LatenessSamples {
     std::vector<double> late_us;
-    double at(double part) {
+
+    int quantile_us(double quantile) {
         std::sort(late_us.begin(), late_us.end());
-        return late_us[static_cast<std::size_t>(part * static_cast<double>(late_us.size() - 1))];
+        const auto index = static_cast<std::size_t>(quantile * static_cast<double>(late_us.size() - 1));
+        return static_cast<int>(late_us[index]);
+    }
+};
+
+/// Saves a state of which every entry has changed.
+class StateSaver {
+public:
+    StateSaver(net::Loop& loop, store::BackgroundWriter& writer) : loop_(loop), writer_(writer) {
+        policy::Settings settings;
+        settings.cores = 4;
+        identity_ = learned_state::identity_of("bench", settings);
+        for (const char* name : {"trail-sheet", "route-profile", "map-order"})
+            state_.controller_state.classes.push_back({name, 0.3, 0.4, 1.0, 0.0});
+    }
+
+    void save(int tick) {
+        const auto start = Clock::now();
+        change_all(tick);
+        auto entries = learned_state::to_entries(state_, identity_, saved_entries_);
+        writer_.commit(learned_state::difference(saved_entries_, entries));
+        saved_entries_ = std::move(entries);
+        longest_us_ = std::max(longest_us_, microseconds_since(start));
+    }
+
+    /// The longest time that a save took of the loop.
+    double longest_us() const { return longest_us_; }
+
+private:
+    void change_all(int tick) {
+        state_.saved_at = loop_.unix_now();
+        for (auto& request_class : state_.controller_state.classes) {
+            request_class.completions += 1.0;
+            request_class.price_seconds = 0.3 + 0.001 * (tick % 50);
+        }
+        for (int i = 0; i < upstream_count; ++i)
+            state_.upstreams["tiles-" + std::to_string(i) + ".thies.example.org"] = {
+                0.2 + 0.001 * ((tick + i) % 99), 0.01, 1.0 + tick, state_.saved_at};
     }
+
+    net::Loop& loop_;
+    store::BackgroundWriter& writer_;
+    learned_state::Identity identity_;
+    learned_state::LearnedState state_;
+    store::Entries saved_entries_;
+    double longest_us_ = 0.0;
 };
 
+/// Runs the loop for ten seconds; saves if there is a saver.
+LatenessSamples measure_lateness(net::Loop& loop, base::TimerQueue& timers, StateSaver* saver) {
+    LatenessSamples samples;
+    for (int tick = 0; tick < ticks; ++tick) {
+        const auto due = Clock::now() + tick_interval;
+        if (saver != nullptr && tick % ticks_per_save == 0)
+            saver->save(tick);
+        bool fired = false;
+        timers.schedule(loop.unix_now() + base::Duration(tick_interval), [&] { fired = true; });
+        while (!fired)
+            loop.run_once(true);
+        samples.late_us.push_back(microseconds_since(due));
+    }
+    return samples;
+}
+
+void print_lateness(const char* label, LatenessSamples& samples) {
+    std::cout << label << "         " << samples.quantile_us(0.5) << "      " << samples.quantile_us(0.999)
+              << "      " << samples.quantile_us(1.0) << '\n';
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -35,57 +118,28 @@
     }
     base::TimerQueue timers;
     net::Loop loop(timers);
-    store::PosixFileSystem files(argv[1]);
-    store::Store store(files);
-    if (const int bad = store.open(); bad != 0) {
+    store::PosixFileSystem file_system(argv[1]);
+    store::Store store(file_system);
+    if (store.open() != store::no_error) {
         std::cerr << argv[1] << ": cannot be written to\n";
         return 2;
     }
-    int failed = 0;
-    store::BackgroundWriter writer(loop.uv(), store, [&](int bad) { failed += bad != 0 ? 1 : 0; });
-    cressledge::policy::Settings settings;
-    settings.cores = 4;
-    const auto whose = learned_state::identity_of("bench", settings);
-    learned_state::LearnedState k;
-    for (const char* name : {"trail-sheet", "route-profile", "map-order"})
-        k.controller_state.classes.push_back({name, 0.3, 0.4, 1.0, 0.0});
-    store::Entries before;
-    double longest_call_us = 0.0;
-    const auto save = [&](int n) {
-        const auto from = Clock::now();
-        k.saved_at = loop.unix_now();
-        for (auto& c : k.controller_state.classes)
-            c.completions += 1.0, c.price_seconds = 0.3 + 0.001 * (n % 50);
-        for (int i = 0; i < servers; ++i)
-            k.upstreams["tiles-" + std::to_string(i) + ".thies.example.org"] = {0.2 + 0.001 * ((n + i) % 99),
-                                                                                0.01, 1.0 + n, k.saved_at};
-        auto after = learned_state::to_entries(k, whose, before);
-        writer.commit(learned_state::difference(before, after));
-        before = std::move(after);
-        longest_call_us =
-            std::max(longest_call_us, std::chrono::duration<double, std::micro>(Clock::now() - from).count());
-    };
-    Seen without, with;
-    for (Seen* seen : {&without, &with}) {
-        for (int n = 0; n < 10'000; ++n) {
-            const auto due = Clock::now() + std::chrono::milliseconds(1);
-            if (seen == &with && n % saves_every_ms == 0)
-                save(n);
-            bool rung = false;
-            timers.schedule(loop.unix_now() + base::Duration(1'000), [&] { rung = true; });
-            while (!rung)
-                loop.run_once(true);
-            seen->late_us.push_back(std::chrono::duration<double, std::micro>(Clock::now() - due).count());
-        }
-    }
+    int failed_commits = 0;
+    store::BackgroundWriter writer(loop.uv(), store, [&](store::ErrorNumber error) {
+        failed_commits += error != store::no_error ? 1 : 0;
+    });
+    StateSaver saver(loop, writer);
+    LatenessSamples without_saves = measure_lateness(loop, timers, nullptr);
+    LatenessSamples with_saves = measure_lateness(loop, timers, &saver);
     writer.flush();
     std::cout << "lateness of the loop, us   p50    p99.9      max\n";
-    for (const auto& [name, seen] : {std::pair("without saves", &without), std::pair("with saves   ", &with)})
-        std::cout << name << "         " << static_cast<int>(seen->at(0.5)) << "      "
-                  << static_cast<int>(seen->at(0.999)) << "      " << static_cast<int>(seen->at(1.0)) << '\n';
-    const double each = static_cast<double>(store.bytes_written()) / static_cast<double>(writer.commits());
-    std::cout << "longest part of a save on the loop: " << static_cast<int>(longest_call_us) << " us\n"
-              << writer.commits() << " commits, " << failed << " failed, " << static_cast<int>(each)
-              << " bytes each; one each 30 s: " << static_cast<int>(each * 120.0 / 1024.0) << " kB an hour\n";
-    return failed == 0 ? 0 : 1;
+    print_lateness("without saves", without_saves);
+    print_lateness("with saves   ", with_saves);
+    const double bytes_per_commit =
+        static_cast<double>(store.bytes_written()) / static_cast<double>(writer.commits());
+    std::cout << "longest part of a save on the loop: " << static_cast<int>(saver.longest_us()) << " us\n"
+              << writer.commits() << " commits, " << failed_commits << " failed, "
+              << static_cast<int>(bytes_per_commit) << " bytes each; one each 30 s: "
+              << static_cast<int>(bytes_per_commit * saves_per_hour / 1024.0) << " kB an hour\n";
+    return failed_commits == 0 ? 0 : 1;
 }
