--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -128,7 +128,7 @@
     settings.max_in_flight_requests = reader.integer(section, "requests", 1.0, max_count, 0.0);
     settings.rejection_slots = reader.integer(section, "lobby", 0.0, 1024.0, settings.rejection_slots);
     settings.unlisted_source_limits = read_source_limits(reader, section);
-    settings.free_connection_share = reader.number(section, "share", 0.0, 100.0, 1.0);
+    settings.dynamic_threshold_factor = reader.number(section, "share", 0.0, 100.0, 1.0);
     settings.tracked_sources = reader.integer(section, "sources", 64.0, 262'144.0, 16'384.0);
     read_prefix_lengths(reader, section, settings);
     read_groups(reader, section, settings);
--- a/src/connection_admission/connection_limiter.cpp
+++ b/src/connection_admission/connection_limiter.cpp
@@ -48,12 +48,12 @@
         address, registry_.find_or_insert_source(now, address), {listener_index, connection_id}};
     if (const auto reason = check_source_limits(now, connection.source))
         return reject_connection(now, *reason, connection);
-    const RoomDecision room = find_room(now, connection.source);
-    if (room.rejection)
-        return reject_connection(now, *room.rejection, connection);
+    const CapacityDecision capacity = check_capacity(now, connection.source);
+    if (capacity.rejection)
+        return reject_connection(now, *capacity.rejection, connection);
     ConnectionDecision decision;
-    if (room.evicted_slot != no_slot)
-        decision.evicted = evict_slot(room.evicted_slot);
+    if (capacity.evicted_slot != no_slot)
+        decision.evicted = evict_slot(capacity.evicted_slot);
     decision.slot_id =
         registry_.slots().id_of(registry_.occupy_slot(now, connection, SlotState::awaiting_request));
     return decision;
@@ -71,12 +71,12 @@
     return std::nullopt;
 }
 
-ConnectionLimiter::RoomDecision ConnectionLimiter::find_room(Timestamp now,
-                                                             const SourceRef& source_ref) const {
-    if (exceeds_free_connection_share(source_ref)) {
+ConnectionLimiter::CapacityDecision ConnectionLimiter::check_capacity(Timestamp now,
+                                                                      const SourceRef& source_ref) const {
+    if (exceeds_dynamic_threshold(source_ref)) {
         const SlotIndex own_slot = registry_.eviction_selector().select_from_source(now, source_ref);
         if (own_slot == no_slot)
-            return {RejectionReason::source_share, no_slot};
+            return {RejectionReason::dynamic_threshold, no_slot};
         return {std::nullopt, own_slot};
     }
     if (registry_.open_connections() < settings().max_connections)
@@ -94,16 +94,16 @@
     return {std::nullopt, evicted_slot};
 }
 
-// The dynamic threshold of shared-memory switches (Choudhury and Hahne, 1998): a source may have a share of
-// what is still free, so that the fuller the table, the less one source can take.
-bool ConnectionLimiter::exceeds_free_connection_share(const SourceRef& source_ref) const {
-    if (source_ref.group_index != unlisted_group || settings().free_connection_share <= 0.0)
+// The dynamic threshold of shared-memory switches (Choudhury and Hahne, 1998): a source may have as many
+// connections as are still free times a factor, so that the fuller the table, the less one source can take.
+bool ConnectionLimiter::exceeds_dynamic_threshold(const SourceRef& source_ref) const {
+    if (source_ref.group_index != unlisted_group || settings().dynamic_threshold_factor <= 0.0)
         return false;
     const std::size_t max_connections = settings().max_connections;
     const std::size_t free_connections =
         max_connections - std::min(max_connections, registry_.open_connections());
     const double max_source_connections =
-        std::max(1.0, settings().free_connection_share * static_cast<double>(free_connections));
+        std::max(1.0, settings().dynamic_threshold_factor * static_cast<double>(free_connections));
     return registry_.sources().at(source_ref).open_connections >= max_source_connections;
 }
 
@@ -125,10 +125,10 @@
 }
 
 bool ConnectionLimiter::record_rejection(Timestamp now, RejectionReason reason, Source& source) {
-    const auto r = static_cast<std::size_t>(reason);
-    ++rejections_[r];
-    if (source.rejections[r] != ~std::uint32_t{0})
-        ++source.rejections[r];
+    const auto reason_index = static_cast<std::size_t>(reason);
+    ++rejections_[reason_index];
+    if (source.rejections[reason_index] != ~std::uint32_t{0})
+        ++source.rejections[reason_index];
     if (now < source.next_log_at || now < next_log_at_)
         return false;
     source.next_log_at = now + source_log_interval;
--- a/src/connection_admission/connection_limiter.hpp
+++ b/src/connection_admission/connection_limiter.hpp
@@ -106,15 +106,15 @@
     void check_invariants() const { registry_.check_invariants(); }
 
 private:
-    /// Whether there is room for a connection, and whom it costs.
-    struct RoomDecision {
+    /// Whether there is capacity for a connection, and which slot is evicted for it.
+    struct CapacityDecision {
         std::optional<RejectionReason> rejection;
         SlotIndex evicted_slot = no_slot;
     };
 
     std::optional<RejectionReason> check_source_limits(Timestamp now, const SourceRef& source_ref);
-    RoomDecision find_room(Timestamp now, const SourceRef& source_ref) const;
-    bool exceeds_free_connection_share(const SourceRef& source_ref) const;
+    CapacityDecision check_capacity(Timestamp now, const SourceRef& source_ref) const;
+    bool exceeds_dynamic_threshold(const SourceRef& source_ref) const;
     ConnectionDecision reject_connection(Timestamp now, RejectionReason reason,
                                          const IncomingConnection& connection);
     /// Counts the rejection. Returns whether a line about it may be logged.
--- a/src/connection_admission/connection_registry.cpp
+++ b/src/connection_admission/connection_registry.cpp
@@ -33,9 +33,9 @@
     groups_[unlisted_group].source_limits = settings_.unlisted_source_limits;
     reserved_connections_ = 0;
     reserved_requests_ = 0;
-    for (std::size_t g = 0; g < settings_.groups.size(); ++g) {
-        const ClientGroup& configured = settings_.groups[g];
-        ClientGroupUsage& group = groups_[g + 1];
+    for (std::size_t i = 0; i < settings_.groups.size(); ++i) {
+        const ClientGroup& configured = settings_.groups[i];
+        ClientGroupUsage& group = groups_[i + 1];
         group.source_limits = configured.source_limits;
         group.reserved_connections = configured.reserved_connections;
         group.reserved_requests = configured.reserved_requests;
--- a/src/connection_admission/connection_registry_invariants.cpp
+++ b/src/connection_admission/connection_registry_invariants.cpp
@@ -8,9 +8,9 @@
 namespace cressledge::connection_admission {
 namespace {
 
-void require(bool holds, const char* what) {
-    if (!holds)
-        throw std::logic_error(std::string("connection registry: ") + what);
+void require(bool condition, const char* description) {
+    if (!condition)
+        throw std::logic_error(std::string("connection registry: ") + description);
 }
 
 }  // namespace
@@ -48,14 +48,14 @@
 
 void ConnectionRegistry::check_groups(const std::vector<GroupCounts>& counts_by_group) const {
     std::size_t shared_requests = 0;
-    for (std::size_t g = 0; g < groups_.size(); ++g) {
-        const GroupCounts& counts = counts_by_group[g];
-        require(counts.open_connections == groups_[g].open_connections,
+    for (std::size_t group_index = 0; group_index < groups_.size(); ++group_index) {
+        const GroupCounts& counts = counts_by_group[group_index];
+        require(counts.open_connections == groups_[group_index].open_connections,
                 "a group's number of open connections is wrong");
-        require(counts.in_flight_requests == groups_[g].in_flight_requests,
+        require(counts.in_flight_requests == groups_[group_index].in_flight_requests,
                 "a group's number of requests in flight is wrong");
         const std::uint32_t within_reserve =
-            std::min(counts.in_flight_requests, groups_[g].reserved_requests);
+            std::min(counts.in_flight_requests, groups_[group_index].reserved_requests);
         shared_requests += counts.in_flight_requests - within_reserve;
     }
     require(shared_requests == shared_in_flight_requests_, "the number of shared requests is wrong");
--- a/src/connection_admission/eviction_selector.cpp
+++ b/src/connection_admission/eviction_selector.cpp
@@ -19,15 +19,15 @@
 
 }  // namespace
 
-SlotIndex EvictionSelector::select(Timestamp now, const Source* newcomer) const {
-    const Timestamp grace_ago = now - request_arrival_grace;
+SlotIndex EvictionSelector::select(Timestamp now, const Source* new_source) const {
+    const Timestamp grace_started_at = now - request_arrival_grace;
     // Clients that have been slower with their request than usual.
-    SlotIndex slot = find_slot_of_heaviest_source(SlotState::awaiting_request, grace_ago, nullptr);
+    SlotIndex slot = find_slot_of_heaviest_source(SlotState::awaiting_request, grace_started_at, nullptr);
     // Clients that have had time to read their last response.
     if (slot == no_slot)
-        slot = find_slot_of_heaviest_source(SlotState::closing, grace_ago, nullptr);
-    if (slot == no_slot && newcomer != nullptr)
-        slot = find_slot_of_heaviest_source(SlotState::awaiting_request, now, newcomer);
+        slot = find_slot_of_heaviest_source(SlotState::closing, grace_started_at, nullptr);
+    if (slot == no_slot && new_source != nullptr)
+        slot = find_slot_of_heaviest_source(SlotState::awaiting_request, now, new_source);
     if (slot == no_slot)
         slot = find_slot_of_heaviest_source(SlotState::idle, now, nullptr);
     if (slot == no_slot)
@@ -53,10 +53,10 @@
     return group_index != unlisted_group && group.open_connections <= group.reserved_connections;
 }
 
-SlotIndex EvictionSelector::find_slot_of_heaviest_source(SlotState state, Timestamp since_at_most,
-                                                         const Source* newcomer) const {
+SlotIndex EvictionSelector::find_slot_of_heaviest_source(SlotState state, Timestamp max_state_since,
+                                                         const Source* new_source) const {
     SlotIndex best = no_slot;
-    std::uint32_t most_connections = 0;
+    std::uint32_t max_connections = 0;
     for (std::uint32_t group = 0; group < groups_.size(); ++group) {
         if (is_within_reserve(group))
             continue;
@@ -64,19 +64,20 @@
         for (std::size_t scanned = 0; index != no_slot && scanned < max_scanned_slots; ++scanned) {
             const SlotIndex candidate = index;
             const ConnectionSlot& slot = slots_[candidate];
-            if (slot.state_since > since_at_most)
+            if (slot.state_since > max_state_since)
                 break;
             index = slot.next;
             const Source& source = sources_.at(slot.source);
-            if (newcomer != nullptr && (&source == newcomer || !has_far_more_connections(source, *newcomer)))
+            if (new_source != nullptr &&
+                (&source == new_source || !has_far_more_connections(source, *new_source)))
                 continue;
-            const bool is_heavier = best == no_slot || source.open_connections > most_connections;
-            const bool is_older = best != no_slot && source.open_connections == most_connections &&
+            const bool is_heavier = best == no_slot || source.open_connections > max_connections;
+            const bool is_older = best != no_slot && source.open_connections == max_connections &&
                                   slot.state_since < slots_[best].state_since;
             if (!is_heavier && !is_older)
                 continue;
             best = candidate;
-            most_connections = source.open_connections;
+            max_connections = source.open_connections;
         }
     }
     return best;
--- a/src/connection_admission/eviction_selector.hpp
+++ b/src/connection_admission/eviction_selector.hpp
@@ -1,4 +1,4 @@
-// Which connection is closed to make room for another. Looks at slots, sources and groups, and changes
+// Which connection is closed so that another can be admitted. Looks at slots, sources and groups, and changes
 // nothing.
 #pragma once
 
@@ -22,9 +22,9 @@
                      const std::vector<ClientGroupUsage>& groups)
         : slots_(slots), sources_(sources), groups_(groups) {}
 
-    /// The slot to evict, or no_slot. `newcomer` is the source that room is made for; nullptr: room is made
-    /// for something else than a connection.
-    SlotIndex select(Timestamp now, const Source* newcomer) const;
+    /// The slot to evict, or no_slot. `new_source` is the source whose connection needs the capacity;
+    /// nullptr: something else than a connection needs it.
+    SlotIndex select(Timestamp now, const Source* new_source) const;
 
     /// A slot of this source that has been waiting for a request for longer than usual, or no_slot.
     SlotIndex select_from_source(Timestamp now, const SourceRef& source) const;
@@ -33,11 +33,11 @@
     /// Whether no other group may take a connection from this one.
     bool is_within_reserve(std::uint32_t group_index) const;
 
-    /// Among the slots in this state since `since_at_most` or earlier, the one whose source has the most
-    /// connections; of equals, the one longest in that state. With a newcomer only sources with far more
+    /// Among the slots in this state since `max_state_since` or earlier, the one whose source has the most
+    /// connections; of equals, the one longest in that state. With a new source only sources with far more
     /// connections count.
-    SlotIndex find_slot_of_heaviest_source(SlotState state, Timestamp since_at_most,
-                                           const Source* newcomer) const;
+    SlotIndex find_slot_of_heaviest_source(SlotState state, Timestamp max_state_since,
+                                           const Source* new_source) const;
 
     const ConnectionSlotTable& slots_;
     const SourceRegistry& sources_;
--- a/src/connection_admission/rejection_reason.hpp
+++ b/src/connection_admission/rejection_reason.hpp
@@ -13,8 +13,8 @@
     connection_rate,
     /// The source has as many connections open as it may.
     source_connections,
-    /// The source has more than its share of the connections that are still free.
-    source_share,
+    /// The source has more connections open than Settings::dynamic_threshold_factor allows.
+    dynamic_threshold,
     /// All connections are in use and none can be evicted.
     total_connections,
     /// The source has as many requests in flight as it may.
--- a/src/connection_admission/settings.hpp
+++ b/src/connection_admission/settings.hpp
@@ -47,8 +47,8 @@
     unsigned v4_prefix_length = 32;
     /// IPv6 addresses with the same prefix are one source.
     unsigned v6_prefix_length = 128;
-    /// One unlisted source may have this share of the connections that are still free; 0: no such rule.
-    double free_connection_share = 0.0;
+    /// One unlisted source may have as many connections as are still free times this factor; 0: no such rule.
+    double dynamic_threshold_factor = 0.0;
     /// Sources remembered at a time; at least four times `max_connections` are.
     std::uint32_t tracked_sources = 4096;
     /// The longest Retry-After of a rejection.
--- a/src/connection_admission/source_registry.cpp
+++ b/src/connection_admission/source_registry.cpp
@@ -16,8 +16,8 @@
 
 RejectionCounts SourceRegistry::evicted_rejections() const {
     RejectionCounts sum = unlisted_.evicted_rejections();
-    for (std::size_t r = 0; r < rejection_reason_count; ++r)
-        sum[r] += listed_.evicted_rejections()[r];
+    for (std::size_t reason = 0; reason < rejection_reason_count; ++reason)
+        sum[reason] += listed_.evicted_rejections()[reason];
     return sum;
 }
 
--- a/src/connection_admission/source_report.cpp
+++ b/src/connection_admission/source_report.cpp
@@ -24,9 +24,9 @@
     return group == 0 ? std::string() : settings.groups[group - 1].name;
 }
 
-enum class TableKind { unlisted, listed };
+enum class TableType { unlisted, listed };
 
-void append_reports(std::vector<SourceReport>& reports, const SourceTable& table, TableKind kind,
+void append_reports(std::vector<SourceReport>& reports, const SourceTable& table, TableType type,
                     const Settings& settings) {
     const Source* shared_entry = &table.entries().back();
     for (const Source& source : table.entries()) {
@@ -34,7 +34,7 @@
         if (!source.in_use || !was_limited)
             continue;
         SourceReport report = make_report(source, &source == shared_entry);
-        if (kind == TableKind::listed)
+        if (type == TableType::listed)
             report.group = group_name_of(source, settings);
         reports.push_back(std::move(report));
     }
@@ -50,8 +50,8 @@
 std::vector<SourceReport> report_top_rejected_sources(const SourceRegistry& sources, const Settings& settings,
                                                       std::size_t max_sources) {
     std::vector<SourceReport> reports;
-    append_reports(reports, sources.unlisted(), TableKind::unlisted, settings);
-    append_reports(reports, sources.listed(), TableKind::listed, settings);
+    append_reports(reports, sources.unlisted(), TableType::unlisted, settings);
+    append_reports(reports, sources.listed(), TableType::listed, settings);
     std::sort(reports.begin(), reports.end(), has_more_rejections);
     if (reports.size() > max_sources)
         reports.resize(max_sources);
--- a/src/connection_admission/source_table.cpp
+++ b/src/connection_admission/source_table.cpp
@@ -10,7 +10,7 @@
 namespace cressledge::connection_admission {
 namespace {
 
-/// The place with the least rank is replaced first: one without rate debt, then one with few rejections, then
+/// The entry with the least rank is replaced first: one without rate debt, then one with few rejections, then
 /// the one that has not been seen for longest.
 using EvictionRank = std::tuple<bool, std::uint64_t, Timestamp>;
 
@@ -19,8 +19,8 @@
     return {has_rate_debt, source.total_rejections(), source.last_seen};
 }
 
-bool holds(const Source& place, const IpAddress& base_address, unsigned prefix_length) {
-    return place.in_use && place.base_address == base_address && place.prefix_length == prefix_length;
+bool is_entry_of(const Source& entry, const IpAddress& base_address, unsigned prefix_length) {
+    return entry.in_use && entry.base_address == base_address && entry.prefix_length == prefix_length;
 }
 
 }  // namespace
@@ -36,26 +36,26 @@
                                                      unsigned prefix_length, const SourceLimits& limits) {
     const std::size_t set_count = capacity() / associativity;
     const std::size_t set = hash_address(base_address, seed_ + prefix_length) & (set_count - 1);
-    const std::size_t place = find_place(now, set * associativity, base_address, prefix_length, limits);
-    Source& source = entries_[place];
-    const bool is_shared_entry_in_use = place == capacity() && source.in_use;
-    if (holds(source, base_address, prefix_length) || is_shared_entry_in_use)
+    const std::size_t index = find_entry(now, set * associativity, base_address, prefix_length, limits);
+    Source& source = entries_[index];
+    const bool is_shared_entry_in_use = index == capacity() && source.in_use;
+    if (is_entry_of(source, base_address, prefix_length) || is_shared_entry_in_use)
         source.last_seen = now;
     else
         replace(source, now, base_address, prefix_length, limits);
-    return static_cast<SourceIndex>(place);
+    return static_cast<SourceIndex>(index);
 }
 
-std::size_t SourceTable::find_place(Timestamp now, std::size_t first, const IpAddress& base_address,
+std::size_t SourceTable::find_entry(Timestamp now, std::size_t first, const IpAddress& base_address,
                                     unsigned prefix_length, const SourceLimits& limits) {
     std::size_t victim = capacity();
     EvictionRank victim_rank;
     for (std::size_t i = first; i < first + associativity; ++i) {
         Source& candidate = entries_[i];
-        if (holds(candidate, base_address, prefix_length))
+        if (is_entry_of(candidate, base_address, prefix_length))
             return i;
-        const bool has_free_place = victim != capacity() && !entries_[victim].in_use;
-        if (has_free_place || candidate.open_connections != 0 || candidate.rejection_slots != 0)
+        const bool has_free_entry = victim != capacity() && !entries_[victim].in_use;
+        if (has_free_entry || candidate.open_connections != 0 || candidate.rejection_slots != 0)
             continue;
         if (candidate.in_use && limits.connections_per_second > 0.0)
             candidate.bucket.refill(now, limits);
@@ -68,23 +68,23 @@
     return victim;
 }
 
-void SourceTable::replace(Source& place, Timestamp now, const IpAddress& base_address, unsigned prefix_length,
+void SourceTable::replace(Source& entry, Timestamp now, const IpAddress& base_address, unsigned prefix_length,
                           const SourceLimits& limits) {
     double tokens = limits.connection_burst;
-    if (place.in_use) {
-        // Guards the rate against addresses that rotate: the new source takes over the bucket with the place.
-        tokens = std::min(tokens, place.bucket.tokens());
-        for (std::size_t r = 0; r < rejection_reason_count; ++r)
-            evicted_rejections_[r] += place.rejections[r];
+    if (entry.in_use) {
+        // Guards the rate against addresses that rotate: the new source takes over the bucket with the entry.
+        tokens = std::min(tokens, entry.bucket.tokens());
+        for (std::size_t reason = 0; reason < rejection_reason_count; ++reason)
+            evicted_rejections_[reason] += entry.rejections[reason];
     } else {
         ++size_;
     }
-    place = Source{};
-    place.in_use = true;
-    place.base_address = base_address;
-    place.prefix_length = prefix_length;
-    place.last_seen = now;
-    place.bucket.reset(now, tokens);
+    entry = Source{};
+    entry.in_use = true;
+    entry.base_address = base_address;
+    entry.prefix_length = prefix_length;
+    entry.last_seen = now;
+    entry.bucket.reset(now, tokens);
 }
 
 }  // namespace cressledge::connection_admission
--- a/src/connection_admission/source_table.hpp
+++ b/src/connection_admission/source_table.hpp
@@ -1,5 +1,5 @@
 // What is known of each source, in fixed memory. Exact for every source with an open connection; the entry of
-// any other source lasts until its place is needed.
+// any other source lasts until its entry is needed.
 #pragma once
 
 #include <array>
@@ -18,7 +18,7 @@
     /// Masked to `prefix_length`.
     IpAddress base_address;
     unsigned prefix_length = 128;
-    /// Whether this place of the table holds a source.
+    /// Whether this entry of the table holds a source.
     bool in_use = false;
     std::uint32_t open_connections = 0;
     std::uint32_t in_flight_requests = 0;
@@ -42,7 +42,7 @@
 /// Invariant: a source with an open connection or a rejection slot is never evicted from the table.
 class SourceTable {
 public:
-    /// A place in the table; valid as long as a connection of its source is open.
+    /// An index into entries(); valid as long as a connection of its source is open.
     using SourceIndex = std::uint32_t;
 
     /// `capacity` is rounded up to a power of two. `seed` keeps clients from choosing addresses that collide.
@@ -56,30 +56,30 @@
     Source& at(SourceIndex source_index) { return entries_[source_index]; }
     const Source& at(SourceIndex source_index) const { return entries_[source_index]; }
 
-    /// Places without the shared entry.
+    /// Entries without the shared one.
     std::size_t capacity() const { return entries_.size() - 1; }
-    /// Places in use.
+    /// Entries in use.
     std::size_t size() const { return size_; }
     std::size_t memory_bytes() const { return entries_.size() * sizeof(Source); }
 
     /// Rejections of sources whose entries have been evicted.
     const RejectionCounts& evicted_rejections() const { return evicted_rejections_; }
 
-    /// All places, whether in use or not; the last one is the shared entry.
+    /// All entries, whether in use or not; the last one is the shared entry.
     const std::vector<Source>& entries() const { return entries_; }
 
 private:
-    /// Returns the place of the set starting at `first` that holds this source, or the place that it may
-    /// take, or `capacity()` if there is none. Refills the buckets that it compares.
-    std::size_t find_place(Timestamp now, std::size_t first, const IpAddress& base_address,
+    /// Returns the index of the entry of this source in the set that starts at `first`, or of the one that it
+    /// may take, or `capacity()` if there is none. Refills the buckets that it compares.
+    std::size_t find_entry(Timestamp now, std::size_t first, const IpAddress& base_address,
                            unsigned prefix_length, const SourceLimits& limits);
-    void replace(Source& place, Timestamp now, const IpAddress& base_address, unsigned prefix_length,
+    void replace(Source& entry, Timestamp now, const IpAddress& base_address, unsigned prefix_length,
                  const SourceLimits& limits);
 
-    /// Places in one set.
+    /// Entries in one set.
     static constexpr std::size_t associativity = 8;
 
-    /// The sets, then the entry shared by sources that found no place.
+    /// The sets, then the entry shared by sources that found none free.
     std::vector<Source> entries_;
     const std::uint64_t seed_;
     std::size_t size_ = 0;
--- a/src/load_balancing/maglev.cpp
+++ b/src/load_balancing/maglev.cpp
@@ -54,8 +54,8 @@
 }
 
 std::uint32_t MaglevTable::find(std::uint64_t key, std::uint32_t choice) const {
-    const std::uint64_t words[2] = {key, choice};
-    return table_[XXH3_64bits(words, sizeof words) % table_.size()];
+    const std::uint64_t hash_input[2] = {key, choice};
+    return table_[XXH3_64bits(hash_input, sizeof hash_input) % table_.size()];
 }
 
 }  // namespace cressledge::load_balancing
--- a/tests/cressledge/config_test.cpp
+++ b/tests/cressledge/config_test.cpp
@@ -122,7 +122,7 @@
 )";
     const auto bare = config::load_operator_config(f.write_file("o.yaml", head)).admission;
     CHECK((bare.max_connections == 100 && bare.unlisted_source_limits.max_connections == 0 &&
-           bare.free_connection_share == 0.0 && bare.rejection_slots == 6));
+           bare.dynamic_threshold_factor == 0.0 && bare.rejection_slots == 6));
     const std::string good = head + R"(admission:
   open: 8
   rate: {per_second: 20}
@@ -133,7 +133,7 @@
     const auto s = config::load_operator_config(f.write_file("o.yaml", good)).admission;
     CHECK((s.unlisted_source_limits.max_connections == 8 &&
            s.unlisted_source_limits.connections_per_second == 20.0 &&
-           s.unlisted_source_limits.connection_burst == 20.0 && s.free_connection_share == 1.0));
+           s.unlisted_source_limits.connection_burst == 20.0 && s.dynamic_threshold_factor == 1.0));
     REQUIRE(s.groups.size() == 2);
     CHECK((s.groups[0].source_limits.max_connections == 9 && s.groups[0].reserved_requests == 40 &&
            s.groups[1].reserved_requests == 5));
--- a/tests/cressledge/connection_limiter_test.cpp
+++ b/tests/cressledge/connection_limiter_test.cpp
@@ -62,20 +62,20 @@
 
 TEST_CASE("connection limiter: the fewer connections are free, the fewer one source may have") {
     ConnectionLimiterFixture fixture;
-    fixture.settings.free_connection_share = 1.0;
+    fixture.settings.dynamic_threshold_factor = 1.0;
     // Half of all connections.
     for (int i = 0; i < 10; ++i)
         fixture.open_with_request("127.0.0.9");
-    CHECK(fixture.open("127.0.0.9").reason == RejectionReason::source_share);
+    CHECK(fixture.open("127.0.0.9").reason == RejectionReason::dynamic_threshold);
     for (int i = 0; i < 5; ++i)
         fixture.open_with_request("127.0.0.10");
-    CHECK(fixture.open("127.0.0.10").reason == RejectionReason::source_share);
+    CHECK(fixture.open("127.0.0.10").reason == RejectionReason::dynamic_threshold);
     for (int i = 0; i < 5; ++i)
         CHECK_FALSE(fixture.open("127.0.1." + std::to_string(i)).rejected);
     // Of a source over its share one of its own connections is evicted, if one awaits a request for long
     // enough.
     ConnectionLimiterFixture other;
-    other.settings.free_connection_share = 1.0;
+    other.settings.dynamic_threshold_factor = 1.0;
     for (int i = 0; i < 10; ++i)
         CHECK_FALSE(other.open("127.0.0.9").rejected);
     other.now += milliseconds(300);
@@ -253,7 +253,7 @@
         ConnectionLimiterFixture fixture;
         fixture.settings.max_connections = 8 + below(40);
         fixture.settings.max_in_flight_requests = below(2) == 0 ? 0 : 6 + below(40);
-        fixture.settings.free_connection_share = below(2) * 0.5;
+        fixture.settings.dynamic_threshold_factor = below(2) * 0.5;
         fixture.settings.unlisted_source_limits = {below(2) * 6, below(2) * 3, below(2) * 20.0,
                                                    1.0 + below(10)};
         fixture.add_group("127.1.0.0/16", "a", 1 + below(3), 1 + below(2));
--- a/tests/cressledge/flood_test.cpp
+++ b/tests/cressledge/flood_test.cpp
@@ -15,7 +15,7 @@
         take_log();  // what earlier tests have logged says nothing of this one
         fixture_.add_listed_group("127.0.0.2");
         fixture_.config.admission.unlisted_source_limits = {48, 4, 2'000.0, 200.0};
-        fixture_.config.admission.free_connection_share = 1.0;
+        fixture_.config.admission.dynamic_threshold_factor = 1.0;
         fixture_.start();
         port_ = fixture_.gateway->scgi_port();
     }
@@ -167,7 +167,7 @@
 TEST_CASE("flood: thousands of addresses at once leave a listed caller served") {
     GatewayFixture fixture;
     fixture.add_listed_group("127.0.0.2");
-    fixture.config.admission.free_connection_share = 1.0;
+    fixture.config.admission.dynamic_threshold_factor = 1.0;
     fixture.start();
     std::vector<BoundClient> all;
     for (int i = 0; i < 3'000; ++i) {
