--- a/bench/save_bench.cpp
+++ b/bench/save_bench.cpp
@@ -72,7 +72,7 @@
             if (seen == &with && n % saves_every_ms == 0)
                 save(n);
             bool rung = false;
-            timers.schedule(loop.unix_now() + base::Duration(1'000), [&] { rung = true; });
+            timers.schedule_detached(loop.unix_now() + base::Duration(1'000), [&] { rung = true; });
             while (!rung)
                 loop.run_once(true);
             seen->late_us.push_back(std::chrono::duration<double, std::micro>(Clock::now() - due).count());
--- a/src/base/timer_queue.hpp
+++ b/src/base/timer_queue.hpp
@@ -16,24 +16,79 @@
 
 namespace cressledge::base {
 
+class TimerQueue;
+
+/// Owns a scheduled callback: cancels it when it is destroyed, or when another handle is assigned to it. A callback that
+/// has run is no longer owned, and may destroy or assign its own handle while it runs.
+///
+/// Invariant: the queue outlives its handles. Owners therefore declare the queue, or the reference to it, first.
+class [[nodiscard]] TimerHandle {
+public:
+    /// Owns nothing.
+    TimerHandle() = default;
+    ~TimerHandle() { cancel(); }
+    TimerHandle(TimerHandle&& other) noexcept
+        : queue_(std::exchange(other.queue_, nullptr)), id_(other.id_) {}
+    TimerHandle& operator=(TimerHandle&& other) noexcept {
+        TimerHandle former(std::move(other));
+        std::swap(queue_, former.queue_);
+        std::swap(id_, former.id_);
+        return *this;
+    }
+    TimerHandle(const TimerHandle&) = delete;
+    TimerHandle& operator=(const TimerHandle&) = delete;
+
+    /// Cancels the callback. Does nothing where there is none, or where it has run already.
+    void cancel() noexcept;
+
+    /// Whether the callback is still to run.
+    bool is_scheduled() const;
+
+    /// Gives the callback up to an owner that cancels it by its number.
+    operator std::uint64_t() && {
+        queue_ = nullptr;
+        return id_;
+    }
+
+private:
+    friend class TimerQueue;
+    TimerHandle(TimerQueue& queue, std::uint64_t id) : queue_(&queue), id_(id) {}
+
+    /// Null where nothing is owned.
+    TimerQueue* queue_ = nullptr;
+    std::uint64_t id_ = 0;
+};
+
 /// Callbacks in the order of their due times; those due at the same time run in the order of scheduling.
 class TimerQueue {
 public:
     /// Names a scheduled callback. Handles are never used again; 0 names none.
     using Handle = std::uint64_t;
 
-    /// Schedules `callback` for `due`. A time that lies in the past is allowed: it runs in the next `run_due`.
-    Handle schedule(Timestamp due, std::function<void()> callback) {
-        const Handle handle = ++last_handle_;
-        callbacks_.emplace(Key{due, handle}, std::move(callback));
-        due_times_[handle] = due;
-        return handle;
+    TimerQueue() = default;
+    /// Destroys callbacks one at a time: one may own the handle of another.
+    ~TimerQueue() {
+        while (!callbacks_.empty())
+            callbacks_.extract(callbacks_.begin());
+    }
+    TimerQueue(const TimerQueue&) = delete;
+    TimerQueue& operator=(const TimerQueue&) = delete;
+
+    /// Schedules `callback` for `due`, until the handle cancels it. A time that lies in the past is allowed: it runs in
+    /// the next `run_due`.
+    [[nodiscard]] TimerHandle schedule(Timestamp due, std::function<void()> callback) {
+        return {*this, add(due, std::move(callback))};
     }
 
+    /// As `schedule`, for a callback that is never cancelled: whatever it uses outlives the queue, or is looked up when
+    /// it runs.
+    void schedule_detached(Timestamp due, std::function<void()> callback) { add(due, std::move(callback)); }
+
     /// Cancels a callback and sets `handle` to 0. Does nothing where it has run already.
     void cancel(Handle& handle) {
         if (const auto it = due_times_.find(handle); it != due_times_.end()) {
-            callbacks_.erase(Key{it->second, handle});
+            // Taken out before it is destroyed: it may own another handle.
+            const auto cancelled = callbacks_.extract(Key{it->second, handle});
             due_times_.erase(it);
         }
         handle = 0;
@@ -65,6 +120,8 @@
     }
 
 private:
+    friend class TimerHandle;
+
     struct Key {
         Timestamp due;
         Handle handle;
@@ -72,9 +129,26 @@
         auto operator<=>(const Key&) const = default;
     };
 
+    Handle add(Timestamp due, std::function<void()> callback) {
+        const Handle handle = ++last_handle_;
+        callbacks_.emplace(Key{due, handle}, std::move(callback));
+        due_times_[handle] = due;
+        return handle;
+    }
+
     std::map<Key, std::function<void()>> callbacks_;
     std::unordered_map<Handle, Timestamp> due_times_;
     Handle last_handle_ = 0;
 };
 
+inline void TimerHandle::cancel() noexcept {
+    if (queue_ == nullptr)
+        return;
+    std::exchange(queue_, nullptr)->cancel(id_);
+}
+
+inline bool TimerHandle::is_scheduled() const {
+    return queue_ != nullptr && queue_->due_times_.contains(id_);
+}
+
 }  // namespace cressledge::base
--- a/src/frontend/shutdown_coordinator.cpp
+++ b/src/frontend/shutdown_coordinator.cpp
@@ -51,7 +51,7 @@
     server_.drain(stop_time);
     for (const auto& frontend : frontends_)
         frontend->start_handover();
-    timers_.schedule(std::max(now, stop_time - connection_close_lead), [this] { start_drain(); });
+    timers_.schedule_detached(std::max(now, stop_time - connection_close_lead), [this] { start_drain(); });
 }
 
 void ShutdownCoordinator::start_drain() {
@@ -93,7 +93,7 @@
             frontend->close_incomplete_requests();
     if (can_stop(now))
         return stop();
-    timers_.schedule(now + drain_check_interval, [this] { advance_drain(); });
+    timers_.schedule_detached(now + drain_check_interval, [this] { advance_drain(); });
 }
 
 void ShutdownCoordinator::stop() {
--- a/src/platform/engine_client.cpp
+++ b/src/platform/engine_client.cpp
@@ -191,7 +191,7 @@
     spdlog::info("engine: link synchronized last_notice={} resent_commands={}", last_notice_, runs.size());
     if (!bytes.empty())
         write(bytes);
-    timers_.schedule(now + confirmation_timeout, [this, epoch = link_epoch_] {
+    timers_.schedule_detached(now + confirmation_timeout, [this, epoch = link_epoch_] {
         if (synchronized_ && epoch == link_epoch_)
             resend_unconfirmed();
     });
--- a/src/platform/records_client.cpp
+++ b/src/platform/records_client.cpp
@@ -217,7 +217,7 @@
     PendingCall& call = pending_calls_.at(request_id);
     call.connection_id = 0;
     call.progress = Progress::failure_pending;
-    timers_.schedule(base::Timestamp(0), [this, request_id, outcome, sequence = call.sequence] {
+    timers_.schedule_detached(base::Timestamp(0), [this, request_id, outcome, sequence = call.sequence] {
         const auto it = pending_calls_.find(request_id);
         // Abandoned meanwhile, perhaps for another call of the same request.
         if (it == pending_calls_.end() || it->second.sequence != sequence)
@@ -267,7 +267,7 @@
     if (std::exchange(connection.state, Connection::State::closed) == Connection::State::closed)
         return;
     // One of its own functions may be running: the slot is freed on the loop's next turn.
-    timers_.schedule(base::Timestamp(0), [this, id = connection.id] {
+    timers_.schedule_detached(base::Timestamp(0), [this, id = connection.id] {
         connections_.erase(id);
         assign_waiting_calls();
     });
--- a/src/request/request_manager_actions.cpp
+++ b/src/request/request_manager_actions.cpp
@@ -185,7 +185,7 @@
 
 void RequestManager::apply(const policy::ScheduleTimer& action) {
     const Timestamp due = latest_time_ + action.delay;
-    timers_.schedule(due, [this, generation = handling_generation_, timer_token = action.token] {
+    timers_.schedule_detached(due, [this, generation = handling_generation_, timer_token = action.token] {
         request_timer_gauges(generation, timer_token);
     });
 }
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -171,7 +171,7 @@
     spdlog::error("supervisor: process not started process={} program={} error=\"{}\"", process.settings.id,
                   spec.program, uv_strerror(error));
     // Reported on the next turn of the loop: the lifecycle that asked for the start is still on the stack.
-    timers_.schedule(Timestamp(0), [this, &process, generation] {
+    timers_.schedule_detached(Timestamp(0), [this, &process, generation] {
         on_exited(process, generation, {ChildProcess::cannot_start_code, 0});
     });
 }
--- a/src/upstream/executor.cpp
+++ b/src/upstream/executor.cpp
@@ -203,7 +203,7 @@
     request.cancel_timers();
     for (const auto& attempt : request.attempts)
         attempt->close_connection();
-    timers_.schedule(base::Timestamp(0), [this, request_id, result, body = std::move(body)] {
+    timers_.schedule_detached(base::Timestamp(0), [this, request_id, result, body = std::move(body)] {
         if (active_requests_.erase(request_id) != 0)
             request_manager_.run_finished(request_id, result, body);
     });
--- a/tests/cressledge/platform_http_test.cpp
+++ b/tests/cressledge/platform_http_test.cpp
@@ -101,7 +101,7 @@
     for (int i = 0; i < 9; ++i)
         silent_callers.push_back(fixture.connect_caller());
     bool waited = false;
-    fixture.test_loop.timers.schedule(wall_clock_now() + Duration(400'000), [&] { waited = true; });
+    fixture.test_loop.timers.schedule_detached(wall_clock_now() + Duration(400'000), [&] { waited = true; });
     fixture.test_loop.run_until([&] { return waited; });
     auto usual_caller = fixture.connect_caller();
     usual_caller->send("GET /healthz HTTP/1.1\r\n\r\n");
--- a/tools/experiment/trial.cpp
+++ b/tools/experiment/trial.cpp
@@ -189,8 +189,8 @@
             }
             case T::burst:
                 driver_.rate(driver_.rate() * t.by);
-                timers_.schedule(loop_.unix_now() + span(t.for_s),
-                                 [this, by = t.by] { driver_.rate(driver_.rate() / by); });
+                timers_.schedule_detached(loop_.unix_now() + span(t.for_s),
+                                          [this, by = t.by] { driver_.rate(driver_.rate() / by); });
                 return;
         }
     }
--- a/tools/fault_injection/faulty_main.cpp
+++ b/tools/fault_injection/faulty_main.cpp
@@ -37,7 +37,7 @@
           random_(std::random_device{}()) {}
     void run(const request::Work& w) override {
         if (what_ == "errors" && w.class_name == "route-profile" && random_(100) < 2) {
-            timers_.schedule(base::Timestamp(0), [this, no = w.request_id] {
+            timers_.schedule_detached(base::Timestamp(0), [this, no = w.request_id] {
                 server_.run_finished(no, request::RunResult::failed, {});
             });
             return;
@@ -122,7 +122,7 @@
         gateway.start();
         const char* crash_ms = std::getenv("FAULT_CRASH_MS");
         if (what == "crash")
-            timers.schedule(
+            timers.schedule_detached(
                 loop.unix_now() + base::Duration(std::atoll(crash_ms != nullptr ? crash_ms : "30000") * 1000),
                 [] { std::abort(); });
         loop.run();
