--- a/bench/save_bench.cpp
+++ b/bench/save_bench.cpp
@@ -96,7 +96,7 @@
         if (saver != nullptr && tick % ticks_per_save == 0)
             saver->save(tick);
         bool fired = false;
-        timers.schedule(loop.unix_now() + base::Duration(tick_interval), [&] { fired = true; });
+        timers.schedule_detached(loop.unix_now() + base::Duration(tick_interval), [&] { fired = true; });
         while (!fired)
             loop.run_once(true);
         samples.late_us.push_back(microseconds_since(due));
