--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,12 +1,13 @@
 #include "admin/admin_server.hpp"
 
-#include <spdlog/spdlog.h>
 #include <uv.h>
 
 #include <algorithm>
 #include <optional>
 #include <utility>
 
+#include "base/log.hpp"
+
 namespace cressledge::admin {
 
 using connection_admission::DescriptorPurpose;
@@ -43,7 +44,7 @@
     if (error != 0) {
         connections_.erase(connection_id);
         if (error != UV_EAGAIN)
-            spdlog::warn("admin: accept failed error=\"{}\"", uv_strerror(error));
+            base::log_warning("admin: accept failed error=\"{}\"", uv_strerror(error));
         return false;
     }
     accept_order_.push_back(connection_id);
--- a/src/frontend/connection_admitter.cpp
+++ b/src/frontend/connection_admitter.cpp
@@ -1,11 +1,11 @@
 #include "frontend/connection_admitter.hpp"
 
-#include <spdlog/spdlog.h>
 #include <uv.h>
 
 #include <string>
 #include <utility>
 
+#include "base/log.hpp"
 #include "frontend/frontend.hpp"
 
 namespace cressledge::frontend {
@@ -79,8 +79,8 @@
         schedule_backlog_retry(now + backlog_retry_interval);
     std::uint64_t suppressed = 0;
     if (exhaustion_log_limiter_.try_acquire(now, suppressed))
-        spdlog::warn("admission: file descriptors exhausted used={} limit={} suppressed={}",
-                     descriptors_.used(), descriptors_.limit(), suppressed);
+        base::log_warning("admission: file descriptors exhausted used={} limit={} suppressed={}",
+                          descriptors_.used(), descriptors_.limit(), suppressed);
     return lease;
 }
 
@@ -117,16 +117,16 @@
     std::uint64_t total_rejections = 0;
     for (const std::uint64_t count : limiter_.rejections())
         total_rejections += count;
-    spdlog::info("admission: rejected source={} reason=\"{}\" rejections={}", ip.to_string(),
-                 to_string(reason), total_rejections - std::exchange(rejections_logged_, total_rejections));
+    base::log_info("admission: rejected source={} reason=\"{}\" rejections={}", ip.to_string(),
+                   to_string(reason), total_rejections - std::exchange(rejections_logged_, total_rejections));
 }
 
 void ConnectionAdmitter::on_descriptors_exhausted(int accept_error) {
     descriptors_.on_system_exhausted(server_.now());
     std::uint64_t suppressed = 0;
     if (exhaustion_log_limiter_.try_acquire(server_.now(), suppressed))
-        spdlog::warn("admission: file descriptors exhausted in the system error=\"{}\" suppressed={}",
-                     uv_strerror(accept_error), suppressed);
+        base::log_warning("admission: file descriptors exhausted in the system error=\"{}\" suppressed={}",
+                          uv_strerror(accept_error), suppressed);
 }
 
 void ConnectionAdmitter::reload(connection_admission::Settings settings) {
@@ -142,7 +142,7 @@
 
 void ConnectionAdmitter::log_connections() const {
     const connection_admission::Settings& settings = limiter_.settings();
-    spdlog::info(
+    base::log_info(
         "admission: report connections={} max_connections={} rejection_slots={} unreserved_in_flight={} "
         "tracked_sources={} evicted={} rejections:{}",
         limiter_.open_connections(), settings.max_connections, limiter_.rejection_slots_in_use(),
@@ -152,7 +152,7 @@
     for (std::size_t i = 1; i <= settings.groups.size(); ++i) {
         const connection_admission::ClientGroup& group = settings.groups[i - 1];
         const auto usage = limiter_.group_usage(i);
-        spdlog::info(
+        base::log_info(
             "admission: report group={} connections={} reserved_connections={} in_flight={} "
             "reserved_requests={}",
             group.name, usage.open_connections, group.reserved_connections, usage.in_flight_requests,
@@ -168,7 +168,7 @@
         usage_by_purpose.append(std::to_string(descriptors_.used(purpose))).append(" (");
         usage_by_purpose.append(std::to_string(descriptors_.denied(purpose))).append(" denied)");
     }
-    spdlog::info(
+    base::log_info(
         "admission: report descriptors={} max_descriptors={} evicted={} system_exhaustions={} by purpose: {}",
         descriptors_.used(), descriptors_.limit(), descriptors_.evicted_connections(),
         descriptors_.system_exhaustions(), usage_by_purpose);
@@ -176,13 +176,13 @@
 
 void ConnectionAdmitter::log_sources(std::size_t max_sources) const {
     for (const auto& report : limiter_.top_rejected_sources(max_sources)) {
-        spdlog::info(
+        base::log_info(
             "admission: report source={} group={} connections={} in_flight={} evicted={} rejections:{}",
             report.source, report.group, report.open_connections, report.in_flight_requests,
             report.evicted_connections, format_rejections(report.rejections));
     }
-    spdlog::info("admission: report untracked sources rejections:{}",
-                 format_rejections(limiter_.rejections_of_evicted_sources()));
+    base::log_info("admission: report untracked sources rejections:{}",
+                   format_rejections(limiter_.rejections_of_evicted_sources()));
 }
 
 }  // namespace cressledge::frontend
--- a/src/frontend/http/http_session.cpp
+++ b/src/frontend/http/http_session.cpp
@@ -1,9 +1,8 @@
 #include "frontend/http/http_session.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <utility>
 
+#include "base/log.hpp"
 #include "base/log_rate_limiter.hpp"
 #include "frontend/frontend.hpp"
 
@@ -61,7 +60,7 @@
 }
 
 void HttpSession::reject(const Rejection& rejection, bool close) {
-    spdlog::debug("http: request rejected status={} reason=\"{}\"", rejection.status, rejection.reason);
+    base::log_debug("http: request rejected status={} reason=\"{}\"", rejection.status, rejection.reason);
     const std::string status = std::to_string(rejection.status) + ' ' + rejection.reason;
     parser_.reset();
     reject_malformed(format_message(status, {}, {}, close), close);
@@ -105,7 +104,7 @@
     static base::LogRateLimiter log_limiter;
     std::uint64_t suppressed = 0;
     if (log_limiter.try_acquire(frontend_.server().now(), suppressed))
-        spdlog::info("http: invalid field name=\"{}\" suppressed={}", invalid.name, suppressed);
+        base::log_info("http: invalid field name=\"{}\" suppressed={}", invalid.name, suppressed);
 }
 
 std::string HttpSession::format_response(const request::Response& response, bool close) {
--- a/src/frontend/scgi/scgi_session.cpp
+++ b/src/frontend/scgi/scgi_session.cpp
@@ -1,10 +1,9 @@
 #include "frontend/scgi/scgi_session.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <utility>
 
+#include "base/log.hpp"
 #include "base/log_rate_limiter.hpp"
 #include "frontend/frontend.hpp"
 
@@ -54,8 +53,8 @@
     static base::LogRateLimiter log_limiter;
     std::uint64_t suppressed = 0;
     if (log_limiter.try_acquire(frontend_.server().now(), suppressed))
-        spdlog::info("scgi: request rejected status=\"{}\" reason=\"{}\" suppressed={}", status, reason,
-                     suppressed);
+        base::log_info("scgi: request rejected status=\"{}\" reason=\"{}\" suppressed={}", status, reason,
+                       suppressed);
     is_finished_ = true;
     reject_malformed(format_message(status, {}, {}), true);
 }
--- a/src/frontend/shutdown_coordinator.cpp
+++ b/src/frontend/shutdown_coordinator.cpp
@@ -1,10 +1,10 @@
 #include "frontend/shutdown_coordinator.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <string>
 
+#include "base/log.hpp"
+
 namespace cressledge::frontend {
 namespace {
 
@@ -46,8 +46,8 @@
         return;
     const base::Timestamp now = server_.now();
     const base::Timestamp stop_time = now + stop_delay_;
-    spdlog::info("frontend: graceful shutdown started unanswered={} stop_ms={}", server_.unanswered_count(),
-                 stop_delay_.count() / 1000);
+    base::log_info("frontend: graceful shutdown started unanswered={} stop_ms={}", server_.unanswered_count(),
+                   stop_delay_.count() / 1000);
     server_.drain(stop_time);
     for (const auto& frontend : frontends_)
         frontend->start_handover();
@@ -98,7 +98,7 @@
 
 void ShutdownCoordinator::stop() {
     const auto& counts = server_.counts();
-    spdlog::info(
+    base::log_info(
         "frontend: graceful shutdown finished received={} served={} rejected={} failed={} cancelled={}",
         counts.received, counts.served, counts.rejected, counts.failed, counts.cancelled);
     loop_.stop();
--- a/src/gossip/member_change_log.cpp
+++ b/src/gossip/member_change_log.cpp
@@ -1,10 +1,10 @@
 #include "gossip/member_change_log.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <string>
 #include <utility>
 
+#include "base/log.hpp"
+
 namespace cressledge::gossip {
 namespace {
 
@@ -44,9 +44,9 @@
         return;
     const std::string fields = format_fields(change, std::exchange(suppressed_lines_, 0));
     if (change.displaced)
-        spdlog::error("membership: local member displaced {}", fields);
+        base::log_error("membership: local member displaced {}", fields);
     else
-        spdlog::info("membership: member state changed {}", fields);
+        base::log_info("membership: member state changed {}", fields);
 }
 
 }  // namespace cressledge::gossip
--- a/src/learned_state/learned_state_saver.cpp
+++ b/src/learned_state/learned_state_saver.cpp
@@ -1,11 +1,11 @@
 #include "learned_state/learned_state_saver.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <cerrno>
 #include <cstring>
 #include <utility>
 
+#include "base/log.hpp"
+
 namespace cressledge::learned_state {
 namespace {
 
@@ -31,14 +31,14 @@
 
 RestoreResult LearnedStateSaver::load(Timestamp now) {
     if (const int error = store_.open(); error != 0) {
-        spdlog::error("learned_state: saving disabled directory={} error=\"{}\"", settings_.directory,
-                      error == EWOULDBLOCK ? "locked by another process" : std::strerror(error));
+        base::log_error("learned_state: saving disabled directory={} error=\"{}\"", settings_.directory,
+                        error == EWOULDBLOCK ? "locked by another process" : std::strerror(error));
         RestoreResult nothing;
         nothing.rejection = {RejectionCause::no_directory, 0, {}};
         return nothing;
     }
     for (const std::string& skipped_file : store_.skipped_files())
-        spdlog::warn("learned_state: file skipped detail=\"{}\"", skipped_file);
+        base::log_warning("learned_state: file skipped detail=\"{}\"", skipped_file);
     RestoreResult result = restore(store_.entries(), settings_.identity, now, settings_.confidence_policy);
     if (result.restored)
         planner_.set_restored(store_.entries(), result.state, now);
@@ -52,16 +52,16 @@
     if (result.restored) {
         const LearnedState& state = result.state;
         const bool is_migrated = result.stored_schema_version < schema_version;
-        spdlog::info(
+        base::log_info(
             "learned_state: restored classes={} upstreams={} generation={} age_s={} age_confidence={:.2f} "
             "migrated={}",
             state.controller_state.classes.size(), state.upstreams.size(), store_.generation(),
             (now - state.saved_at).count() / microseconds_per_second, result.age_confidence, is_migrated);
     } else {
-        spdlog::info("learned_state: cold start reason=\"{}\"", to_string(result.rejection));
+        base::log_info("learned_state: cold start reason=\"{}\"", to_string(result.rejection));
     }
     for (const SkippedEntry& skipped_entry : result.skipped_entries)
-        spdlog::warn("learned_state: entry skipped detail=\"{}\"", to_string(skipped_entry));
+        base::log_warning("learned_state: entry skipped detail=\"{}\"", to_string(skipped_entry));
 }
 
 void LearnedStateSaver::on_commit(int error) {
@@ -71,8 +71,8 @@
     planner_.on_save_failed();
     std::uint64_t suppressed = 0;
     if (log_limiter_.try_acquire(request_manager_.now(), suppressed))
-        spdlog::error("learned_state: save failed error=\"{}\" suppressed={}", std::strerror(error),
-                      suppressed);
+        base::log_error("learned_state: save failed error=\"{}\" suppressed={}", std::strerror(error),
+                        suppressed);
 }
 
 void LearnedStateSaver::start_saving() {
@@ -102,8 +102,8 @@
 
 void LearnedStateSaver::log_summary() const {
     if (writer_)
-        spdlog::info("learned_state: summary generation={} saves={} failed_saves={} bytes_written={}",
-                     store_.generation(), writer_->commits(), failed_saves_, store_.bytes_written());
+        base::log_info("learned_state: summary generation={} saves={} failed_saves={} bytes_written={}",
+                       store_.generation(), writer_->commits(), failed_saves_, store_.bytes_written());
 }
 
 }  // namespace cressledge::learned_state
--- a/src/platform/directory_reporter.cpp
+++ b/src/platform/directory_reporter.cpp
@@ -1,6 +1,6 @@
 #include "platform/directory_reporter.hpp"
 
-#include <spdlog/spdlog.h>
+#include "base/log.hpp"
 
 namespace cressledge::platform {
 namespace {
@@ -105,7 +105,7 @@
     const bool malformed = HTTP_PARSER_ERRNO(&parser_) != HPE_OK;
     const bool accepted = response_complete_ && parser_.status_code == http_no_content;
     if (accepted != last_report_accepted_)
-        spdlog::warn("directory: {}", accepted ? "report accepted" : "report rejected");
+        base::log_warning("directory: {}", accepted ? "report accepted" : "report rejected");
     last_report_accepted_ = accepted;
     state_ = State::idle;
     if (malformed || http_should_keep_alive(&parser_) == 0)
@@ -120,7 +120,7 @@
     // An idle connection that ends is no fault: the next report opens another.
     if (state_ != State::idle) {
         if (last_report_accepted_)
-            spdlog::warn("directory: unreachable");
+            base::log_warning("directory: unreachable");
         last_report_accepted_ = false;
         schedule_report(retry_delay);
     }
--- a/src/platform/engine_client.cpp
+++ b/src/platform/engine_client.cpp
@@ -1,10 +1,10 @@
 #include "platform/engine_client.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <utility>
 
+#include "base/log.hpp"
+
 namespace cressledge::platform {
 namespace {
 
@@ -129,13 +129,13 @@
 void EngineClient::on_end(bool refused) {
     stream_ = nullptr;
     if (synchronized_ || !refused)
-        spdlog::warn("engine: link lost last_notice={}", last_notice_);
+        base::log_warning("engine: link lost last_notice={}", last_notice_);
     mark_unsynchronized();
     schedule_reconnect();
 }
 
 void EngineClient::drop_link(const char* reason) {
-    spdlog::warn("engine: link closed: {}", reason);
+    base::log_warning("engine: link closed: {}", reason);
     mark_unsynchronized();
     disconnect();
     schedule_reconnect();
@@ -188,7 +188,7 @@
         if (run->halt_requested)
             bytes += engine_protocol::encode_halt(run->name);
     }
-    spdlog::info("engine: link synchronized last_notice={} resent_commands={}", last_notice_, runs.size());
+    base::log_info("engine: link synchronized last_notice={} resent_commands={}", last_notice_, runs.size());
     if (!bytes.empty())
         write(bytes);
     timers_.schedule_detached(now + confirmation_timeout, [this, epoch = link_epoch_] {
--- a/src/platform/engine_client_messages.cpp
+++ b/src/platform/engine_client_messages.cpp
@@ -1,10 +1,10 @@
 // What the engine's messages do to the client; commands and the link itself are in engine_client.cpp.
-#include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 #include <variant>
 
+#include "base/log.hpp"
 #include "platform/engine_client.hpp"
 
 namespace cressledge::platform {
@@ -88,7 +88,7 @@
     write(engine_protocol::encode_gauges_query(synchronization_tag()));
     if (request_manager_.started())
         return;
-    spdlog::info("engine: up state={} uptime_ms={}", hello.state, hello.uptime_ms);
+    base::log_info("engine: up state={} uptime_ms={}", hello.state, hello.uptime_ms);
     // A cold engine has warmed up since its start. The age of one that started with its data loaded says nothing.
     const base::Duration uptime(
         std::llround(std::min(hello.uptime_ms, max_uptime_ms) * microseconds_per_millisecond));
@@ -101,8 +101,8 @@
 void EngineClient::handle(const engine_protocol::CommandRejected& rejection) {
     std::uint64_t suppressed = 0;
     if (log_limiter_.try_acquire(loop_.unix_now(), suppressed))
-        spdlog::warn("engine: command rejected command={} request={} suppressed={}", rejection.command,
-                     rejection.run_name, suppressed);
+        base::log_warning("engine: command rejected command={} request={} suppressed={}", rejection.command,
+                          rejection.run_name, suppressed);
     if (!rejection.is_run)
         return;
     // A run that never began still owes its caller a response.
--- a/src/platform/platform_node.cpp
+++ b/src/platform/platform_node.cpp
@@ -1,10 +1,9 @@
 #include "platform/platform_node.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <csignal>
 
+#include "base/log.hpp"
 #include "frontend/http/http_session.hpp"
 
 namespace cressledge::platform {
@@ -113,7 +112,7 @@
     loop_.on_signal(SIGUSR1, [this] { connection_admitter_.log_report(max_reported_sources); });
     engine_client_.connect();
     directory_reporter_.report(DirectoryReporter::Mode::open);
-    spdlog::info("platform: serving");
+    base::log_info("platform: serving");
 }
 
 void PlatformNode::reload(const std::string& path) {
@@ -127,7 +126,7 @@
         ++configurations_applied_;
     } catch (const std::exception& error) {
         ++configurations_rejected_;
-        spdlog::error("configuration: the old one stays in force: {}", error.what());
+        base::log_error("configuration: the old one stays in force: {}", error.what());
     }
 }
 
@@ -136,8 +135,8 @@
     const net::Address engine = parse_address("engine", fresh.engine_address);
     const net::Address records = records_address(fresh);
     const net::Address directory = parse_address("lookup", fresh.directory_address);
-    spdlog::info("configuration: applied engine={} records={} directory={}", fresh.engine_address,
-                 fresh.records_address, fresh.directory_address);
+    base::log_info("configuration: applied engine={} records={} directory={}", fresh.engine_address,
+                   fresh.records_address, fresh.directory_address);
     engine_client_.set_address(engine);
     records_client_.set_address(records);
     directory_reporter_.set_address(directory);
--- a/src/platform/records_client.cpp
+++ b/src/platform/records_client.cpp
@@ -1,10 +1,9 @@
 #include "platform/records_client.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <utility>
 
+#include "base/log.hpp"
 #include "platform/line_reader.hpp"
 #include "platform/records_protocol.hpp"
 
@@ -86,7 +85,7 @@
     void on_malformed_reply() {
         std::uint64_t suppressed = 0;
         if (client.log_limiter_.try_acquire(client.loop_.unix_now(), suppressed))
-            spdlog::warn("records: malformed reply suppressed={}", suppressed);
+            base::log_warning("records: malformed reply suppressed={}", suppressed);
         client.on_connection_lost(*this, false);
     }
 };
@@ -206,8 +205,8 @@
         return;
     std::uint64_t suppressed = 0;
     if (log_limiter_.try_acquire(loop_.unix_now(), suppressed))
-        spdlog::warn("records: {} suppressed={}", refused ? "connection refused" : "connection lost",
-                     suppressed);
+        base::log_warning("records: {} suppressed={}", refused ? "connection refused" : "connection lost",
+                          suppressed);
     fail_call(request_id, it->second.progress == Progress::sent ? Outcome::reset : Outcome::connect_failed);
 }
 
--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -1,10 +1,10 @@
 #include "request/request_manager.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <utility>
 
+#include "base/log.hpp"
+
 namespace cressledge::request {
 namespace {
 
@@ -80,8 +80,8 @@
                                  std::unique_ptr<policy::AdmissionController> controller) {
     generations_.add(std::move(settings), std::move(controller));
     const std::uint64_t serial = generations_.newest_serial();
-    spdlog::info("settings: generation {} in force with {} classes; {} requests open with the older", serial,
-                 generations_.newest().settings.classes.size(), unanswered_count_);
+    base::log_info("settings: generation {} in force with {} classes; {} requests open with the older",
+                   serial, generations_.newest().settings.classes.size(), unanswered_count_);
     if (started_)
         post_event_to(serial, policy::Started{}, 0);
     if (draining_)
--- a/src/request/request_manager_actions.cpp
+++ b/src/request/request_manager_actions.cpp
@@ -1,10 +1,9 @@
 // How the request manager applies the actions of an admission controller. An action on a request that is no longer open,
 // or not in a state that the action is meant for, does nothing.
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 
+#include "base/log.hpp"
 #include "request/request_manager.hpp"
 
 namespace cressledge::request {
@@ -27,7 +26,7 @@
     const policy::RequestClass& request_class = class_of(*request);
     if (request->has_run && request_class.idempotency != Idempotency::always) {
         // A run that was discarded half-way may have had its effect.
-        spdlog::error("second run withheld: {}", request->incoming.external_id);
+        base::log_error("second run withheld: {}", request->incoming.external_id);
         request->has_failed = true;
         return post_event(policy::RunFinished{action.id, Outcome::error}, action.id);
     }
@@ -63,8 +62,8 @@
         return;
     if (request->has_run) {
         // A rejection promises that the request never ran.
-        spdlog::error("refusal of a request that ran turned into a failure: {}",
-                      request->incoming.external_id);
+        base::log_error("refusal of a request that ran turned into a failure: {}",
+                        request->incoming.external_id);
         return apply(policy::Fail{action.id});
     }
     respond(*request, Response{ResponseStatus::rejected, {}, action.retry_after, action.do_not_retry});
@@ -89,8 +88,8 @@
     if (request == nullptr || request->state != RequestState::awaiting_call_decision)
         return;
     if (request->call_may_have_effect && class_of(*request).idempotency != Idempotency::always) {
-        spdlog::error("second call withheld, the first may have had its effect: {}",
-                      request->incoming.external_id);
+        base::log_error("second call withheld, the first may have had its effect: {}",
+                        request->incoming.external_id);
         return post_event(policy::DependencyCallFinished{action.id, Outcome::error, Duration(0)});
     }
     request->state = RequestState::awaiting_call_reply;
@@ -131,7 +130,7 @@
         return;
     const std::string key = record_key(settings_of(*request), request->incoming);
     if (idempotency_store_.is_full() && !idempotency_store_.contains(key)) {
-        spdlog::warn("key not kept: the table of keys is full");
+        base::log_warning("key not kept: the table of keys is full");
         return;
     }
     const Timestamp retained_at = now();
@@ -166,7 +165,7 @@
 
 void RequestManager::apply(const policy::SetHealth& action) {
     if (action.healthy != health_.healthy)
-        spdlog::info("health: {}", action.healthy ? "good" : "bad");
+        base::log_info("health: {}", action.healthy ? "good" : "bad");
     health_ = action;
 }
 
@@ -178,7 +177,7 @@
 void RequestManager::apply(const policy::AdvertiseLoad&) {}
 
 void RequestManager::apply(const policy::WriteLog& action) {
-    spdlog::info("controller: {}", action.text);
+    base::log_info("controller: {}", action.text);
 }
 
 // ---- timers ----
--- a/src/request/request_manager_submission.cpp
+++ b/src/request/request_manager_submission.cpp
@@ -1,11 +1,10 @@
 // How the request manager takes requests in.
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <memory>
 #include <utility>
 
+#include "base/log.hpp"
 #include "request/request_manager.hpp"
 
 namespace cressledge::request {
@@ -37,8 +36,8 @@
     if (record != nullptr && contradicts(*record, request)) {
         std::uint64_t suppressed = 0;
         if (key_mismatch_log_limiter_.try_acquire(received_at, suppressed))
-            spdlog::info("idempotency key used for another payload: refused as malformed; {} more like it",
-                         suppressed);
+            base::log_info("idempotency key used for another payload: refused as malformed; {} more like it",
+                           suppressed);
         return reject_malformed(responder, ticket, request.class_index);
     }
     const RequestId repeated_id = record != nullptr ? repeated_request_id(*record, request_class) : 0;
@@ -70,7 +69,7 @@
 void RequestManager::log_rejection(std::string_view bound) {
     std::uint64_t suppressed = 0;
     if (rejection_log_limiter_.try_acquire(clock_.unix_now(), suppressed))
-        spdlog::warn("refused unseen: {}; {} more like it", bound, suppressed);
+        base::log_warning("refused unseen: {}; {} more like it", bound, suppressed);
 }
 
 void RequestManager::reject_before_admission(Responder& responder, std::uint64_t ticket, Duration retry_after,
--- a/src/rollout/fleet_client.cpp
+++ b/src/rollout/fleet_client.cpp
@@ -1,11 +1,11 @@
 #include "rollout/fleet_client.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <set>
 #include <utility>
 
+#include "base/log.hpp"
+
 namespace cressledge::rollout {
 namespace {
 
@@ -112,8 +112,8 @@
                                  observe_processes(index, status);
                                  ++answer_count;
                              } catch (const json::exception& error) {
-                                 spdlog::warn("rollout: malformed status supervisor={} error=\"{}\"",
-                                              supervisors_[index].name, error.what());
+                                 base::log_warning("rollout: malformed status supervisor={} error=\"{}\"",
+                                                   supervisors_[index].name, error.what());
                              }
                          });
     }
@@ -179,8 +179,8 @@
             supervisors_[supervisor_index].address, "POST", "/v1/processes/" + update.process_id, body.dump(),
             answer_by, [process_id = update.process_id](const HttpClient::Response& response) {
                 if (response.status != http_accepted)
-                    spdlog::warn("rollout: spec update not accepted process={} status={} body={}", process_id,
-                                 response.status, response.body);
+                    base::log_warning("rollout: spec update not accepted process={} status={} body={}",
+                                      process_id, response.status, response.body);
             });
     }
     wait_for_replies();
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -1,9 +1,8 @@
 #include "rollout/rollout_controller.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <utility>
 
+#include "base/log.hpp"
 #include "rollout/rollout_report.hpp"
 
 namespace cressledge::rollout {
@@ -40,7 +39,7 @@
     while (!is_interrupted_) {
         const base::Timestamp next_step_at = loop_.unix_now() + settings_.observation_interval;
         if (const auto conflict = fleet_.take_leases()) {
-            spdlog::error("rollout: rejected reason=\"{}\"", conflict->message);
+            base::log_error("rollout: rejected reason=\"{}\"", conflict->message);
             if (!state_machine_)
                 fleet_.release_leases();
             return RolloutResult::rejected;
@@ -76,7 +75,7 @@
     for (;;) {
         const RolloutActions actions = state_machine_->step(loop_.unix_now(), fleet_.observations());
         for (const std::string& line : actions.log_lines)
-            spdlog::info("roll: {}", line);
+            base::log_info("roll: {}", line);
         if (actions.must_save_state) {
             save_state();
             continue;
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -1,12 +1,12 @@
 #include "supervisor/supervisor.hpp"
 
 #include <signal.h>
-#include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "base/log.hpp"
 #include "config/operator.hpp"
 #include "supervisor/live_settings.hpp"
 #include "supervisor/supervised_process.hpp"
@@ -82,7 +82,7 @@
         process->lifecycle.start_current(loop_.unix_now(), actions);
         execute(*process, actions);
     }
-    spdlog::info("supervisor: started processes={} admin_port={}", processes_.size(), admin_server_.port());
+    base::log_info("supervisor: started processes={} admin_port={}", processes_.size(), admin_server_.port());
 }
 
 void Supervisor::shut_down() {
@@ -151,8 +151,8 @@
     try {
         write_live_settings(process.settings.settings_file, spec.overlay);
     } catch (const LiveSettingsError& error) {
-        spdlog::error("supervisor: settings not written process={} error=\"{}\"", process.settings.id,
-                      error.what());
+        base::log_error("supervisor: settings not written process={} error=\"{}\"", process.settings.id,
+                        error.what());
     }
 }
 
@@ -168,8 +168,8 @@
     process.children[generation] = std::move(owned_child);
     if (error == 0)
         return;
-    spdlog::error("supervisor: process not started process={} program={} error=\"{}\"", process.settings.id,
-                  spec.program, uv_strerror(error));
+    base::log_error("supervisor: process not started process={} program={} error=\"{}\"", process.settings.id,
+                    spec.program, uv_strerror(error));
     // Reported on the next turn of the loop: the lifecycle that asked for the start is still on the stack.
     timers_.schedule_detached(Timestamp(0), [this, &process, generation] {
         on_exited(process, generation, {ChildProcess::cannot_start_code, 0});
@@ -187,7 +187,7 @@
                             {"generation", generation},
                             {"ended", to_string(status)},
                             {"told", was_told}};
-    spdlog::log(was_told ? spdlog::level::info : spdlog::level::warn, "process: {}", line.dump());
+    base::log(was_told ? base::LogLevel::info : base::LogLevel::warning, "process: {}", line.dump());
     if (!was_told)
         process.last_unrequested_exit = to_string(status);
     child->close([this, &process, generation] {
--- a/src/supervisor/supervisor_admin.cpp
+++ b/src/supervisor/supervisor_admin.cpp
@@ -1,9 +1,9 @@
 /// The admin address of a supervisor: its metrics, the status of its processes, and requests to change them.
-#include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
+#include "base/log.hpp"
 #include "supervisor/supervised_process.hpp"
 #include "supervisor/supervisor.hpp"
 #include "supervisor/supervisor_request.hpp"
@@ -112,7 +112,7 @@
     }
     if (holder != lease_holder_) {
         const ordered_json line{{"name", request.rollout_name()}, {"held", !holder.empty()}};
-        spdlog::info("roll: {}", line.dump());
+        base::log_info("roll: {}", line.dump());
     }
     lease_holder_ = holder;
     return reply_with(status_ok, "");
--- a/src/upstream/executor.cpp
+++ b/src/upstream/executor.cpp
@@ -1,11 +1,11 @@
 // Hosts, requests and their ends; the attempts between are in executor_attempts.cpp and executor_results.cpp.
 #include "upstream/executor.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <utility>
 
+#include "base/log.hpp"
+
 namespace cressledge::upstream {
 namespace {
 
@@ -122,9 +122,9 @@
 void UpstreamExecutor::log_host_change(const HostStateChange& change) {
     std::uint64_t suppressed = 0;
     if (change_log_limiter_.try_acquire(request_manager_.now(), suppressed))
-        spdlog::info("upstream: host state changed host={} from={} to={} reason=\"{}\" suppressed={}",
-                     hosts_.at(change.host_id).spec.name, to_string(change.old_state),
-                     to_string(change.new_state), change.reason, suppressed);
+        base::log_info("upstream: host state changed host={} from={} to={} reason=\"{}\" suppressed={}",
+                       hosts_.at(change.host_id).spec.name, to_string(change.old_state),
+                       to_string(change.new_state), change.reason, suppressed);
 }
 
 void UpstreamExecutor::keep_connection(HostId host_id, HostConnection connection) {
--- a/src/upstream/executor_attempts.cpp
+++ b/src/upstream/executor_attempts.cpp
@@ -1,9 +1,9 @@
 // How the executor chooses hosts and calls them; what follows a call is in executor_results.cpp.
-#include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
+#include "base/log.hpp"
 #include "upstream/executor.hpp"
 
 namespace cressledge::upstream {
@@ -104,7 +104,8 @@
         return;
     std::uint64_t suppressed = 0;
     if (failure_log_limiter_.try_acquire(request_manager_.now(), suppressed))
-        spdlog::warn("upstream: no host available request={} suppressed={}", request.external_id, suppressed);
+        base::log_warning("upstream: no host available request={} suppressed={}", request.external_id,
+                          suppressed);
     fail(request);
 }
 
--- a/src/upstream/executor_report.cpp
+++ b/src/upstream/executor_report.cpp
@@ -1,8 +1,8 @@
 // What the executor has learned and counted.
-#include <spdlog/spdlog.h>
 
 #include <array>
 
+#include "base/log.hpp"
 #include "upstream/executor.hpp"
 
 namespace cressledge::upstream {
@@ -48,12 +48,12 @@
     for (const HostId host_id : hosts_.listed_hosts())
         ++counts[static_cast<std::size_t>(hosts_.at(host_id).state)];
     const auto count = [&counts](HostState state) { return counts[static_cast<std::size_t>(state)]; };
-    spdlog::info(
+    base::log_info(
         "upstream: inventory version {}: {} ready, {} joining, {} suspect, {} ejected, {} draining{}",
         hosts_.inventory_version(), count(HostState::ready), count(HostState::warming_up),
         count(HostState::suspect), count(HostState::ejected), count(HostState::draining),
         hosts_.in_panic_mode() ? ", panic: all are used" : "");
-    spdlog::info(
+    base::log_info(
         "upstream: {} requests, {} calls, {} retries, {} hedges, {} on kept connections ({} stale), {} "
         "without budget, {:.2f} of calls fail{}",
         counters_.requests, counters_.attempts, counters_.retries, counters_.hedges,
@@ -65,7 +65,7 @@
             continue;
         if (max_hosts-- == 0)
             break;
-        spdlog::info(
+        base::log_info(
             "upstream {}: {}, {} in hand, {:.2f} of calls fail, {:.3f} s a call, {} ejections in a row",
             host.spec.name, to_string(host.state), host.calls_in_flight, host.failure_rate,
             host.mean_latency_s, host.consecutive_ejections);
--- a/src/upstream/executor_results.cpp
+++ b/src/upstream/executor_results.cpp
@@ -1,9 +1,9 @@
 // What the executor records of a finished attempt, and how it decides on another.
-#include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
+#include "base/log.hpp"
 #include "upstream/executor.hpp"
 
 namespace cressledge::upstream {
@@ -66,13 +66,13 @@
     const std::string& request_name = attempt.request().external_id;
     const int status = attempt.response() != nullptr ? attempt.response()->status : 0;
     if (result == CallResult::connection_refused)
-        spdlog::warn("upstream: connection refused host={} suppressed={}", name, suppressed);
+        base::log_warning("upstream: connection refused host={} suppressed={}", name, suppressed);
     else if (status != 0)
-        spdlog::info("upstream: call failed host={} status={} request={} suppressed={}", name, status,
-                     request_name, suppressed);
+        base::log_info("upstream: call failed host={} status={} request={} suppressed={}", name, status,
+                       request_name, suppressed);
     else
-        spdlog::warn("upstream: incomplete response host={} request={} suppressed={}", name, request_name,
-                     suppressed);
+        base::log_warning("upstream: incomplete response host={} request={} suppressed={}", name,
+                          request_name, suppressed);
 }
 
 void UpstreamExecutor::record_stale_connection(Attempt& attempt, base::Timestamp now) {
--- a/src/upstream/gateway.cpp
+++ b/src/upstream/gateway.cpp
@@ -1,12 +1,11 @@
 // Wiring, start and end; reloads are in gateway_reload.cpp.
 #include "upstream/gateway.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <csignal>
 #include <stdexcept>
 #include <utility>
 
+#include "base/log.hpp"
 #include "frontend/http/http_session.hpp"
 #include "frontend/scgi/scgi_session.hpp"
 #include "upstream/gateway_descriptors.hpp"
@@ -155,7 +154,7 @@
     loop_.on_signal(SIGUSR2, [this] { hand_over(); });
     loop_.on_signal(SIGHUP, [this] { reload(); });
     loop_.on_signal(SIGUSR1, [this] { log_report(); });
-    spdlog::info("gateway: serving scgi_port={} http_port={}", scgi_port_, http_port_);
+    base::log_info("gateway: serving scgi_port={} http_port={}", scgi_port_, http_port_);
 }
 
 void UpstreamGateway::begin_graceful_shutdown() {
--- a/src/upstream/gateway_descriptors.cpp
+++ b/src/upstream/gateway_descriptors.cpp
@@ -1,11 +1,10 @@
 #include "upstream/gateway_descriptors.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <stdexcept>
 
 #include "admin/admin_server.hpp"
+#include "base/log.hpp"
 #include "gossip/gossip_node.hpp"
 #include "net/process_descriptors.hpp"
 
@@ -59,8 +58,8 @@
 connection_admission::Settings fit_to_plan(connection_admission::Settings settings,
                                            const connection_admission::DescriptorPlan& plan) {
     if (plan.max_connections < settings.max_connections)
-        spdlog::warn("admission: room for {} of {} connections: {} descriptors", plan.max_connections,
-                     settings.max_connections, plan.limit);
+        base::log_warning("admission: room for {} of {} connections: {} descriptors", plan.max_connections,
+                          settings.max_connections, plan.limit);
     settings.max_connections = plan.max_connections;
     settings.rejection_slots = plan.rejection_slots;
     return settings;
--- a/src/upstream/gateway_reload.cpp
+++ b/src/upstream/gateway_reload.cpp
@@ -1,8 +1,8 @@
 // Reading the operator's file and the inventory again while the gateway runs.
-#include <spdlog/spdlog.h>
 
 #include <utility>
 
+#include "base/log.hpp"
 #include "upstream/gateway.hpp"
 #include "upstream/gateway_descriptors.hpp"
 
@@ -69,10 +69,10 @@
     } catch (const config::InventoryError& error) {
         ++configurations_rejected_;
         for (const std::string& row_error : error.row_errors)
-            spdlog::error("{}: the old one stays in force: {}", failing_file, row_error);
+            base::log_error("{}: the old one stays in force: {}", failing_file, row_error);
     } catch (const config::ConfigError& error) {
         ++configurations_rejected_;
-        spdlog::error("{}: the old one stays in force: {}", failing_file, error.what());
+        base::log_error("{}: the old one stays in force: {}", failing_file, error.what());
     }
 }
 
@@ -130,8 +130,8 @@
         config_.routing.inventory_poll_interval != before.routing.inventory_poll_interval)
         watch_inventory();
     if (has_new_settings || has_new_servers)
-        spdlog::info("inventory: {} servers in force, version {}: {}", servers_.size(),
-                     executor_.hosts().inventory_version(), reload.difference.summary(max_logged_servers));
+        base::log_info("inventory: {} servers in force, version {}: {}", servers_.size(),
+                       executor_.hosts().inventory_version(), reload.difference.summary(max_logged_servers));
 }
 
 }  // namespace cressledge::upstream
