--- a/bench/membership_rig.cpp
+++ b/bench/membership_rig.cpp
@@ -28,7 +28,7 @@
     net::Loop loop{timers};
     fault_injection::ProcessCluster cluster;
     std::size_t seeds = 3;
-    explicit Rig(const fault_injection::Plan& plan) : cluster(loop, timers, plan) {}
+    explicit Rig(const fault_injection::ClusterSpec& plan) : cluster(loop, timers, plan) {}
     Timestamp now() { return loop.unix_now(); }
     void say(const ordered_json& j) {
         std::printf("%s\n", j.dump().c_str());
@@ -46,8 +46,8 @@
                         Timestamp since, double bound_s) {
         std::vector<double> ms;
         std::size_t missing = 0;
-        for (const auto& s :
-             cluster.until_seen(whom, expected, now() + Duration(static_cast<std::int64_t>(bound_s * 1e6)))) {
+        for (const auto& s : cluster.wait_for_view(
+                 whom, expected, now() + Duration(static_cast<std::int64_t>(bound_s * 1e6)))) {
             if (s)
                 ms.push_back(static_cast<double>((*s - since).count()) / 1000.0);
             else
@@ -62,7 +62,7 @@
         return j;
     }
     ordered_json spread(Timestamp since, double bound_s) {
-        const auto all = cluster.all_running();
+        const auto all = cluster.running_processes();
         return spread(all, all, since, bound_s);
     }
     // Starts all and waits for them; the time counts from when the last process was started.
@@ -79,8 +79,8 @@
     }
     ordered_json sums(std::initializer_list<const char*> names) {
         ordered_json j = ordered_json::object();
-        for (const std::size_t no : cluster.all_running()) {
-            const auto f = cluster.figures(no);
+        for (const std::size_t no : cluster.running_processes()) {
+            const auto f = cluster.metrics(no);
             for (const char* name : names) {
                 std::string key = "fleet.";
                 const auto it = f.find(key += name);
@@ -96,7 +96,7 @@
     for (int k = 0; k < times; ++k) {
         const std::size_t victim = r.seeds + static_cast<std::size_t>(k);
         const Timestamp at = r.now();
-        r.cluster.signal(victim, SIGKILL);
+        r.cluster.send_signal(victim, SIGKILL);
         auto j = r.spread(at, 30);
         worst.push_back(j["not_agreed"] == 0 ? j["worst_ms"].get<long>() : -1);
         j["what"] = "kill";
@@ -118,7 +118,7 @@
         if (goer >= r.cluster.size())
             break;
         const Timestamp at = r.now();
-        r.cluster.signal(goer, SIGTERM);
+        r.cluster.send_signal(goer, SIGTERM);
         worst.push_back(r.spread(at, 30).value("worst_ms", -1L));
     }
     std::sort(worst.begin(), worst.end());
@@ -131,7 +131,7 @@
 void loss(Rig& r, double seconds, double share) {
     const auto names = {"dead",        "suspicions",  "suspected", "refuted",
                         "refutations", "standstills", "probes",    "indirect_probes"};
-    r.cluster.relay().harm({share, 0.0, Duration(0), Duration(0)});
+    r.cluster.relay().set_faults({share, 0.0, Duration(0), Duration(0)});
     const Timestamp end = r.now() + Duration(static_cast<std::int64_t>(seconds * 1e6));
     while (r.now() < end) {
         r.wait(std::min(30.0, static_cast<double>((end - r.now()).count()) / 1e6));
@@ -143,14 +143,14 @@
     auto j = r.sums(names);
     j["what"] = "loss";
     j["share"] = share;
-    j["lost"] = r.cluster.relay().counts().lost;
-    j["passed"] = r.cluster.relay().counts().passed;
+    j["lost"] = r.cluster.relay().counters().lost;
+    j["passed"] = r.cluster.relay().counters().forwarded;
     j["crashes"] = r.cluster.crashes();
     r.say(j);
 }
 
 void partition(Rig& r, double seconds) {
-    const auto all = r.cluster.all_running();
+    const auto all = r.cluster.running_processes();
     std::set<std::string> names;
     std::vector<std::size_t> halves[2];
     for (std::size_t i = 0; i < all.size(); ++i) {
@@ -159,7 +159,7 @@
             names.insert(r.cluster.id(all[i]));
     }
     const Timestamp cut = r.now();
-    r.cluster.relay().part(names);
+    r.cluster.relay().partition(names);
     for (int h = 0; h < 2; ++h) {
         auto j = r.spread(halves[h], halves[h], cut, seconds);
         j["what"] = "partition, each half of itself";
@@ -175,16 +175,16 @@
 }
 
 void pause(Rig& r, double seconds) {
-    const std::size_t who = r.cluster.all_running().back();
-    const std::uint64_t before = r.cluster.figures(who)["fleet.suspicions"];
-    r.cluster.signal(who, SIGSTOP);
+    const std::size_t who = r.cluster.running_processes().back();
+    const std::uint64_t before = r.cluster.metrics(who)["fleet.suspicions"];
+    r.cluster.send_signal(who, SIGSTOP);
     r.wait(seconds);
     const Timestamp on = r.now();
-    r.cluster.signal(who, SIGCONT);
+    r.cluster.send_signal(who, SIGCONT);
     auto j = r.spread(on, 30);
     j["what"] = "pause";
     j["seconds"] = seconds;
-    j["suspicions_by_it"] = r.cluster.figures(who)["fleet.suspicions"] - before;
+    j["suspicions_by_it"] = r.cluster.metrics(who)["fleet.suspicions"] - before;
     r.say(j);
 }
 
@@ -192,7 +192,7 @@
     const std::size_t n = r.cluster.size(), gone = n * 6 / 10;
     const Timestamp from = r.now();
     for (std::size_t k = 0; k < gone; ++k) {
-        r.cluster.signal(n - 1 - k, k % 2 == 0 ? SIGTERM : SIGKILL);
+        r.cluster.send_signal(n - 1 - k, k % 2 == 0 ? SIGTERM : SIGKILL);
         r.add();
         const Timestamp due =
             from + Duration(static_cast<std::int64_t>(seconds * 1e6 * static_cast<double>(k + 1) /
@@ -215,13 +215,13 @@
     r.wait(seconds);
     const auto after = r.sums({"bytes_sent", "bytes_received", "datagrams_sent"});
     const double s = static_cast<double>((r.now() - from).count()) / 1e6 *
-                     static_cast<double>(r.cluster.all_running().size());
+                     static_cast<double>(r.cluster.running_processes().size());
     const auto rate = [&](const char* name) {
         return std::lround(
             static_cast<double>(after[name].get<std::uint64_t>() - before[name].get<std::uint64_t>()) / s);
     };
     r.say({{"what", "bytes"},
-           {"processes", r.cluster.all_running().size()},
+           {"processes", r.cluster.running_processes().size()},
            {"seconds", seconds},
            {"sent_per_process_s", rate("bytes_sent")},
            {"received_per_process_s", rate("bytes_received")},
@@ -246,14 +246,14 @@
     options.parse_positional({"what"});
     try {
         const auto given = options.parse(argc, argv);
-        fault_injection::Plan plan;
+        fault_injection::ClusterSpec plan;
         plan.program = std::filesystem::absolute(given["program"].as<std::string>());
         plan.probe_ms = given["probe"].as<int>();
         plan.seed = given["seed"].as<std::uint64_t>();
         char name[] = "/tmp/fleet-rig-XXXXXX";
         const bool keep = given.count("keep") != 0;
-        plan.folder = keep ? given["keep"].as<std::string>() : mkdtemp(name);
-        std::filesystem::create_directories(plan.folder);
+        plan.directory = keep ? given["keep"].as<std::string>() : mkdtemp(name);
+        std::filesystem::create_directories(plan.directory);
         {
             Rig r(plan);
             const double seconds = given["seconds"].as<double>();
@@ -280,7 +280,7 @@
                 r.say({{"what", "crashes"}, {"count", r.cluster.crashes()}});
         }
         if (!keep)
-            std::filesystem::remove_all(plan.folder);
+            std::filesystem::remove_all(plan.directory);
     } catch (const std::exception& e) {
         std::fprintf(stderr, "membership_rig: %s\n", e.what());
         return 2;
--- a/bench/rollout_rig.cpp
+++ b/bench/rollout_rig.cpp
@@ -56,11 +56,11 @@
     if (what == "cut") {
         for (int i = 0; i < 3; ++i) {
             r.run(8.0);
-            r.wire(1).cut(true);
+            r.wire(1).set_cut(true);
             r.run(6.0);
-            r.wire(1).cut(false);
+            r.wire(1).set_cut(false);
             for (std::size_t s = 0; s < 4; ++s)
-                r.wire(s).loss(0.1);
+                r.wire(s).set_connection_loss(0.1);
         }
     }
     const int status = r.wait(*controller, most_s);
@@ -93,8 +93,8 @@
         auto controller = r.start(plan);
         const double at = 0.1 + 7.0 * (random() / 4294967296.0);
         r.run(at);
-        const bool running = controller->running();
-        controller->signal(SIGKILL);
+        const bool running = controller->is_running();
+        controller->send_signal(SIGKILL);
         r.wait(*controller, 10.0);
         const std::string mixed = r.astray(plan, false);
         auto again = r.start(plan);
--- a/tests/cressledge/rollout_test.cpp
+++ b/tests/cressledge/rollout_test.cpp
@@ -122,16 +122,16 @@
                              [&](const auto& p) { return p["program"] != fixture.scene.program; });
     };
     fixture.test_loop.run_until([&] { return updated_count() >= 1; });
-    controller->signal(SIGKILL);
+    controller->send_signal(SIGKILL);
     CHECK(fixture.testbed->wait(*controller, 10.0) == -1);
     CHECK(fixture.testbed->astray(plan, false).empty());
     CHECK(fixture.run_rollout(second) == 3);
     // Of the calls of the controller.
-    fixture.testbed->wire(0).loss(0.3);
+    fixture.testbed->wire(0).set_connection_loss(0.3);
     CHECK(fixture.run_rollout(plan) == 0);
     CHECK(updated_count() == 6);
     CHECK(fixture.testbed->astray(plan, true).empty());
-    fixture.testbed->wire(0).loss(0.0);
+    fixture.testbed->wire(0).set_connection_loss(0.0);
     CHECK(fixture.run_rollout(second) == 0);
     CHECK(fixture.testbed->settle(20.0) == "");
 }
--- a/tests/cressledge/slow_start_test.cpp
+++ b/tests/cressledge/slow_start_test.cpp
@@ -243,26 +243,26 @@
     settings.calls_per_s = 40.0;
     settings.warm_up_time = Duration(6'000'000);
     settings.assumed_processes = 35.0;
-    fault_injection::Plan plan;
-    plan.program = CRESSLEDGE_PROGRAM;
-    plan.folder = directory;
-    plan.doors = true;
-    plan.servers = inventory(3);
-    plan.general =
+    fault_injection::ClusterSpec spec;
+    spec.program = CRESSLEDGE_PROGRAM;
+    spec.directory = directory;
+    spec.has_known_http_ports = true;
+    spec.inventory = inventory(3);
+    spec.operator_settings =
         "cores: 64\nstop_ms: 2500\nconnections: 64\nadmission: {descriptors: 256}\n"
         "routing: {probes: false, watch_ms: 0, members: {slow_start_ms: 6000}, slow_start: {calls_per_s: 40, "
         "peers: 35}}\n"
         "classes:\n  - {name: sheet, effect: safe, target_ms: 2900, deadline_ms: 8800}\n";
-    fault_injection::ProcessCluster cluster(loop.loop, loop.timers, plan);
+    fault_injection::ProcessCluster cluster(loop.loop, loop.timers, spec);
     for (std::size_t i = 0; i < 30; ++i)
         cluster.add(i == 0 ? std::vector<std::size_t>{} : std::vector<std::size_t>{0});
-    REQUIRE(cluster.agreed(Duration(40'000'000)));
+    REQUIRE(cluster.wait_for_agreement(Duration(40'000'000)));
     load_generator::Driver driver(loop.loop, loop.timers,
                                   load_generator::Arrivals(400.0, 1, {{"sheet", 1.0, false}}, 5));
     const auto update_targets = [&] {
         std::vector<net::Address> addresses;
-        for (const std::size_t process : cluster.all_running())
-            addresses.push_back(*net::Address::parse(membership::to_string(cluster.door(process))));
+        for (const std::size_t process : cluster.running_processes())
+            addresses.push_back(*net::Address::parse(membership::to_string(cluster.http_endpoint(process))));
         driver.doors(addresses);
     };
     update_targets();
@@ -273,8 +273,8 @@
     // The fourth host is announced to all at once.
     std::ofstream(directory + "/servers.csv") << inventory(4);
     const Timestamp announced_at = wall_clock_now();
-    for (const std::size_t process : cluster.all_running())
-        cluster.signal(process, SIGHUP);
+    for (const std::size_t process : cluster.running_processes())
+        cluster.send_signal(process, SIGHUP);
     std::vector<Timestamp> calls;
     const auto count_calls_for = [&](Duration length) {
         for (const Timestamp end = wall_clock_now() + length; wall_clock_now() < end;) {
@@ -285,13 +285,13 @@
     };
     count_calls_for(Duration(1'500'000));
     for (const std::size_t process : {7U, 8U, 9U})
-        cluster.signal(process, SIGKILL);
+        cluster.send_signal(process, SIGKILL);
     update_targets();
     count_calls_for(Duration(1'000'000));
     std::set<std::string> half;
     for (std::size_t i = 0; i < 15; ++i)
         half.insert(cluster.id(i));
-    cluster.relay().part(half);
+    cluster.relay().partition(half);
     count_calls_for(Duration(1'500'000));
     cluster.relay().heal();
     // They know of no other process yet.
--- a/tools/experiment/rollout_testbed.cpp
+++ b/tools/experiment/rollout_testbed.cpp
@@ -73,7 +73,7 @@
                 << "  - {name: route-profile, effect: safe, worth: 2, target_ms: 1500, deadline_ms: 3500}\n"
                 << "  - {name: map-order, effect: unsafe, worth: 5, target_ms: 3500, deadline_ms: 12000}\n";
         }
-        wires_.push_back(std::make_unique<fault_injection::Wire>(
+        wires_.push_back(std::make_unique<fault_injection::FaultyLink>(
             loop, timers, *net::Address::parse(controls_[s]), scene.seed + s));
     }
 }
@@ -82,10 +82,10 @@
     timers_.cancel(watch_);
     // The supervisors end their processes themselves, if they are told and not killed.
     for (const auto& c : children_)
-        c->signal(SIGTERM);
+        c->send_signal(SIGTERM);
     const Timestamp end = loop_.unix_now() + span(15.0);
     while (loop_.unix_now() < end &&
-           std::any_of(children_.begin(), children_.end(), [](const auto& c) { return c->running(); }))
+           std::any_of(children_.begin(), children_.end(), [](const auto& c) { return c->is_running(); }))
         run(0.05);
 }
 
@@ -114,7 +114,7 @@
 
 void RolloutTestbed::up() {
     for (std::size_t s = 0; s < scene_.supervisors; ++s)
-        children_.push_back(std::make_unique<fault_injection::Child>(
+        children_.push_back(std::make_unique<fault_injection::ChildProcess>(
             loop_,
             std::vector<std::string>{scene_.program, "supervise",
                                      file("supervisor" + std::to_string(s) + ".yaml")},
@@ -191,20 +191,20 @@
     return path;
 }
 
-std::unique_ptr<fault_injection::Child> RolloutTestbed::start(const std::string& plan) {
+std::unique_ptr<fault_injection::ChildProcess> RolloutTestbed::start(const std::string& plan) {
     const std::string stem = plan.substr(0, plan.size() - std::string(".roll.yaml").size());
-    return std::make_unique<fault_injection::Child>(
+    return std::make_unique<fault_injection::ChildProcess>(
         loop_,
         std::vector<std::string>{scene_.program, "roll", plan, "--state", stem + ".state", "--report",
                                  stem + ".json"},
         stem + ".log");
 }
 
-int RolloutTestbed::wait(fault_injection::Child& controller, double most_s) {
+int RolloutTestbed::wait(fault_injection::ChildProcess& controller, double most_s) {
     const Timestamp end = loop_.unix_now() + span(most_s);
-    while (controller.running() && loop_.unix_now() < end)
+    while (controller.is_running() && loop_.unix_now() < end)
         run(0.02);
-    return controller.running() ? -2 : controller.status();
+    return controller.is_running() ? -2 : controller.exit_status();
 }
 
 json RolloutTestbed::report(const std::string& plan) const {
--- a/tools/experiment/rollout_testbed.hpp
+++ b/tools/experiment/rollout_testbed.hpp
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "fake_upstream/fleet.hpp"
-#include "fault_injection/child.hpp"
-#include "fault_injection/wire.hpp"
+#include "fault_injection/child_process.hpp"
+#include "fault_injection/faulty_link.hpp"
 #include "load_generator/driver.hpp"
 #include "net/http_client.hpp"
 #include "rollout/rollout_state_machine.hpp"
@@ -48,8 +48,8 @@
     // Writes a plan; its path. `change` as in the plan's file.
     std::string plan(const std::string& name, const std::string& change);
     // A controller at work on a plan, and until it has ended; its status, -1: by a signal, -2: not within `most_s`.
-    std::unique_ptr<fault_injection::Child> start(const std::string& plan);
-    int wait(fault_injection::Child& controller, double most_s);
+    std::unique_ptr<fault_injection::ChildProcess> start(const std::string& plan);
+    int wait(fault_injection::ChildProcess& controller, double most_s);
     nlohmann::json report(const std::string& plan) const;  // null: there is none
 
     std::vector<nlohmann::json> processes();  // of every supervisor that answers
@@ -59,7 +59,7 @@
 
     load_generator::Driver& driver() { return *driver_; }
     fake_upstream::Fleet& servers() { return *servers_; }
-    fault_injection::Wire& wire(std::size_t supervisor) { return *wires_[supervisor]; }
+    fault_injection::FaultyLink& wire(std::size_t supervisor) { return *wires_[supervisor]; }
     // Whether every request had one answer: nothing lost, nothing doubled, nothing open. Stops the load.
     std::string settle(double most_s);
     double met() const;  // share of the requests that processes of another program than the first answered
@@ -74,9 +74,9 @@
     const Scene scene_;
     net::HttpClient asks_;
     std::unique_ptr<fake_upstream::Fleet> servers_;
-    std::vector<std::unique_ptr<fault_injection::Child>> children_;
+    std::vector<std::unique_ptr<fault_injection::ChildProcess>> children_;
     std::vector<std::string> controls_;  // of the supervisors themselves
-    std::vector<std::unique_ptr<fault_injection::Wire>> wires_;  // as controllers reach them
+    std::vector<std::unique_ptr<fault_injection::FaultyLink>> wires_;  // as controllers reach them
     std::unique_ptr<load_generator::Driver> driver_;
     std::vector<std::string> ids_;  // by door
     std::set<std::string> others_;  // processes of another program, as last seen
--- a/tools/experiment/trial.cpp
+++ b/tools/experiment/trial.cpp
@@ -72,7 +72,7 @@
             add();
         settle();
         if (e_.gossip_loss > 0.0)
-            cluster_.relay().harm({e_.gossip_loss, 0.0, Duration(0), Duration(0)});
+            cluster_.relay().set_faults({e_.gossip_loss, 0.0, Duration(0), Duration(0)});
         doors();
         driver_.start();
         wait(e_.warm_up_s, "warming up");
@@ -81,10 +81,10 @@
         std::vector<base::TimerQueue::Handle> handles;
         for (const emulator::Trouble& t : e_.troubles)
             handles.push_back(timers_.schedule(loop_.unix_now() + span(t.at_s), [this, &t] { meet(t); }));
-        const auto probes_before = cluster_.sum("upstream.load_probes");
+        const auto probes_before = cluster_.metric_sum("upstream.load_probes");
         wait(e_.seconds, "measuring");
         servers_.ask({{"do", "observe"}, {"on", false}});
-        const auto probes = cluster_.sum("upstream.load_probes") - probes_before;
+        const auto probes = cluster_.metric_sum("upstream.load_probes") - probes_before;
         driver_.stop();
         const Timestamp end = loop_.unix_now() + span(drain_s);
         while (driver_.open() > 0 && loop_.unix_now() < end)
@@ -115,20 +115,20 @@
     }
 
 private:
-    fault_injection::Plan plan() {
-        fault_injection::Plan p;
+    fault_injection::ClusterSpec plan() {
+        fault_injection::ClusterSpec p;
         p.program = where_.program;
-        p.folder = where_.folder;
+        p.directory = where_.folder;
         p.fleet = "lab";
         p.probe_ms = 500;
         p.seed = e_.seed;
-        p.relay = e_.gossip_loss > 0.0;
-        p.doors = true;
-        p.general = general_settings(e_);
-        p.servers = "name,address,protocol,group,weight\n";
+        p.has_relay = e_.gossip_loss > 0.0;
+        p.has_known_http_ports = true;
+        p.operator_settings = general_settings(e_);
+        p.inventory = "name,address,protocol,group,weight\n";
         for (std::size_t i = 0; i < e_.servers; ++i)
-            p.servers += "s" + std::to_string(i) + ',' + servers_.addresses()[i] + ",http,maps," +
-                         std::to_string(e_.capacities[i % e_.capacities.size()]) + '\n';
+            p.inventory += "s" + std::to_string(i) + ',' + servers_.addresses()[i] + ",http,maps," +
+                           std::to_string(e_.capacities[i % e_.capacities.size()]) + '\n';
         return p;
     }
     void add() {
@@ -138,13 +138,13 @@
         cluster_.add(at);
     }
     void settle() {
-        if (!cluster_.agreed(span(60.0)))
+        if (!cluster_.wait_for_agreement(span(60.0)))
             throw std::runtime_error("the processes do not see each other within a minute");
     }
     void doors() {
         std::vector<net::Address> all;
-        for (const std::size_t no : cluster_.all_running())
-            all.push_back(gossip::to_address(cluster_.door(no)));
+        for (const std::size_t no : cluster_.running_processes())
+            all.push_back(gossip::to_address(cluster_.http_endpoint(no)));
         driver_.doors(std::move(all));
     }
     void wait(double seconds, const char* what) {
@@ -175,14 +175,14 @@
             case T::restart_servers:
                 return servers_.tell({{"do", "restart"}, {"servers", t.servers}, {"for_s", t.for_s}});
             case T::restart_processes:
-                for (const std::size_t no : cluster_.all_running())
+                for (const std::size_t no : cluster_.running_processes())
                     cluster_.restart(no);
                 return;
             case T::processes: {
-                const auto running = cluster_.all_running();
+                const auto running = cluster_.running_processes();
                 const auto want = static_cast<std::size_t>(t.by);
                 for (std::size_t i = want; i < running.size(); ++i)
-                    cluster_.signal(running[i], SIGTERM);
+                    cluster_.send_signal(running[i], SIGTERM);
                 for (std::size_t i = running.size(); i < want; ++i)
                     add();
                 return doors();
--- a/tools/fault_injection/faulty_main.cpp
+++ b/tools/fault_injection/faulty_main.cpp
@@ -1,11 +1,12 @@
-// The program with one fault, for rollout tests on a real fleet. Which one is the last word of the name it is started by:
+// The program with one fault, for rollout tests on a real fleet. What follows the last "-" in the name it is started by
+// chooses the fault:
 //
 //   ...-tail       3% of the answers take 1.5 s longer
 //   ...-errors     2% of the requests of route-profile fail
 //   ...-crash      it ends by itself after $FAULT_CRASH_MS (30 s)
-//   ...-refusals   it takes on as much as one core does, whatever the file says
+//   ...-refusals   it admits as much as one core can run, whatever the file says
 //   ...-never      it never becomes ready
-//   ...-none       nothing: another program that does as well
+//   ...-none       no fault: another program that works as well
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -25,74 +26,120 @@
 
 using namespace cressledge;
 
-class Fault final : public request::Executor {
+constexpr std::uint32_t failing_percent = 2, delayed_percent = 3;
+constexpr base::Duration tail_delay{1'500'000};
+constexpr const char* default_crash_ms = "30000";
+
+/// Runs work with the real executor, with a fault of some of it.
+class FaultyExecutor final : public request::Executor {
 public:
-    Fault(std::string what, net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server,
-          request::Executor& inner)
-        : what_(std::move(what)),
+    FaultyExecutor(std::string fault, net::Loop& loop, base::TimerQueue& timers,
+                   request::RequestManager& request_manager, request::Executor& inner)
+        : fault_(std::move(fault)),
           loop_(loop),
           timers_(timers),
-          server_(server),
+          request_manager_(request_manager),
           inner_(inner),
           random_(std::random_device{}()) {}
-    void run(const request::Work& w) override {
-        if (what_ == "errors" && w.class_name == "route-profile" && random_(100) < 2) {
-            timers_.schedule(base::Timestamp(0), [this, no = w.request_id] {
-                server_.run_finished(no, request::RunResult::failed, {});
+    void run(const request::Work& work) override {
+        if (fault_ == "errors" && work.class_name == "route-profile" && random_(100) < failing_percent) {
+            timers_.schedule(base::Timestamp(0), [this, id = work.request_id] {
+                request_manager_.run_finished(id, request::RunResult::failed, {});
             });
             return;
         }
-        if (what_ != "tail" || random_(100) >= 3)
-            return inner_.run(w);
-        struct Late {
-            std::string name, kind, body, key;
-        };
-        auto late = std::make_shared<Late>(Late{std::string(w.external_id), std::string(w.class_name),
-                                                std::string(w.body), std::string(w.affinity_key)});
-        request::Work later = w;
-        later.external_id = late->name, later.class_name = late->kind, later.body = late->body,
-        later.affinity_key = late->key;
-        waiting_[w.request_id] =
-            timers_.schedule(loop_.unix_now() + base::Duration(1'500'000), [this, late, later] {
-                waiting_.erase(later.request_id);
-                inner_.run(later);
-            });
+        if (fault_ != "tail" || random_(100) >= delayed_percent)
+            return inner_.run(work);
+        run_delayed(work);
     }
-    void suspend(request::RequestId no) override {
-        if (forget(no))
-            return server_.run_finished(no, request::RunResult::killed, {});
-        inner_.suspend(no);
+    void suspend(request::RequestId id) override {
+        if (cancel_delayed(id))
+            return request_manager_.run_finished(id, request::RunResult::killed, {});
+        inner_.suspend(id);
     }
-    void resume(request::RequestId no) override { inner_.resume(no); }
-    void deliver_call_reply(request::RequestId no, std::string_view reply) override {
-        inner_.deliver_call_reply(no, reply);
+    void resume(request::RequestId id) override { inner_.resume(id); }
+    void deliver_call_reply(request::RequestId id, std::string_view reply) override {
+        inner_.deliver_call_reply(id, reply);
     }
-    void skip_call(request::RequestId no, std::uint64_t notice) override { inner_.skip_call(no, notice); }
+    void skip_call(request::RequestId id, std::uint64_t notice) override { inner_.skip_call(id, notice); }
     bool request_gauges(std::uint64_t tag) override { return inner_.request_gauges(tag); }
     bool request_health_check(std::uint64_t tag) override { return inner_.request_health_check(tag); }
-    void release(request::RequestId no) override {
-        if (!forget(no))
-            inner_.release(no);
+    void release(request::RequestId id) override {
+        if (!cancel_delayed(id))
+            inner_.release(id);
     }
 
 private:
-    bool forget(request::RequestId no) {
-        const auto it = waiting_.find(no);
-        if (it == waiting_.end())
+    /// Owns the strings that a request::Work only refers to.
+    struct WorkStrings {
+        std::string external_id, class_name, body, affinity_key;
+    };
+    void run_delayed(const request::Work& work) {
+        auto strings = std::make_shared<WorkStrings>(
+            WorkStrings{std::string(work.external_id), std::string(work.class_name), std::string(work.body),
+                        std::string(work.affinity_key)});
+        request::Work delayed = work;
+        delayed.external_id = strings->external_id;
+        delayed.class_name = strings->class_name;
+        delayed.body = strings->body;
+        delayed.affinity_key = strings->affinity_key;
+        delay_timers_[work.request_id] =
+            timers_.schedule(loop_.unix_now() + tail_delay, [this, strings, delayed] {
+                delay_timers_.erase(delayed.request_id);
+                inner_.run(delayed);
+            });
+    }
+    bool cancel_delayed(request::RequestId id) {
+        const auto it = delay_timers_.find(id);
+        if (it == delay_timers_.end())
             return false;
         timers_.cancel(it->second);
-        waiting_.erase(it);
+        delay_timers_.erase(it);
         return true;
     }
-    const std::string what_;
+
+    const std::string fault_;
     net::Loop& loop_;
     base::TimerQueue& timers_;
-    request::RequestManager& server_;
+    request::RequestManager& request_manager_;
     request::Executor& inner_;
     pcg32 random_;
-    std::map<request::RequestId, base::TimerQueue::Handle> waiting_;
+    std::map<request::RequestId, base::TimerQueue::Handle> delay_timers_;
 };
 
+/// The part of the program's name after the last "-".
+std::string fault_of(const char* program) {
+    const std::string name = std::filesystem::path(program).filename();
+    return name.substr(name.rfind('-') + 1);
+}
+
+void serve(const std::string& fault, const std::string& operator_file) {
+    config::OperatorConfig settings = config::load_operator_config(operator_file);
+    settings.inherited_sockets = config::inherited_sockets();
+    if (fault == "refusals")
+        settings.policy_settings.cores = 1;
+    base::TimerQueue timers;
+    net::Loop loop(timers);
+    if (fault == "never") {
+        loop.on_signal(SIGTERM, [&loop] { loop.stop(); });
+        loop.run();
+        return;
+    }
+    upstream::UpstreamGateway gateway(
+        loop, timers, loop, settings, std::random_device()(),
+        [&](request::RequestManager& request_manager, request::Executor& inner) {
+            return std::make_unique<FaultyExecutor>(fault, loop, timers, request_manager, inner);
+        });
+    gateway.start();
+    if (fault == "crash") {
+        const char* crash_ms = std::getenv("FAULT_CRASH_MS");
+        const base::Duration uptime(std::atoll(crash_ms != nullptr ? crash_ms : default_crash_ms) * 1000);
+        timers.schedule(loop.unix_now() + uptime, [] { std::abort(); });
+    }
+    loop.run();
+    gateway.save_learned_state();
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -101,32 +148,7 @@
     try {
         if (argc != 4)
             throw std::runtime_error("serve --operator FILE");
-        const std::string name = std::filesystem::path(argv[0]).filename(),
-                          what = name.substr(name.rfind('-') + 1);
-        config::OperatorConfig settings = config::load_operator_config(argv[3]);
-        settings.inherited_sockets = config::inherited_sockets();
-        if (what == "refusals")
-            settings.policy_settings.cores = 1;
-        base::TimerQueue timers;
-        net::Loop loop(timers);
-        if (what == "never") {
-            loop.on_signal(SIGTERM, [&loop] { loop.stop(); });
-            loop.run();
-            return 0;
-        }
-        upstream::UpstreamGateway gateway(loop, timers, loop, settings, std::random_device()(),
-                                          [&](request::RequestManager& server, request::Executor& inner) {
-                                              return std::make_unique<Fault>(what, loop, timers, server,
-                                                                             inner);
-                                          });
-        gateway.start();
-        const char* crash_ms = std::getenv("FAULT_CRASH_MS");
-        if (what == "crash")
-            timers.schedule(
-                loop.unix_now() + base::Duration(std::atoll(crash_ms != nullptr ? crash_ms : "30000") * 1000),
-                [] { std::abort(); });
-        loop.run();
-        gateway.save_learned_state();
+        serve(fault_of(argv[0]), argv[3]);
         return 0;
     } catch (const std::exception& e) {
         std::cerr << "faulty: " << e.what() << '\n';
--- a/tools/fault_injection/process_cluster.cpp
+++ b/tools/fault_injection/process_cluster.cpp
@@ -1,6 +1,5 @@
 #include "fault_injection/process_cluster.hpp"
 
-#include <fcntl.h>
 #include <signal.h>
 #include <spdlog/fmt/fmt.h>
 #include <sys/socket.h>
@@ -11,40 +10,27 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
+#include "fault_injection/child_process.hpp"
 #include "gossip/transport.hpp"
 
 namespace cressledge::fault_injection {
 namespace {
 
-constexpr Duration answer_within{2'000'000}, look_every{50'000};
+constexpr Duration request_timeout{2'000'000}, poll_interval{50'000};
 
-// 127.x.y.z, one for each use of each process, and others for rigs that run beside this one: a port that was free a
-// moment ago is taken by nobody else.
-std::uint32_t loopback(std::size_t no, std::uint32_t use) {
-    const std::uint32_t second = 1 + 4 * (static_cast<std::uint32_t>(::getpid()) % 60) + use;
-    return 0x7F000000U | second << 16U | static_cast<std::uint32_t>(no / 250) << 8U |
-           static_cast<std::uint32_t>(no % 250 + 1);
-}
-
-}  // namespace
+/// What a loopback address of a process is for.
+enum class AddressUse : std::uint32_t { gossip, admin, http, relay };
 
-ProcessCluster::ProcessCluster(net::Loop& loop, base::TimerQueue& timers, const Plan& plan)
-    : loop_(loop), timers_(timers), plan_(plan), asks_(loop, timers) {
-    if (plan.relay)
-        relay_ = std::make_unique<Relay>(loop, timers, plan.fleet, plan.seed);
-    std::ofstream(plan_.folder + "/servers.csv") << plan_.servers;
+/// 127.x.y.z, one for each use of each process, and others for testbeds that run beside this one: a port that was free
+/// a moment ago is taken by nobody else.
+std::uint32_t loopback_ip(std::size_t index, AddressUse use) {
+    const std::uint32_t second =
+        1 + 4 * (static_cast<std::uint32_t>(::getpid()) % 60) + static_cast<std::uint32_t>(use);
+    return 0x7F000000U | second << 16U | static_cast<std::uint32_t>(index / 250) << 8U |
+           static_cast<std::uint32_t>(index % 250 + 1);
 }
 
-ProcessCluster::~ProcessCluster() {
-    for (std::size_t no = 0; no < members_.size(); ++no) {
-        members_[no]->again = false;
-        signal(no, SIGKILL);
-    }
-    while (alive_ > 0)
-        loop_.run_once(true);
-}
-
-membership::Endpoint ProcessCluster::free_place(std::uint32_t ip) const {
+membership::Endpoint free_endpoint(std::uint32_t ip) {
     const net::Address any = gossip::to_address({ip, 0});
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in name{};
@@ -59,192 +45,209 @@
     return {ip, ntohs(name.sin_port)};
 }
 
-void ProcessCluster::write_file(Member& m, const std::vector<std::size_t>& seeds) {
-    std::string list;
-    for (const std::size_t s : seeds)
-        list += (list.empty() ? "\"" : ", \"") + membership::to_string(members_[s]->place) + '"';
-    std::ofstream(m.file) << "listen: {http: \"" << membership::to_string(m.web) << "\", control: \""
-                          << membership::to_string(m.control) << "\"}\ninventory: servers.csv\n"
-                          << plan_.general << "fleet:\n  name: " << plan_.fleet << "\n  id: " << m.id
-                          << "\n  gossip: " << membership::to_string(m.own)
-                          << "\n  advertise: " << membership::to_string(m.place) << "\n  seeds: [" << list
-                          << "]\n  probe_ms: " << plan_.probe_ms << '\n'
-                          << plan_.more;
+/// When each observer was first seen to report the expected view.
+struct ViewPolls {
+    std::vector<std::optional<Timestamp>> seen_at;
+    std::vector<bool> is_pending;
+    std::size_t missing = 0;
+};
+
+}  // namespace
+
+/// The handle of a child, which frees itself once it is closed.
+struct ProcessCluster::Child {
+    uv_process_t handle{};
+    ProcessCluster* cluster = nullptr;
+
+    static void close(uv_process_t* process) {
+        uv_close(reinterpret_cast<uv_handle_t*>(process),
+                 [](uv_handle_t* handle) { delete static_cast<Child*>(handle->data); });
+    }
+};
+
+ProcessCluster::ProcessCluster(net::Loop& loop, base::TimerQueue& timers, const ClusterSpec& spec)
+    : loop_(loop), timers_(timers), spec_(spec), http_client_(loop, timers) {
+    if (spec.has_relay)
+        relay_ = std::make_unique<Relay>(loop, timers, spec.fleet, spec.seed);
+    std::ofstream(spec_.directory + "/servers.csv") << spec_.inventory;
+}
+
+ProcessCluster::~ProcessCluster() {
+    for (std::size_t index = 0; index < members_.size(); ++index) {
+        members_[index]->must_restart = false;
+        send_signal(index, SIGKILL);
+    }
+    while (unreaped_ > 0)
+        loop_.run_once(true);
+}
+
+void ProcessCluster::write_operator_file(const Member& member, const std::vector<std::size_t>& seeds) const {
+    std::string seed_list;
+    for (const std::size_t seed : seeds)
+        seed_list +=
+            (seed_list.empty() ? "\"" : ", \"") + membership::to_string(members_[seed]->advertised) + '"';
+    std::ofstream(member.operator_file)
+        << "listen: {http: \"" << membership::to_string(member.http) << "\", control: \""
+        << membership::to_string(member.admin) << "\"}\ninventory: servers.csv\n"
+        << spec_.operator_settings << "fleet:\n  name: " << spec_.fleet << "\n  id: " << member.id
+        << "\n  gossip: " << membership::to_string(member.bound)
+        << "\n  advertise: " << membership::to_string(member.advertised) << "\n  seeds: [" << seed_list
+        << "]\n  probe_ms: " << spec_.probe_ms << '\n'
+        << spec_.extra_fleet_settings;
 }
 
 std::size_t ProcessCluster::add(const std::vector<std::size_t>& seeds) {
-    const std::size_t no = members_.size();
-    auto m = std::make_unique<Member>();
-    m->id = "n" + std::to_string(no);
-    m->own = free_place(loopback(no, 0));
-    m->control = free_place(loopback(no, 1));
-    m->web = plan_.doors ? free_place(loopback(no, 2)) : membership::Endpoint{loopback(no, 2), 0};
-    m->place = relay_ ? relay_->add(m->id, m->own, loopback(no, 3)) : m->own;
-    m->file = plan_.folder + '/' + m->id + ".yaml";
-    members_.push_back(std::move(m));
-    write_file(*members_[no], seeds);
-    start(no);
-    return no;
-}
-
-void ProcessCluster::start(std::size_t no) {
-    Member& m = *members_[no];
-    struct Child {
-        uv_process_t handle{};
-        ProcessCluster* cluster = nullptr;
-    };
+    const std::size_t index = members_.size();
+    auto member = std::make_unique<Member>();
+    member->id = "n" + std::to_string(index);
+    member->bound = free_endpoint(loopback_ip(index, AddressUse::gossip));
+    member->admin = free_endpoint(loopback_ip(index, AddressUse::admin));
+    const std::uint32_t http_ip = loopback_ip(index, AddressUse::http);
+    member->http = spec_.has_known_http_ports ? free_endpoint(http_ip) : membership::Endpoint{http_ip, 0};
+    member->advertised = relay_
+                             ? relay_->add(member->id, member->bound, loopback_ip(index, AddressUse::relay))
+                             : member->bound;
+    member->operator_file = spec_.directory + '/' + member->id + ".yaml";
+    members_.push_back(std::move(member));
+    write_operator_file(*members_[index], seeds);
+    start(index);
+    return index;
+}
+
+void ProcessCluster::start(std::size_t index) {
+    Member& member = *members_[index];
     auto* child = new Child;
     child->cluster = this;
     child->handle.data = child;
-    const int log =
-        ::open((plan_.folder + '/' + m.id + ".log").c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-    uv_stdio_container_t io[3]{};
-    io[1].flags = io[2].flags = UV_INHERIT_FD;
-    io[1].data.fd = io[2].data.fd = log;
-    std::string serve = "serve", option = "--operator";
-    char* argv[] = {const_cast<char*>(plan_.program.c_str()), serve.data(), option.data(), m.file.data(),
-                    nullptr};
-    uv_process_options_t options{};
-    options.file = plan_.program.c_str();
-    options.args = argv;
-    options.stdio = io;
-    options.stdio_count = 3;
-    options.exit_cb = [](uv_process_t* p, std::int64_t, int) {
-        const auto* c = static_cast<Child*>(p->data);
-        c->cluster->ended(p->pid);
-        uv_close(reinterpret_cast<uv_handle_t*>(p),
-                 [](uv_handle_t* h) { delete static_cast<Child*>(h->data); });
-    };
-    const int bad = uv_spawn(loop_.uv(), &child->handle, &options);
-    if (log >= 0)
-        ::close(log);
-    if (bad != 0) {
-        uv_close(reinterpret_cast<uv_handle_t*>(&child->handle),
-                 [](uv_handle_t* h) { delete static_cast<Child*>(h->data); });
-        throw std::runtime_error(plan_.program + ": " + uv_strerror(bad));
+    const int error = spawn_with_log(
+        loop_.uv(), child->handle, {spec_.program, "serve", "--operator", member.operator_file},
+        spec_.directory + '/' + member.id + ".log", [](uv_process_t* process, std::int64_t, int) {
+            static_cast<Child*>(process->data)->cluster->on_exit(process->pid);
+            Child::close(process);
+        });
+    if (error != 0) {
+        Child::close(&child->handle);
+        throw std::runtime_error(spec_.program + ": " + uv_strerror(error));
     }
-    m.pid = child->handle.pid;
-    m.running = true;
-    m.expected_to_end = false;
-    ++alive_;
+    member.pid = child->handle.pid;
+    member.is_running = true;
+    member.is_expected_to_end = false;
+    ++unreaped_;
 }
 
-void ProcessCluster::ended(pid_t pid) {
-    --alive_;
-    for (std::size_t no = 0; no < members_.size(); ++no) {
-        Member& m = *members_[no];
-        if (m.pid != pid)
+void ProcessCluster::on_exit(pid_t pid) {
+    --unreaped_;
+    for (std::size_t index = 0; index < members_.size(); ++index) {
+        Member& member = *members_[index];
+        if (member.pid != pid)
             continue;
-        m.running = false;
-        m.pid = 0;
-        crashes_ += m.expected_to_end ? 0 : 1;
-        if (std::exchange(m.again, false))
-            start(no);
+        member.is_running = false;
+        member.pid = 0;
+        crashes_ += member.is_expected_to_end ? 0 : 1;
+        if (std::exchange(member.must_restart, false))
+            start(index);
     }
 }
 
-void ProcessCluster::restart(std::size_t no) {
-    members_[no]->again = members_[no]->pid != 0;
-    signal(no, SIGKILL);
+void ProcessCluster::restart(std::size_t index) {
+    members_[index]->must_restart = members_[index]->pid != 0;
+    send_signal(index, SIGKILL);
 }
 
-void ProcessCluster::signal(std::size_t no, int signal) {
-    Member& m = *members_[no];
-    if (m.pid == 0)
+void ProcessCluster::send_signal(std::size_t index, int signal) {
+    Member& member = *members_[index];
+    if (member.pid == 0)
         return;
     if (signal == SIGKILL || signal == SIGTERM) {
-        m.expected_to_end = true;
-        m.running = false;
+        member.is_expected_to_end = true;
+        member.is_running = false;
     }
-    ::kill(m.pid, signal);
+    ::kill(member.pid, signal);
 }
 
-void ProcessCluster::ask(std::size_t no, const std::string& path,
-                         std::function<void(const std::string&)> told) {
-    asks_.get(gossip::to_address(members_[no]->control), path, loop_.unix_now() + answer_within,
-              [told = std::move(told)](const net::HttpClient::Response& r) {
-                  told(r.status == 200 ? r.body : std::string());
-              });
+void ProcessCluster::get(std::size_t index, const std::string& path,
+                         std::function<void(const std::string&)> on_reply) {
+    http_client_.get(gossip::to_address(members_[index]->admin), path, loop_.unix_now() + request_timeout,
+                     [on_reply = std::move(on_reply)](const net::HttpClient::Response& response) {
+                         on_reply(response.status == 200 ? response.body : std::string());
+                     });
 }
 
-std::vector<std::size_t> ProcessCluster::all_running() const {
-    std::vector<std::size_t> all;
-    for (std::size_t no = 0; no < members_.size(); ++no)
-        if (members_[no]->running)
-            all.push_back(no);
-    return all;
+std::vector<std::size_t> ProcessCluster::running_processes() const {
+    std::vector<std::size_t> running;
+    for (std::size_t index = 0; index < members_.size(); ++index)
+        if (members_[index]->is_running)
+            running.push_back(index);
+    return running;
 }
 
 void ProcessCluster::run(Timestamp until) {
-    base::TimerQueue::Handle end = timers_.schedule(until, [] {});
+    base::TimerQueue::Handle wake_up = timers_.schedule(until, [] {});
     while (loop_.unix_now() < until)
         loop_.run_once(true);
-    timers_.cancel(end);
+    timers_.cancel(wake_up);
 }
 
-std::vector<std::optional<Timestamp>> ProcessCluster::until_seen(const std::vector<std::size_t>& whom,
-                                                                 const std::vector<std::size_t>& expected,
-                                                                 Timestamp bound) {
+std::vector<std::optional<Timestamp>> ProcessCluster::wait_for_view(const std::vector<std::size_t>& observers,
+                                                                    const std::vector<std::size_t>& expected,
+                                                                    Timestamp deadline) {
     std::uint64_t digest = 0;
-    for (const std::size_t no : expected)
-        digest += membership::MembershipTable::member_digest(members_[no]->id, members_[no]->place);
-    const std::string want = fmt::format("{:016x}", digest);
-    struct Looks {
-        std::vector<std::optional<Timestamp>> seen;
-        std::vector<bool> asking;
-        std::size_t missing = 0;
-    };
-    // Shared: an answer may come after this has returned.
-    auto looks = std::make_shared<Looks>();
-    looks->seen.resize(whom.size());
-    looks->asking.resize(whom.size());
-    looks->missing = whom.size();
-    while (looks->missing > 0 && loop_.unix_now() < bound) {
-        for (std::size_t i = 0; i < whom.size(); ++i) {
-            if (looks->seen[i] || looks->asking[i])
+    for (const std::size_t index : expected)
+        digest +=
+            membership::MembershipTable::member_digest(members_[index]->id, members_[index]->advertised);
+    const std::string expected_digest = fmt::format("{:016x}", digest);
+    // Shared: a reply may arrive after this has returned.
+    auto polls = std::make_shared<ViewPolls>();
+    polls->seen_at.resize(observers.size());
+    polls->is_pending.resize(observers.size());
+    polls->missing = observers.size();
+    while (polls->missing > 0 && loop_.unix_now() < deadline) {
+        for (std::size_t i = 0; i < observers.size(); ++i) {
+            if (polls->seen_at[i] || polls->is_pending[i])
                 continue;
-            looks->asking[i] = true;
-            ask(whom[i], "/v1/fleet?brief", [this, looks, i, want](const std::string& body) {
-                looks->asking[i] = false;
-                const auto j = nlohmann::json::parse(body, nullptr, false);
-                if (!j.is_object() || looks->seen[i] || j.value("digest", "") != want)
+            polls->is_pending[i] = true;
+            get(observers[i], "/v1/fleet?brief", [this, polls, i, expected_digest](const std::string& body) {
+                polls->is_pending[i] = false;
+                const auto view = nlohmann::json::parse(body, nullptr, false);
+                if (!view.is_object() || polls->seen_at[i] || view.value("digest", "") != expected_digest)
                     return;
-                looks->seen[i] = loop_.unix_now();
-                --looks->missing;
+                polls->seen_at[i] = loop_.unix_now();
+                --polls->missing;
             });
         }
-        run(std::min(bound, loop_.unix_now() + look_every));
+        run(std::min(deadline, loop_.unix_now() + poll_interval));
     }
-    return looks->seen;
+    return polls->seen_at;
 }
 
-bool ProcessCluster::agreed(Duration within) {
-    const auto all = all_running();
-    const auto seen = until_seen(all, all, loop_.unix_now() + within);
-    return std::all_of(seen.begin(), seen.end(), [](const auto& s) { return s.has_value(); });
+bool ProcessCluster::wait_for_agreement(Duration timeout) {
+    const auto running = running_processes();
+    const auto seen_at = wait_for_view(running, running, loop_.unix_now() + timeout);
+    return std::all_of(seen_at.begin(), seen_at.end(), [](const auto& at) { return at.has_value(); });
 }
 
-std::map<std::string, std::uint64_t> ProcessCluster::figures(std::size_t no) {
-    std::map<std::string, std::uint64_t> all;
-    auto done = std::make_shared<std::optional<std::string>>();
-    ask(no, "/v1/metrics", [done](const std::string& body) { *done = body; });
-    while (!*done)
+std::map<std::string, std::uint64_t> ProcessCluster::metrics(std::size_t index) {
+    auto reply = std::make_shared<std::optional<std::string>>();
+    get(index, "/v1/metrics", [reply](const std::string& body) { *reply = body; });
+    while (!*reply)
         loop_.run_once(true);
-    for (std::size_t at = 0; at < (*done)->size();) {
-        const std::size_t end = std::min((*done)->find('\n', at), (*done)->size());
-        const std::string line = (*done)->substr(at, end - at);
-        if (const std::size_t is = line.find('='); is != std::string::npos)
-            all[line.substr(0, is)] = std::strtoull(line.c_str() + is + 1, nullptr, 10);
-        at = end + 1;
+    const std::string& text = **reply;
+    std::map<std::string, std::uint64_t> metrics;
+    for (std::size_t begin = 0; begin < text.size();) {
+        const std::size_t end = std::min(text.find('\n', begin), text.size());
+        const std::string line = text.substr(begin, end - begin);
+        if (const std::size_t equals = line.find('='); equals != std::string::npos)
+            metrics[line.substr(0, equals)] = std::strtoull(line.c_str() + equals + 1, nullptr, 10);
+        begin = end + 1;
     }
-    return all;
+    return metrics;
 }
 
-std::uint64_t ProcessCluster::sum(const std::string& figure) {
-    std::uint64_t n = 0;
-    for (const std::size_t no : all_running())
-        n += figures(no)[figure];
-    return n;
+std::uint64_t ProcessCluster::metric_sum(const std::string& name) {
+    std::uint64_t sum = 0;
+    for (const std::size_t index : running_processes())
+        sum += metrics(index)[name];
+    return sum;
 }
 
 }  // namespace cressledge::fault_injection
--- a/tools/fault_injection/relay.cpp
+++ b/tools/fault_injection/relay.cpp
@@ -4,170 +4,189 @@
 
 namespace cressledge::fault_injection {
 
-// A connection through the relay: the accepted end, the dialled one, and what came before the link was known.
-class Relay::Pipe {
+/// A connection through the relay: the accepted side, the side to the receiver, and the bytes that arrived before the
+/// sender was known.
+class Relay::ProxiedConnection {
 public:
-    struct End final : net::Stream::Owner {
-        Pipe& pipe;
+    struct Side final : net::Stream::Owner {
+        ProxiedConnection& connection;
         net::Stream* stream = nullptr;
-        explicit End(Pipe& p) : pipe(p) {}
-        void on_open() override { pipe.opened(); }
-        void on_bytes(std::string_view b) override { pipe.came(*this, b); }
+        explicit Side(ProxiedConnection& owner) : connection(owner) {}
+        void on_open() override { connection.on_receiver_open(); }
+        void on_bytes(std::string_view bytes) override { connection.on_bytes(*this, bytes); }
         void on_end(bool) override {
             stream = nullptr;
-            pipe.relay.end(pipe.no);
+            connection.relay.close(connection.id);
         }
     };
-    Pipe(Relay& r, std::size_t t) : relay(r), to(t), near(*this), far(*this) {}
-    ~Pipe() {
-        for (End* e : {&near, &far})
-            if (e->stream != nullptr)
-                std::exchange(e->stream, nullptr)->close();
+    ProxiedConnection(Relay& owner, std::size_t to)
+        : relay(owner), receiver_index(to), sender(*this), receiver(*this) {}
+    ~ProxiedConnection() {
+        for (Side* side : {&sender, &receiver})
+            if (side->stream != nullptr)
+                std::exchange(side->stream, nullptr)->close();
     }
-    void opened() {
-        far_open = true;
-        if (!first.empty())
-            far.stream->write(first);
-        first.clear();
+    void on_receiver_open() {
+        is_receiver_open = true;
+        if (!pending.empty())
+            receiver.stream->write(pending);
+        pending.clear();
     }
-    void came(End& from, std::string_view bytes) {
-        if (&from == &far) {
-            if (near.stream == nullptr || !near.stream->write(bytes))
-                relay.end(no);
+    void on_bytes(Side& from, std::string_view bytes) {
+        if (&from == &receiver) {
+            if (sender.stream == nullptr || !sender.stream->write(bytes))
+                relay.close(id);
             return;
         }
-        if (far_open) {
-            far.stream->write(bytes);
+        if (is_receiver_open) {
+            receiver.stream->write(bytes);
             return;
         }
-        first.append(bytes);
-        if (far.stream != nullptr || first.size() < gossip::frame_header_bytes)
+        pending.append(bytes);
+        if (receiver.stream == nullptr)
+            connect_receiver();
+    }
+    /// Connects once the first message is complete, unless the link is cut or its sender unknown.
+    void connect_receiver() {
+        if (pending.size() < gossip::frame_header_bytes)
             return;
-        const std::size_t n = gossip::decode_frame_length(first);
-        if (first.size() < n + gossip::frame_header_bytes)
+        const std::size_t length = gossip::decode_frame_length(pending);
+        if (pending.size() < length + gossip::frame_header_bytes)
             return;
-        const auto m = membership::decode(std::string_view(first).substr(gossip::frame_header_bytes, n),
-                                          relay.fleet_, membership::max_exchange_bytes);
-        const auto* who = std::get_if<membership::Message>(&m);
-        const auto sender = who == nullptr ? relay.numbers_.end() : relay.numbers_.find(who->sender.id);
-        const bool through = sender != relay.numbers_.end() && relay.cuts_.count({sender->second, to}) == 0 &&
-                             relay.cuts_.count({to, sender->second}) == 0;
-        if (!through) {
-            ++relay.counts_.refused;
-            return relay.end(no);
+        if (!is_allowed(std::string_view(pending).substr(gossip::frame_header_bytes, length))) {
+            ++relay.counters_.rejected_connections;
+            return relay.close(id);
         }
-        ++relay.counts_.connections;
-        far.stream =
-            net::Stream::connect(relay.loop_.uv(), gossip::to_address(relay.processes_[to]->own), far);
-        if (far.stream == nullptr)
-            relay.end(no);
+        ++relay.counters_.forwarded_connections;
+        receiver.stream = net::Stream::connect(
+            relay.loop_.uv(), gossip::to_address(relay.processes_[receiver_index]->bound_endpoint), receiver);
+        if (receiver.stream == nullptr)
+            relay.close(id);
+    }
+    bool is_allowed(std::string_view first_message) const {
+        const auto decoded = membership::decode(first_message, relay.fleet_, membership::max_exchange_bytes);
+        const auto* message = std::get_if<membership::Message>(&decoded);
+        if (message == nullptr)
+            return false;
+        const auto it = relay.index_by_id_.find(message->sender.id);
+        return it != relay.index_by_id_.end() && !relay.is_cut({it->second, receiver_index}) &&
+               !relay.is_cut({receiver_index, it->second});
     }
 
     Relay& relay;
-    const std::size_t to;
-    base::SlotId no = 0;
-    End near, far;
-    std::string first;
-    bool far_open = false;
+    const std::size_t receiver_index;
+    base::SlotId id = 0;
+    Side sender, receiver;
+    std::string pending;
+    bool is_receiver_open = false;
 };
 
 Relay::Relay(net::Loop& loop, base::TimerQueue& timers, std::string fleet, std::uint64_t seed)
     : loop_(loop), timers_(timers), fleet_(std::move(fleet)), random_(seed) {}
 
 Relay::~Relay() {
-    for (base::TimerQueue::Handle h : delayed_)
-        timers_.cancel(h);
+    for (base::TimerQueue::Handle timer : delay_timers_)
+        timers_.cancel(timer);
 }
 
-membership::Endpoint Relay::add(const std::string& id, const membership::Endpoint& own, std::uint32_t ip) {
-    const std::size_t no = processes_.size();
-    auto p = std::make_unique<Process>();
-    p->id = id;
-    p->own = own;
-    gossip::GossipTransport port = gossip::open_transport(
-        loop_.uv(), {ip, 0}, [this, no](std::string_view b, const net::Address& from) { heard(no, b, from); },
-        [this, no] { accept(no); });
-    p->datagrams = std::move(port.datagrams);
-    p->listener = std::move(port.listener);
-    numbers_[id] = no;
-    owners_[own] = no;
-    processes_.push_back(std::move(p));
-    return port.local_endpoint;
+membership::Endpoint Relay::add(const std::string& id, const membership::Endpoint& bound_endpoint,
+                                std::uint32_t ip) {
+    const std::size_t index = processes_.size();
+    auto process = std::make_unique<Process>();
+    process->id = id;
+    process->bound_endpoint = bound_endpoint;
+    gossip::GossipTransport transport = gossip::open_transport(
+        loop_.uv(), {ip, 0},
+        [this, index](std::string_view bytes, const net::Address& from) { on_datagram(index, bytes, from); },
+        [this, index] { accept(index); });
+    process->datagrams = std::move(transport.datagrams);
+    process->listener = std::move(transport.listener);
+    index_by_id_[id] = index;
+    index_by_bound_endpoint_[bound_endpoint] = index;
+    processes_.push_back(std::move(process));
+    return transport.local_endpoint;
 }
 
-void Relay::harm(const Harm& all) {
-    all_ = all;
-    harms_.clear();
+void Relay::set_faults(const LinkFaults& faults) {
+    default_faults_ = faults;
+    faults_by_link_.clear();
 }
-void Relay::harm(const std::string& from, const std::string& to, const Harm& one) {
-    harms_[{number(from), number(to)}] = one;
+
+void Relay::set_faults(const std::string& from, const std::string& to, const LinkFaults& faults) {
+    faults_by_link_[{index_of(from), index_of(to)}] = faults;
 }
+
 void Relay::cut(const std::string& from, const std::string& to) {
-    cuts_.insert({number(from), number(to)});
+    cut_links_.insert({index_of(from), index_of(to)});
 }
-void Relay::part(const std::set<std::string>& some) {
+
+void Relay::partition(const std::set<std::string>& group) {
     for (std::size_t a = 0; a < processes_.size(); ++a)
         for (std::size_t b = 0; b < processes_.size(); ++b)
-            if (some.count(processes_[a]->id) != some.count(processes_[b]->id))
-                cuts_.insert({a, b});
+            if (group.count(processes_[a]->id) != group.count(processes_[b]->id))
+                cut_links_.insert({a, b});
 }
+
 void Relay::heal() {
-    cuts_.clear();
+    cut_links_.clear();
 }
 
-void Relay::heard(std::size_t to, std::string_view bytes, const net::Address& from) {
-    const auto sender = owners_.find(gossip::to_endpoint(from));
-    if (sender == owners_.end()) {
-        ++counts_.strangers;
+void Relay::on_datagram(std::size_t to, std::string_view bytes, const net::Address& from) {
+    const auto sender = index_by_bound_endpoint_.find(gossip::to_endpoint(from));
+    if (sender == index_by_bound_endpoint_.end()) {
+        ++counters_.unknown_senders;
         return;
     }
     const Link link{sender->second, to};
-    if (cuts_.count(link) != 0) {
-        ++counts_.cut;
+    if (is_cut(link)) {
+        ++counters_.cut;
         return;
     }
-    const auto own = harms_.find(link);
-    const Harm& h = own == harms_.end() ? all_ : own->second;
-    const auto chance = [this] { return random_() * 0x1p-32; };
-    if (chance() < h.loss) {
-        ++counts_.lost;
+    const auto own = faults_by_link_.find(link);
+    const LinkFaults& faults = own == faults_by_link_.end() ? default_faults_ : own->second;
+    if (uniform() < faults.loss_probability) {
+        ++counters_.lost;
         return;
     }
-    const bool twice = chance() < h.twice;
-    counts_.doubled += twice ? 1 : 0;
-    for (int copy = twice ? 2 : 1; copy > 0; --copy) {
-        if (h.most <= Duration(0)) {
-            pass(link.first, to, std::string(bytes));
+    const bool is_duplicated = uniform() < faults.duplication_probability;
+    counters_.duplicated += is_duplicated ? 1 : 0;
+    for (int copies = is_duplicated ? 2 : 1; copies > 0; --copies) {
+        if (faults.max_delay <= Duration(0)) {
+            forward(link, bytes);
             continue;
         }
-        const Duration delay =
-            h.least +
-            Duration(static_cast<std::int64_t>(chance() * static_cast<double>((h.most - h.least).count())));
-        auto handle = std::make_shared<base::TimerQueue::Handle>(0);
-        *handle = timers_.schedule(loop_.unix_now() + delay, [this, link, handle, b = std::string(bytes)] {
-            delayed_.erase(*handle);
-            pass(link.first, link.second, b);
-        });
-        delayed_.insert(*handle);
+        const auto jitter_us = static_cast<double>((faults.max_delay - faults.min_delay).count());
+        forward_delayed(link, bytes,
+                        faults.min_delay + Duration(static_cast<std::int64_t>(uniform() * jitter_us)));
     }
 }
 
-void Relay::pass(std::size_t from, std::size_t to, const std::string& bytes) {
-    ++counts_.passed;
-    processes_[from]->datagrams->send(gossip::to_address(processes_[to]->own), bytes);
+void Relay::forward_delayed(const Link& link, std::string_view bytes, Duration delay) {
+    auto timer = std::make_shared<base::TimerQueue::Handle>(0);
+    *timer = timers_.schedule(loop_.unix_now() + delay, [this, link, timer, copy = std::string(bytes)] {
+        delay_timers_.erase(*timer);
+        forward(link, copy);
+    });
+    delay_timers_.insert(*timer);
+}
+
+void Relay::forward(const Link& link, std::string_view bytes) {
+    ++counters_.forwarded;
+    const Process& receiver = *processes_[link.second];
+    processes_[link.first]->datagrams->send(gossip::to_address(receiver.bound_endpoint), bytes);
 }
 
 void Relay::accept(std::size_t to) {
-    auto made = std::make_unique<Pipe>(*this, to);
-    Pipe* pipe = made.get();
-    pipe->no = pipes_.add(std::move(made));
-    pipe->near.stream = net::Stream::accept(*processes_[to]->listener, pipe->near);
-    if (pipe->near.stream == nullptr)
-        pipes_.erase(pipe->no);
+    auto owned = std::make_unique<ProxiedConnection>(*this, to);
+    ProxiedConnection* connection = owned.get();
+    connection->id = connections_.add(std::move(owned));
+    connection->sender.stream = net::Stream::accept(*processes_[to]->listener, connection->sender);
+    if (connection->sender.stream == nullptr)
+        connections_.erase(connection->id);
 }
 
-void Relay::end(base::SlotId no) {
-    pipes_.erase(no);
+void Relay::close(base::SlotId id) {
+    connections_.erase(id);
 }
 
 }  // namespace cressledge::fault_injection
--- a/tools/fault_injection/relay.hpp
+++ b/tools/fault_injection/relay.hpp
@@ -1,8 +1,9 @@
-// Stands between the processes of a fleet on loopback and harms what they send each other, by link, from a seed: loses,
-// delays, doubles and overtakes datagrams, and cuts links. Every process advertises an address of the relay's and binds
-// one of its own; whoever writes to the first is passed on to the second, from the sender's address at the relay, so
-// that both ends see only such addresses. Full exchanges (connections) are passed on or, on a cut link, closed; who
-// dials is read from the first message.
+/// A relay between the processes of a fleet on loopback that injects network faults by link, from a seed: it loses,
+/// delays, duplicates and reorders datagrams, and cuts links.
+///
+/// Every process advertises an endpoint of the relay and binds one of its own. What is sent to the first is forwarded to
+/// the second, from the sender's endpoint at the relay, so that both sides see advertised endpoints only. Connections
+/// (full exchanges) are forwarded or, on a cut link, closed; the sender is read from the first message.
 #pragma once
 
 #include <map>
@@ -22,58 +23,80 @@
 using base::Duration;
 using base::Timestamp;
 
-struct Harm {  // of one link, one way; shares of the datagrams
-    double loss = 0.0, twice = 0.0;
-    Duration least{0}, most{0};  // delay, by chance between the two: what is delayed less overtakes
+/// Faults of the datagrams of one link in one direction. Probabilities are of one datagram, 0 to 1.
+struct LinkFaults {
+    double loss_probability = 0.0;
+    double duplication_probability = 0.0;
+    /// The delay is uniform between the two; a datagram that is delayed less overtakes.
+    Duration min_delay{0}, max_delay{0};
 };
 
+/// The relay of one fleet.
 class Relay {
 public:
-    struct Counts {
-        std::uint64_t passed = 0, lost = 0, doubled = 0, cut = 0, strangers = 0, connections = 0, refused = 0;
+    /// Datagrams by what became of them, and connections.
+    struct Counters {
+        std::uint64_t forwarded = 0, lost = 0, duplicated = 0;
+        /// Datagrams on a cut link.
+        std::uint64_t cut = 0;
+        /// Datagrams of senders that are no process of this fleet.
+        std::uint64_t unknown_senders = 0;
+        std::uint64_t forwarded_connections = 0, rejected_connections = 0;
     };
+    /// `fleet`: the name of the fleet, which its messages hold.
     Relay(net::Loop& loop, base::TimerQueue& timers, std::string fleet, std::uint64_t seed);
     ~Relay();
     Relay(const Relay&) = delete;
     Relay& operator=(const Relay&) = delete;
 
-    // A process by its id, which binds `own`; gives the address it advertises, on `ip`.
-    membership::Endpoint add(const std::string& id, const membership::Endpoint& own, std::uint32_t ip);
-    void harm(const Harm& all);  // every link, until the next call
-    void harm(const std::string& from, const std::string& to, const Harm& one);
-    void cut(const std::string& from, const std::string& to);  // one way
-    void part(const std::set<std::string>& some);  // from all others, both ways
-    void heal();  // all cuts; harm stays
-    const Counts& counts() const { return counts_; }
+    /// Adds a process that binds `bound_endpoint`. Returns the endpoint it is to advertise, on `ip`. Throws
+    /// std::runtime_error where that cannot be bound.
+    membership::Endpoint add(const std::string& id, const membership::Endpoint& bound_endpoint,
+                             std::uint32_t ip);
+    /// Sets the faults of all links.
+    void set_faults(const LinkFaults& faults);
+    /// Sets the faults of one link, until those of all links are set. Throws std::out_of_range for an unknown process.
+    void set_faults(const std::string& from, const std::string& to, const LinkFaults& faults);
+    /// Cuts one link in one direction. Throws std::out_of_range for an unknown process.
+    void cut(const std::string& from, const std::string& to);
+    /// Cuts all links between the processes of `group` and the others, in both directions.
+    void partition(const std::set<std::string>& group);
+    /// Restores all cut links; other faults stay.
+    void heal();
+    const Counters& counters() const { return counters_; }
 
 private:
-    class Pipe;
+    class ProxiedConnection;
     struct Process {
         std::string id;
-        membership::Endpoint own;
+        membership::Endpoint bound_endpoint;
         std::unique_ptr<net::UdpSocket> datagrams;
         std::unique_ptr<net::Listener> listener;
     };
+    /// Indices of the sender and the receiver.
     using Link = std::pair<std::size_t, std::size_t>;
-    std::size_t number(const std::string& id) const { return numbers_.at(id); }
-    void heard(std::size_t to, std::string_view bytes, const net::Address& from);
-    void pass(std::size_t from, std::size_t to, const std::string& bytes);
+    std::size_t index_of(const std::string& id) const { return index_by_id_.at(id); }
+    bool is_cut(const Link& link) const { return cut_links_.count(link) != 0; }
+    void on_datagram(std::size_t to, std::string_view bytes, const net::Address& from);
+    void forward_delayed(const Link& link, std::string_view bytes, Duration delay);
+    void forward(const Link& link, std::string_view bytes);
+    double uniform() { return random_() * 0x1p-32; }
     void accept(std::size_t to);
-    void end(base::SlotId no);
+    void close(base::SlotId id);
 
     net::Loop& loop_;
     base::TimerQueue& timers_;
     const std::string fleet_;
     pcg32 random_;
     std::vector<std::unique_ptr<Process>> processes_;
-    std::map<std::string, std::size_t> numbers_;
-    std::map<membership::Endpoint, std::size_t> owners_;
-    Harm all_;
-    std::map<Link, Harm> harms_;
-    std::set<Link> cuts_;
-    std::set<base::TimerQueue::Handle> delayed_;
-    base::SlotMap<Pipe> pipes_;
-    Counts counts_;
+    std::map<std::string, std::size_t> index_by_id_;
+    std::map<membership::Endpoint, std::size_t> index_by_bound_endpoint_;
+    LinkFaults default_faults_;
+    std::map<Link, LinkFaults> faults_by_link_;
+    std::set<Link> cut_links_;
+    std::set<base::TimerQueue::Handle> delay_timers_;
+    base::SlotMap<ProxiedConnection> connections_;
+    Counters counters_;
 };
 
 }  // namespace cressledge::fault_injection
