--- a/bench/load_spread_sim.cpp
+++ b/bench/load_spread_sim.cpp
@@ -85,9 +85,10 @@
                     best = o.p99_ms;
                 std::printf(
                     "%4.0f%%  %-24s %9.3f %9.2f %7.3f %7.3f%% %8.1f %8.1f %8.2f %8.3f%% %9.2f %6.1f%%\n",
-                    load, word(c), o.even.worst_p99, o.even.longest_over(2.0), o.even.variation,
-                    100.0 * o.even.idle, o.p50_ms, o.p99_ms, o.p99_ms / best, 100.0 * o.errors,
-                    static_cast<double>(o.probes) / static_cast<double>(o.calls), 100.0 * o.moved);
+                    load, word(c), o.even.peak_to_mean_p99, o.even.longest_time_above_s(2.0),
+                    o.even.variation, 100.0 * o.even.idle_fraction, o.p50_ms, o.p99_ms, o.p99_ms / best,
+                    100.0 * o.errors, static_cast<double>(o.probes) / static_cast<double>(o.calls),
+                    100.0 * o.moved);
                 std::fflush(stdout);
             }
         }
--- a/bench/rollout_rig.cpp
+++ b/bench/rollout_rig.cpp
@@ -71,7 +71,7 @@
     const auto after = r.driver().total();
     j["requests"] = after.all() - before.all();
     j["lost"] = after.count(load_generator::End::lost) - before.count(load_generator::End::lost);
-    j["doubled"] = r.servers().counts().doubled;
+    j["doubled"] = r.servers().counters().duplicates;
     say(j);
 }
 
--- a/tests/cressledge/experiment_test.cpp
+++ b/tests/cressledge/experiment_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using namespace cressledge::testing;
-using fake_upstream::Queue;
+using fake_upstream::ServerModel;
 using upstream_health::Random;
 
 std::string small() {
@@ -21,69 +21,71 @@
 
 TEST_CASE(
     "a stand-in serves as many at once as it has places, in order, and is slow, failing or cold when told") {
-    fake_upstream::Nature n;
-    n.slots = 2;
-    n.mean_s = 0.1;
-    n.law = fake_upstream::Law::constant;
-    n.cold_speed = 0.5;
+    fake_upstream::ServerProfile profile;
+    profile.slots = 2;
+    profile.mean_service_time_s = 0.1;
+    profile.service_time_distribution = fake_upstream::ServiceTimeDistribution::constant;
+    profile.cold_start_speed = 0.5;
     Random random(1);
-    Queue q(n);
-    CHECK(q.arrive(Timestamp(0), 1, random)->ends == Timestamp(100'000));
-    CHECK(q.arrive(Timestamp(0), 2, random)->ends == Timestamp(100'000));
-    CHECK_FALSE(q.arrive(Timestamp(10), 3, random).has_value());
-    CHECK_FALSE(q.arrive(Timestamp(20), 4, random).has_value());
-    CHECK((q.in_flight() == 4 && q.queues()));
-    CHECK_FALSE(q.leave(Timestamp(30), 3, random).has_value());  // given up while it waited
-    const auto next = q.leave(Timestamp(100'000), 1, random);
+    ServerModel server(profile);
+    CHECK(server.arrive(Timestamp(0), 1, random)->finishes_at == Timestamp(100'000));
+    CHECK(server.arrive(Timestamp(0), 2, random)->finishes_at == Timestamp(100'000));
+    CHECK_FALSE(server.arrive(Timestamp(10), 3, random).has_value());
+    CHECK_FALSE(server.arrive(Timestamp(20), 4, random).has_value());
+    CHECK((server.in_flight() == 4 && server.has_waiting_calls()));
+    CHECK_FALSE(server.depart(Timestamp(30), 3, random).has_value());  // given up while it waited
+    const auto next = server.depart(Timestamp(100'000), 1, random);
     REQUIRE(next.has_value());
-    CHECK((next->call == 4 && next->ends == Timestamp(200'000)));
-    CHECK(q.load().latency_s == Approx(0.1));
-    q.slow(10.0);
-    q.leave(Timestamp(200'000), 2, random);
-    CHECK(q.arrive(Timestamp(200'000), 5, random)->ends == Timestamp(1'200'000));
-    q.slow(1.0);
-    q.fail(true);
-    q.leave(Timestamp(200'000), 4, random);
-    CHECK(q.arrive(Timestamp(300'000), 6, random)->ends == Timestamp(301'000));
-    q.fail(false);
-    q.restart(Timestamp(1'000'000));
-    CHECK(q.in_flight() == 0);
-    CHECK(q.arrive(Timestamp(1'000'000), 7, random)->ends == Timestamp(1'200'000));  // at half of its speed
-    q.leave(Timestamp(1'200'000), 7, random);
-    CHECK(q.arrive(Timestamp(1'000'000) + n.cold_for, 8, random)->ends == Timestamp(1'100'000) + n.cold_for);
+    CHECK((next->call == 4 && next->finishes_at == Timestamp(200'000)));
+    CHECK(server.load_report().latency_s == Approx(0.1));
+    server.set_slowdown(10.0);
+    server.depart(Timestamp(200'000), 2, random);
+    CHECK(server.arrive(Timestamp(200'000), 5, random)->finishes_at == Timestamp(1'200'000));
+    server.set_slowdown(1.0);
+    server.set_failing(true);
+    server.depart(Timestamp(200'000), 4, random);
+    CHECK(server.arrive(Timestamp(300'000), 6, random)->finishes_at == Timestamp(301'000));
+    server.set_failing(false);
+    server.restart(Timestamp(1'000'000));
+    CHECK(server.in_flight() == 0);
+    CHECK(server.arrive(Timestamp(1'000'000), 7, random)->finishes_at ==
+          Timestamp(1'200'000));  // at half of its speed
+    server.depart(Timestamp(1'200'000), 7, random);
+    CHECK(server.arrive(Timestamp(1'000'000) + profile.warm_up_time, 8, random)->finishes_at ==
+          Timestamp(1'100'000) + profile.warm_up_time);
     // Its word to probes counts the calls that they may bring: five of one moment, one call.
     for (int i = 0; i < 5; ++i)
-        q.probed(Timestamp(30'000'000));
-    CHECK(q.probed(Timestamp(30'000'000)).in_flight == Approx(2.0));
-    CHECK(q.load().in_flight == 1.0);
+        server.answer_probe(Timestamp(30'000'000));
+    CHECK(server.answer_probe(Timestamp(30'000'000)).in_flight == Approx(2.0));
+    CHECK(server.load_report().in_flight == 1.0);
 }
 
 TEST_CASE("evenness: the busiest over the mean, idle beside a queue, and how long it lasts") {
-    fake_upstream::Nature n;
-    n.slots = 2;
+    fake_upstream::ServerProfile profile;
+    profile.slots = 2;
     Random random(1);
-    std::vector<Queue> servers(4, Queue(n));
-    fake_upstream::Observer all;
+    std::vector<ServerModel> servers(4, ServerModel(profile));
+    fake_upstream::LoadImbalanceMonitor monitor;
     for (std::uint64_t c = 1; c <= 4; ++c)
         servers[c - 1].arrive(Timestamp(0), c, random);
     for (int i = 0; i < 50; ++i)
-        all.look(servers);
-    CHECK(all.result().worst_p99 == Approx(1.0));
-    CHECK(all.result().idle == 0.0);
-    CHECK(all.result().variation == Approx(0.0).margin(1e-6));
+        monitor.sample(servers);
+    CHECK(monitor.result().peak_to_mean_p99 == Approx(1.0));
+    CHECK(monitor.result().idle_fraction == 0.0);
+    CHECK(monitor.result().variation == Approx(0.0).margin(1e-6));
     servers[3].restart(Timestamp(0));
     for (std::uint64_t c = 5; c <= 9; ++c)
         servers[0].arrive(Timestamp(0), c, random);  // 6, 1, 1, 0 in hand
     for (int i = 0; i < 50; ++i)
-        all.look(servers);
-    const auto e = all.result();
-    CHECK(e.worst_max == Approx(3.0));
-    CHECK(e.worst_mean == Approx(2.0));
-    CHECK(e.idle == Approx(0.125));  // one of four, half of the time
-    CHECK(e.looks == 100);
-    CHECK(e.stretches.size() == 4);
-    CHECK(e.longest_over(2.0) == Approx(0.5));
-    CHECK(e.longest_over(3.5) == 0.0);
+        monitor.sample(servers);
+    const auto e = monitor.result();
+    CHECK(e.peak_to_mean_max == Approx(3.0));
+    CHECK(e.peak_to_mean_average == Approx(2.0));
+    CHECK(e.idle_fraction == Approx(0.125));  // one of four, half of the time
+    CHECK(e.samples == 100);
+    CHECK(e.intervals.size() == 4);
+    CHECK(e.longest_time_above_s(2.0) == Approx(0.5));
+    CHECK(e.longest_time_above_s(3.5) == 0.0);
 }
 
 TEST_CASE("arrivals: the rate and the mix that were asked for, evenly or in runs") {
@@ -114,14 +116,14 @@
 TEST_CASE(
     "the driver counts each request once whatever becomes of it, and its stand-ins break and come back") {
     TestLoop w;
-    fake_upstream::Plan plan;
-    fake_upstream::Nature n;
-    n.slots = 50;
-    n.mean_s = 0.005;
-    plan.servers = {n, n, n};
-    plan.addresses = {"127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"};
-    plan.once = {"map-order"};
-    fake_upstream::Fleet fleet(w.loop, w.timers, plan);
+    fake_upstream::FleetSpec spec;
+    fake_upstream::ServerProfile profile;
+    profile.slots = 50;
+    profile.mean_service_time_s = 0.005;
+    spec.servers = {profile, profile, profile};
+    spec.addresses = {"127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"};
+    spec.at_most_once_classes = {"map-order"};
+    fake_upstream::Fleet fleet(w.loop, w.timers, spec);
     load_generator::Driver driver(
         w.loop, w.timers,
         load_generator::Arrivals(500.0, 1, {{"trail-sheet", 1.0, false}, {"map-order", 1.0, true}}, 3));
@@ -129,37 +131,37 @@
     for (std::size_t i = 0; i < 3; ++i)
         doors.push_back(*net::Address::parse(fleet.address(i)));
     driver.doors(doors);
-    fleet.observe(true);
+    fleet.set_monitoring(true);
     driver.start();
     w.run_until([&] { return driver.total().count(load_generator::End::ok) >= 100; });
-    fleet.fail(1, true);
+    fleet.set_failing(1, true);
     w.run_until([&] { return driver.total().count(load_generator::End::failed) >= 10; });
-    fleet.fail(1, false);
-    fleet.slow(0, 100.0);
+    fleet.set_failing(1, false);
+    fleet.set_slowdown(0, 100.0);
     w.run_until([&] { return driver.open() >= 20; });
     fleet.restart(0, Duration(100'000));  // what it has in hand breaks
     w.run_until([&] { return driver.total().count(load_generator::End::lost) >= 20; });
-    fleet.slow(0, 1.0);
-    const std::uint64_t before = fleet.calls()[0];
-    w.run_until([&] { return fleet.calls()[0] > before + 10; });  // it is back
+    fleet.set_slowdown(0, 1.0);
+    const std::uint64_t before = fleet.calls_by_server()[0];
+    w.run_until([&] { return fleet.calls_by_server()[0] > before + 10; });  // it is back
     driver.stop();
     w.run_until([&] { return driver.open() == 0; });
     CHECK(driver.total().all() == driver.sent());
     CHECK(driver.unsent() == 0);
-    CHECK(fleet.counts().doubled == 0);
-    CHECK(fleet.counts().bad == 0);
-    CHECK(fleet.evenness().looks > 10);
+    CHECK(fleet.counters().duplicates == 0);
+    CHECK(fleet.counters().malformed == 0);
+    CHECK(fleet.load_imbalance().samples > 10);
     auto again = connect_peer(w, std::stoi(fleet.address(2).substr(10)));
     for (int i = 0; i < 2; ++i) {
         again->send("POST /v1/map-order HTTP/1.1\r\nContent-Length: 1\r\n\r\nx");
         w.run_until([&] { return again->has_received("\r\n\r\nok"); });
         CHECK(again->take_through("\r\n\r\nok").find("named_metrics.capacity=50") != std::string::npos);
     }
-    CHECK(fleet.counts().doubled == 1);
+    CHECK(fleet.counters().duplicates == 1);
     auto bad = connect_peer(w, std::stoi(fleet.address(2).substr(10)));
     bad->send("nonsense\r\n\r\n");
     w.run_until([&] { return bad->is_closed; });
-    CHECK(fleet.counts().bad == 1);
+    CHECK(fleet.counters().malformed == 1);
 }
 
 TEST_CASE("an experiment's file is checked whole, with file, line and field") {
--- a/tests/cressledge/load_balancing_test.cpp
+++ b/tests/cressledge/load_balancing_test.cpp
@@ -279,12 +279,13 @@
     const auto stale = run_with(emulator::Choice::stale);
     const auto two_choices = run_with(emulator::Choice::today);
     const auto pool = run_with(emulator::Choice::pool);
-    CHECK(probed.even.worst_p99 < 1.3);
+    CHECK(probed.even.peak_to_mean_p99 < 1.3);
     CHECK(probed.p99_ms < 1.5 * ideal.p99_ms);
-    CHECK(probed.even.idle < 0.01);
-    CHECK(stale.even.worst_p99 > 10.0);
-    CHECK(two_choices.even.worst_p99 > probed.even.worst_p99);
-    CHECK(pool.even.worst_p99 < two_choices.even.worst_p99);
+    CHECK(probed.even.idle_fraction < 0.01);
+    CHECK(stale.even.peak_to_mean_p99 > 10.0);
+    CHECK(two_choices.even.peak_to_mean_p99 > probed.even.peak_to_mean_p99);
+    CHECK(pool.even.peak_to_mean_p99 < two_choices.even.peak_to_mean_p99);
     const auto again = run_with(emulator::Choice::pool);
-    CHECK((again.even.worst_p99 == pool.even.worst_p99 && again.p99_ms == pool.p99_ms));  // one seed, one run
+    CHECK((again.even.peak_to_mean_p99 == pool.even.peak_to_mean_p99 &&
+           again.p99_ms == pool.p99_ms));  // one seed, one run
 }
--- a/tests/cressledge/slow_start_test.cpp
+++ b/tests/cressledge/slow_start_test.cpp
@@ -229,7 +229,7 @@
     const std::string directory = mkdtemp(name);
     const auto remove_directory = std::unique_ptr<const std::string, void (*)(const std::string*)>(
         &directory, [](const std::string* path) { std::filesystem::remove_all(*path); });
-    fake_upstream::Plan servers;
+    fake_upstream::FleetSpec servers;
     servers.servers.resize(4);
     servers.addresses.assign(4, "127.0.0.1:0");
     fake_upstream::Fleet fleet(loop.loop, loop.timers, servers);
@@ -279,7 +279,7 @@
     const auto count_calls_for = [&](Duration length) {
         for (const Timestamp end = wall_clock_now() + length; wall_clock_now() < end;) {
             run_for(Duration(10'000));
-            while (calls.size() < fleet.calls()[3])
+            while (calls.size() < fleet.calls_by_server()[3])
                 calls.push_back(wall_clock_now());
         }
     };
--- a/tools/emulator/spread.cpp
+++ b/tools/emulator/spread.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using base::Timestamp;
-using fake_upstream::CallNo;
+using fake_upstream::CallId;
 using load_balancing::LoadReport;
 using upstream_health::HostId;
 using upstream_health::Random;
@@ -62,11 +62,12 @@
         std::vector<double> capacities;
         for (std::size_t i = 0; i < s.servers; ++i) {
             const double capacity = s.capacities[i % s.capacities.size()];
-            fake_upstream::Nature n = s.nature;
+            fake_upstream::ServerProfile n = s.nature;
             n.slots = std::max(1U, static_cast<unsigned>(std::lround(capacity * s.nature.slots)));
-            n.expects = s.round_trip;
-            n.probes = s.choice == Choice::pool ? static_cast<unsigned>(std::lround(s.pool.probes_per_call))
-                                                : s.probes;
+            n.probe_round_trip = s.round_trip;
+            n.probes_per_call = s.choice == Choice::pool
+                                    ? static_cast<unsigned>(std::lround(s.pool.probes_per_call))
+                                    : s.probes;
             places += n.slots;
             capacities.push_back(capacity);
             specs_.push_back({"s" + std::to_string(i), "127.0.0.1:" + std::to_string(i + 1), "http", "", "",
@@ -75,7 +76,7 @@
         }
         gone_.resize(s.servers);
         by_capacity_.build(capacities);
-        rate_ = s.load * places / s.nature.mean_s;
+        rate_ = s.load * places / s.nature.mean_service_time_s;
         figures_.resize(s.servers);
         active_ = s.processes;
         for (std::size_t i = 0; i < active_; ++i)
@@ -162,11 +163,11 @@
             case What::finish:
                 return finish(e.about);
             case What::look:
-                put(now_ + fake_upstream::look_every.count(), What::look, 0);
-                return observer_.look(servers_);
+                put(now_ + fake_upstream::sample_interval.count(), What::look, 0);
+                return observer_.sample(servers_);
             case What::figures:
                 for (std::size_t i = 0; i < servers_.size(); ++i)
-                    figures_[i] = servers_[i].load();
+                    figures_[i] = servers_[i].load_report();
                 return put(now_ + figures_every, What::figures, 0);
             case What::tick:
                 for (std::size_t p = 0; p < active_; ++p)
@@ -190,7 +191,7 @@
         put(now_ + std::max<std::int64_t>(1, std::llround(-std::log(uniform()) * n / rate_ * 1e6)),
             What::arrive, 0);
         for (int k = 0; k < static_cast<int>(n); ++k) {
-            const CallNo no = fresh();
+            const CallId no = fresh();
             Call& c = at(no);
             c.process = random_(static_cast<std::uint32_t>(active_));
             c.life = processes_[c.process].life;
@@ -201,7 +202,7 @@
                 send(no, pick(no));
             if (s_.choice != Choice::pool)
                 continue;
-            const CallNo probe = fresh();  // the probes beside a call, as a call that nobody makes
+            const CallId probe = fresh();  // the probes beside a call, as a call that nobody makes
             at(probe).process = at(no).process;
             at(probe).life = at(no).life;
             at(probe).probes_only = true;
@@ -209,7 +210,7 @@
                 release(probe);
         }
     }
-    bool ask(CallNo no) {
+    bool ask(CallId no) {
         Call& c = at(no);
         processes_[c.process].balancer->pick_probe_targets(random_, whom_);
         if (whom_.empty())
@@ -220,16 +221,17 @@
         put(now_ + s_.round_trip.count() / 2, What::read, no);
         return true;
     }
-    void read(CallNo no) {
+    void read(CallId no) {
         Call* c = find(no);
         if (c == nullptr)
             return;
         std::erase_if(c->answers, [this](const auto& a) { return gone_[a.host_id]; });
         for (auto& [server, load] : c->answers)
-            load = s_.expected ? servers_[server].probed(Timestamp(now_)) : servers_[server].load();
+            load =
+                s_.expected ? servers_[server].answer_probe(Timestamp(now_)) : servers_[server].load_report();
         put(now_ + s_.round_trip.count() / 2, What::choose, no);
     }
-    void choose(CallNo no) {
+    void choose(CallId no) {
         Call* c = find(no);
         if (c == nullptr)
             return;
@@ -251,7 +253,7 @@
 
     // ---- calls ----
 
-    CallNo fresh() {
+    CallId fresh() {
         if (free_.empty()) {
             free_.push_back(static_cast<std::uint32_t>(calls_.size()));
             calls_.emplace_back();
@@ -261,17 +263,17 @@
         const std::uint32_t generation = calls_[i].generation;
         calls_[i] = {};
         calls_[i].generation = generation;
-        return CallNo{generation} << 32U | i;
+        return CallId{generation} << 32U | i;
     }
-    Call& at(CallNo no) { return calls_[static_cast<std::uint32_t>(no)]; }
-    Call* find(CallNo no) { return at(no).generation == no >> 32U ? &at(no) : nullptr; }
-    void release(CallNo no) {
+    Call& at(CallId no) { return calls_[static_cast<std::uint32_t>(no)]; }
+    Call* find(CallId no) { return at(no).generation == no >> 32U ? &at(no) : nullptr; }
+    void release(CallId no) {
         ++at(no).generation;
         at(no).out = false;
         free_.push_back(static_cast<std::uint32_t>(no));
     }
 
-    HostId pick(CallNo no) {
+    HostId pick(CallId no) {
         Call& c = at(no);
         Balancing& b = processes_[c.process];
         switch (s_.choice) {
@@ -308,8 +310,8 @@
                     const std::uint32_t i = (from + k) % static_cast<std::uint32_t>(servers_.size());
                     if (gone_[i])
                         continue;
-                    if (k == 0 ||
-                        servers_[i].load().utilization(1.0) < servers_[best].load().utilization(1.0))
+                    if (k == 0 || servers_[i].load_report().utilization(1.0) <
+                                      servers_[best].load_report().utilization(1.0))
                         best = i;
                 }
                 return best;
@@ -322,7 +324,7 @@
         return 0;
     }
 
-    void send(CallNo no, HostId server) {
+    void send(CallId no, HostId server) {
         Call& c = at(no);
         Balancing& b = processes_[c.process];
         // A refused connection proves that nothing ran, and the next server is called at once.
@@ -353,17 +355,17 @@
         if (b.balancer)
             b.balancer->on_call_started(Timestamp(now_), server);
         if (const auto begun = servers_[server].arrive(Timestamp(now_), no, random_))
-            put(begun->ends.count(), What::finish, begun->call);
+            put(begun->finishes_at.count(), What::finish, begun->call);
     }
-    void finish(CallNo no) {
+    void finish(CallId no) {
         Call* c = find(no);
         if (c != nullptr)
-            ended(no, servers_[c->server].failing());
+            ended(no, servers_[c->server].is_failing());
     }
-    void ended(CallNo no, bool error) {
+    void ended(CallId no, bool error) {
         const Call& c = at(no);
-        if (const auto begun = servers_[c.server].leave(Timestamp(now_), no, random_))
-            put(begun->ends.count(), What::finish, begun->call);
+        if (const auto begun = servers_[c.server].depart(Timestamp(now_), no, random_))
+            put(begun->finishes_at.count(), What::finish, begun->call);
         Balancing& b = processes_[c.process];
         if (b.life == c.life) {
             --b.in_hand[c.server];
@@ -394,12 +396,12 @@
         switch (t.what) {
             case Trouble::slow:
                 for (const std::size_t s : t.servers)
-                    servers_[s].slow(t.by);
+                    servers_[s].set_slowdown(t.by);
                 return;
             case Trouble::fail:
             case Trouble::mend:
                 for (const std::size_t s : t.servers)
-                    servers_[s].fail(t.what == Trouble::fail);
+                    servers_[s].set_failing(t.what == Trouble::fail);
                 return;
             case Trouble::restart_servers:
                 for (const std::size_t s : t.servers) {
@@ -439,7 +441,7 @@
     void lose(const Which& which) {  // calls in hand whose connection breaks
         for (std::uint32_t i = 0; i < calls_.size(); ++i)
             if (calls_[i].out && which(calls_[i]))
-                ended(CallNo{calls_[i].generation} << 32U | i, true);
+                ended(CallId{calls_[i].generation} << 32U | i, true);
     }
     void moved(std::size_t before) {
         std::vector<std::string> all;
@@ -465,7 +467,7 @@
     const Spread s_;
     Random random_;
     std::vector<upstream_health::HostSpec> specs_;
-    std::vector<fake_upstream::Queue> servers_;
+    std::vector<fake_upstream::ServerModel> servers_;
     std::vector<bool> gone_;
     std::vector<Balancing> processes_;
     std::size_t active_ = 0;
@@ -479,7 +481,7 @@
     std::int64_t now_ = 0, warm_ = 0;
     double rate_ = 0.0;
     std::vector<float> took_;
-    fake_upstream::Observer observer_;
+    fake_upstream::LoadImbalanceMonitor observer_;
     Outcome out_;
 };
 
--- a/tools/emulator/spread.hpp
+++ b/tools/emulator/spread.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "fake_upstream/observer.hpp"
+#include "fake_upstream/load_imbalance.hpp"
 #include "load_balancing/balancer.hpp"
 
 namespace cressledge::emulator {
@@ -48,7 +48,7 @@
     Choice choice = Choice::probed;
     std::size_t processes = 300, servers = 300;
     std::vector<double> capacities{1.0, 2.0, 4.0};  // in turn; times nature.slots is a server's places
-    fake_upstream::Nature nature;
+    fake_upstream::ServerProfile nature;
     double load = 0.8, seconds = 10.0, warm_up = 3.0;  // load: of all places
     bool bursty = false;  // arrivals: runs of ten, each run Poisson
     Duration round_trip{500};
@@ -61,7 +61,7 @@
 };
 
 struct Outcome {
-    fake_upstream::Evenness even;
+    fake_upstream::LoadImbalance even;
     double p50_ms = 0.0, p95_ms = 0.0, p99_ms = 0.0, p999_ms = 0.0;
     double errors = 0.0;  // share of the calls
     double moved =
--- a/tools/experiment/experiment.cpp
+++ b/tools/experiment/experiment.cpp
@@ -85,15 +85,16 @@
             r.fail(c, "capacities", "no list of numbers above 0");
     }
     e.nature.slots = r.integer(s, "slots", 1.0, 10'000.0, 8.0);
-    e.nature.mean_s = r.number(s, "mean_ms", 0.1, 60'000.0, 50.0) * 1e-3;
+    e.nature.mean_service_time_s = r.number(s, "mean_ms", 0.1, 60'000.0, 50.0) * 1e-3;
     const std::string law = r.text(s, "law", "exponential");
     if (law != "exponential" && law != "constant" && law != "lognormal")
         r.fail(s["law"], "law", "none of exponential, constant, lognormal");
-    e.nature.law = law == "constant"    ? fake_upstream::Law::constant
-                   : law == "lognormal" ? fake_upstream::Law::lognormal
-                                        : fake_upstream::Law::exponential;
-    e.nature.cold_for = Duration(std::llround(r.number(s, "cold_s", 0.0, 600.0, 10.0) * 1e6));
-    e.nature.cold_speed = r.number(s, "cold_speed", 0.01, 1.0, 0.2);
+    e.nature.service_time_distribution = law == "constant" ? fake_upstream::ServiceTimeDistribution::constant
+                                         : law == "lognormal"
+                                             ? fake_upstream::ServiceTimeDistribution::lognormal
+                                             : fake_upstream::ServiceTimeDistribution::exponential;
+    e.nature.warm_up_time = Duration(std::llround(r.number(s, "cold_s", 0.0, 600.0, 10.0) * 1e6));
+    e.nature.cold_start_speed = r.number(s, "cold_speed", 0.01, 1.0, 0.2);
     // Checked as the program will check it.
     config::RoutingConfig routing;
     YAML::Node with = YAML::Clone(doc);
@@ -112,7 +113,8 @@
     e.routing.erase(std::remove(e.routing.begin(), e.routing.end(), '\n'), e.routing.end());
     e.subset = routing.subset_size;
     e.probing = routing.probing;
-    e.nature.probes = std::max(1U, static_cast<unsigned>(std::lround(routing.probing.probes_per_call)));
+    e.nature.probes_per_call =
+        std::max(1U, static_cast<unsigned>(std::lround(routing.probing.probes_per_call)));
     const YAML::Node l = doc["load"];
     if (!l)
         r.fail(doc, "load", "missing");
@@ -150,7 +152,7 @@
     double all = 0.0;
     for (std::size_t i = 0; i < servers; ++i)
         all += places(i);
-    return load * all / nature.mean_s;
+    return load * all / nature.mean_service_time_s;
 }
 
 Experiment load_experiment(const std::string& path) {
@@ -169,7 +171,7 @@
     s.warm_up = e.warm_up_s;
     s.bursty = e.bursty;
     s.round_trip = e.round_trip;
-    s.probes = e.nature.probes;
+    s.probes = e.nature.probes_per_call;
     s.pool = e.probing;
     s.subset = e.subset;
     s.seed = e.seed;
--- a/tools/experiment/experiment.hpp
+++ b/tools/experiment/experiment.hpp
@@ -18,7 +18,7 @@
     std::uint64_t seed = 1;
     std::size_t processes = 5, servers = 10;
     std::vector<double> capacities{1.0, 2.0, 4.0};
-    fake_upstream::Nature nature;  // of a server of capacity 1
+    fake_upstream::ServerProfile nature;  // of a server of capacity 1
     std::string policy = "probe-first";  // as in the operator's file
     std::string routing;  // the whole section, as YAML in one line
     std::size_t subset = 0;
--- a/tools/experiment/rollout_testbed.cpp
+++ b/tools/experiment/rollout_testbed.cpp
@@ -39,14 +39,14 @@
 
 RolloutTestbed::RolloutTestbed(net::Loop& loop, base::TimerQueue& timers, const Scene& scene)
     : loop_(loop), timers_(timers), scene_(scene), asks_(loop, timers) {
-    fake_upstream::Plan servers;
-    fake_upstream::Nature nature;
+    fake_upstream::FleetSpec servers;
+    fake_upstream::ServerProfile nature;
     nature.slots = 64;
-    nature.mean_s = scene.mean_s;
+    nature.mean_service_time_s = scene.mean_s;
     servers.servers.assign(scene.servers, nature);
     for (std::size_t i = 0; i < scene.servers; ++i)
         servers.addresses.push_back("127.0.0." + std::to_string(10 + i) + ":0");
-    servers.once = {"map-order"};
+    servers.at_most_once_classes = {"map-order"};
     servers.seed = scene.seed;
     servers_ = std::make_unique<fake_upstream::Fleet>(loop, timers, servers);
     std::ofstream inventory(file("servers.csv"));
@@ -264,7 +264,7 @@
     note("lost", all.count(load_generator::End::lost));
     note("open", driver_->open());
     note("unsent", driver_->unsent());
-    note("doubled", servers_->counts().doubled);
+    note("doubled", servers_->counters().duplicates);
     return wrong;
 }
 
--- a/tools/experiment/servers.cpp
+++ b/tools/experiment/servers.cpp
@@ -12,12 +12,12 @@
 
 using nlohmann::json;
 
-fake_upstream::Plan plan_of(const Experiment& e) {
-    fake_upstream::Plan p;
+fake_upstream::FleetSpec plan_of(const Experiment& e) {
+    fake_upstream::FleetSpec p;
     for (std::size_t i = 0; i < e.servers; ++i) {
-        fake_upstream::Nature n = e.nature;
+        fake_upstream::ServerProfile n = e.nature;
         n.slots = e.places(i);
-        n.expects = e.round_trip;
+        n.probe_round_trip = e.round_trip;
         p.servers.push_back(n);
         // Addresses of their own: what the processes bind is above 127.0.
         p.addresses.push_back("127.0." + std::to_string(1 + i / 250) + '.' + std::to_string(1 + i % 250) +
@@ -25,7 +25,7 @@
     }
     for (const load_generator::Kind& k : e.kinds)
         if (k.once)
-            p.once.insert(k.name);
+            p.at_most_once_classes.insert(k.name);
     p.seed = e.seed;
     return p;
 }
@@ -37,29 +37,29 @@
             act(s);
     };
     if (what == "slow")
-        each([&](std::size_t s) { fleet.slow(s, command.at("by")); });
+        each([&](std::size_t s) { fleet.set_slowdown(s, command.at("by")); });
     else if (what == "fail" || what == "mend")
-        each([&](std::size_t s) { fleet.fail(s, what == "fail"); });
+        each([&](std::size_t s) { fleet.set_failing(s, what == "fail"); });
     else if (what == "restart")
         each([&](std::size_t s) {
             fleet.restart(s, Duration(static_cast<std::int64_t>(command.at("for_s").get<double>() * 1e6)));
         });
     else if (what == "observe")
-        fleet.observe(command.at("on"));
+        fleet.set_monitoring(command.at("on"));
     else if (what != "report")
         throw std::invalid_argument("no such command");
     if (what != "report")
         return {{"done", what}};
-    const auto& n = fleet.counts();
-    return {{"evenness", json_of(fleet.evenness())},
+    const auto& n = fleet.counters();
+    return {{"evenness", json_of(fleet.load_imbalance())},
             {"calls", n.calls},
             {"answers", n.answers},
             {"errors", n.errors},
             {"probes", n.probes},
-            {"given_up", n.given_up},
-            {"bad", n.bad},
-            {"doubled", n.doubled},
-            {"calls_by_server", fleet.calls()}};
+            {"given_up", n.abandoned},
+            {"bad", n.malformed},
+            {"doubled", n.duplicates},
+            {"calls_by_server", fleet.calls_by_server()}};
 }
 
 void say(const json& j) {
@@ -68,23 +68,23 @@
 
 }  // namespace
 
-nlohmann::ordered_json json_of(const fake_upstream::Evenness& e) {
+nlohmann::ordered_json json_of(const fake_upstream::LoadImbalance& e) {
     const auto brief = [](double x) { return std::round(x * 1e4) / 1e4; };
-    nlohmann::ordered_json j = {{"worst_p99", brief(e.worst_p99)},
-                                {"worst_max", brief(e.worst_max)},
-                                {"worst_mean", brief(e.worst_mean)},
+    nlohmann::ordered_json j = {{"worst_p99", brief(e.peak_to_mean_p99)},
+                                {"worst_max", brief(e.peak_to_mean_max)},
+                                {"worst_mean", brief(e.peak_to_mean_average)},
                                 {"variation", brief(e.variation)},
-                                {"idle", e.idle},
-                                {"looks", e.looks},
-                                {"longest_over_2_s", brief(e.longest_over(2.0))}};
+                                {"idle", e.idle_fraction},
+                                {"looks", e.samples},
+                                {"longest_over_2_s", brief(e.longest_time_above_s(2.0))}};
     nlohmann::ordered_json all = nlohmann::ordered_json::array();
-    for (const auto& s : e.stretches) {
+    for (const auto& s : e.intervals) {
         std::vector<double> shares;
-        for (const float f : s.shares)
+        for (const float f : s.utilizations)
             shares.push_back(std::round(f * 1e3) / 1e3);
-        all.push_back({{"at_s", brief(s.at_s)},
-                       {"worst", brief(s.worst)},
-                       {"mean", brief(s.mean)},
+        all.push_back({{"at_s", brief(s.start_s)},
+                       {"worst", brief(s.peak_to_mean)},
+                       {"mean", brief(s.mean_utilization)},
                        {"shares", shares}});
     }
     j["stretches"] = std::move(all);
--- a/tools/experiment/servers.hpp
+++ b/tools/experiment/servers.hpp
@@ -44,6 +44,6 @@
     std::vector<std::string> addresses_;
 };
 
-nlohmann::ordered_json json_of(const fake_upstream::Evenness& e);
+nlohmann::ordered_json json_of(const fake_upstream::LoadImbalance& e);
 
 }  // namespace cressledge::experiment
--- a/tools/fake_upstream/fleet.cpp
+++ b/tools/fake_upstream/fleet.cpp
@@ -1,234 +1,204 @@
 #include "fake_upstream/fleet.hpp"
 
-#include <http_parser.h>
-
+#include "common/http_message_parser.hpp"
 #include "load_balancing/load_reports.hpp"
 
 namespace cressledge::fake_upstream {
 namespace {
 
-constexpr std::size_t most_accepts = 64, most_body = 64U << 10U;
+constexpr std::size_t max_accepts_per_event = 64;
 
 }  // namespace
 
+/// A connection to one server; it has at most one call.
 class Fleet::Connection final : public net::Stream::Owner {
 public:
-    Connection(Fleet& fleet, std::size_t to) : fleet_(fleet), server(to) {
-        http_parser_init(&parser_, HTTP_REQUEST);
-        parser_.data = this;
-        http_parser_settings_init(&hooks_);
-        hooks_.on_message_begin = [](http_parser* p) {
-            Connection& me = self(p);
-            me.url.clear();
-            me.body.clear();
-            return 0;
-        };
-        hooks_.on_url = [](http_parser* p, const char* at, std::size_t n) {
-            self(p).url.append(at, n);
-            return self(p).url.size() > 512 ? 1 : 0;
-        };
-        hooks_.on_body = [](http_parser* p, const char* at, std::size_t n) {
-            self(p).body.append(at, n);
-            return self(p).body.size() > most_body ? 1 : 0;
-        };
-        hooks_.on_message_complete = [](http_parser* p) {
-            self(p).stays = http_should_keep_alive(p) != 0;
-            self(p).whole = true;
-            http_parser_pause(p, 1);  // one call at a time
-            return 0;
-        };
-    }
-    ~Connection() override {
-        if (stream != nullptr)
-            std::exchange(stream, nullptr)->close();
-    }
+    Connection(Fleet& fleet, std::size_t server_index) : server(server_index), fleet_(fleet) {}
+    ~Connection() override { close_stream(); }
     void on_bytes(std::string_view bytes) override {
         if (call != 0)
-            return fleet_.gone(no);  // it speaks out of turn
-        const std::size_t n = http_parser_execute(&parser_, &hooks_, bytes.data(), bytes.size());
-        if (whole) {
-            if (n < bytes.size())
-                ++fleet_.counts_.bad;
-            whole = false;
-            http_parser_pause(&parser_, 0);
-            return fleet_.read(*this);
+            return fleet_.close(id);  // pipelined: no peer of this tool does so
+        switch (parser_.parse(bytes)) {
+            case tools::HttpMessageParser::Result::incomplete:
+                return;
+            case tools::HttpMessageParser::Result::complete:
+                fleet_.counters_.malformed += parser_.has_trailing_bytes() ? 1 : 0;
+                return fleet_.on_request(*this);
+            case tools::HttpMessageParser::Result::malformed:
+                ++fleet_.counters_.malformed;
+                return fleet_.close(id);
         }
-        if (HTTP_PARSER_ERRNO(&parser_) == HPE_OK)
-            return;
-        ++fleet_.counts_.bad;
-        fleet_.gone(no);
     }
     void on_end(bool) override {
         stream = nullptr;
-        fleet_.gone(no);
+        fleet_.close(id);
     }
-    void answer(const char* status, const std::string& load, std::string_view text) {
-        std::string out = std::string("HTTP/1.1 ") + status + "\r\nEndpoint-Load-Metrics: " + load +
-                          "\r\nContent-Length: " + std::to_string(text.size()) +
-                          (stays ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n");
-        out.append(text);
+    void answer(const char* status, const std::string& load_report, std::string_view body) {
+        std::string response = std::string("HTTP/1.1 ") + status +
+                               "\r\nEndpoint-Load-Metrics: " + load_report +
+                               "\r\nContent-Length: " + std::to_string(body.size()) +
+                               (parser_.keeps_alive() ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n");
+        response.append(body);
         if (stream == nullptr)
             return;
-        if (!stream->write(out))
-            return fleet_.gone(no);
-        if (!stays)
+        if (!stream->write(response))
+            return fleet_.close(id);
+        if (!parser_.keeps_alive())
             stream->shut_down_writes();
     }
+    void close_stream() {
+        if (stream != nullptr)
+            std::exchange(stream, nullptr)->close();
+    }
+    const std::string& url() const { return parser_.url(); }
+    const std::string& body() const { return parser_.body(); }
 
-private:
-    static Connection& self(http_parser* p) { return *static_cast<Connection*>(p->data); }
-    Fleet& fleet_;
-    http_parser parser_{};
-    http_parser_settings hooks_{};
-
-public:
     const std::size_t server;
-    base::SlotId no = 0;
+    base::SlotId id = 0;
     net::Stream* stream = nullptr;
-    std::string url, body;
-    CallNo call = 0;  // that it waits for; 0: none
-    bool whole = false, stays = false;
+    /// The call that has no answer yet; 0: none.
+    CallId call = 0;
+
+private:
+    Fleet& fleet_;
+    tools::HttpMessageParser parser_{HTTP_REQUEST};
 };
 
-Fleet::Fleet(net::Loop& loop, base::TimerQueue& timers, Plan plan)
-    : loop_(loop), timers_(timers), plan_(std::move(plan)), random_(plan_.seed, 5) {
-    for (const Nature& n : plan_.servers)
-        queues_.emplace_back(n);
-    listeners_.resize(queues_.size());
-    ports_.resize(queues_.size());
-    calls_.resize(queues_.size());
-    for (std::size_t i = 0; i < queues_.size(); ++i)
+Fleet::Fleet(net::Loop& loop, base::TimerQueue& timers, FleetSpec spec)
+    : loop_(loop), timers_(timers), spec_(std::move(spec)), random_(spec_.seed, 5) {
+    for (const ServerProfile& profile : spec_.servers)
+        models_.emplace_back(profile);
+    listeners_.resize(models_.size());
+    ports_.resize(models_.size());
+    calls_by_server_.resize(models_.size());
+    for (std::size_t i = 0; i < models_.size(); ++i)
         listen(i);
 }
 
 Fleet::~Fleet() {
-    for (auto& [call, handle] : ends_)
-        timers_.cancel(handle);
-    for (auto& [server, handle] : back_)
-        timers_.cancel(handle);
-    timers_.cancel(look_);
-    timers_.cancel(sweep_);
+    for (auto& [call, timer] : finish_timers_)
+        timers_.cancel(timer);
+    for (auto& [server, timer] : restart_timers_)
+        timers_.cancel(timer);
+    timers_.cancel(sample_timer_);
 }
 
 void Fleet::listen(std::size_t server) {
-    const std::string& where = plan_.addresses.at(server);
-    const std::string again = where.substr(0, where.rfind(':') + 1) + std::to_string(ports_[server]);
-    listeners_[server] =
-        std::make_unique<net::Listener>(loop_.uv(), *net::Address::parse(ports_[server] == 0 ? where : again),
-                                        [this, server] { take(server); });
+    // After a restart it listens at the port that the kernel chose the first time.
+    const std::string text = ports_[server] == 0 ? spec_.addresses.at(server) : address(server);
+    listeners_[server] = std::make_unique<net::Listener>(loop_.uv(), *net::Address::parse(text),
+                                                         [this, server] { accept(server); });
     ports_[server] = listeners_[server]->port();
 }
 
 std::string Fleet::address(std::size_t server) const {
-    const std::string& where = plan_.addresses.at(server);
-    return where.substr(0, where.rfind(':') + 1) + std::to_string(ports_[server]);
+    const std::string& configured = spec_.addresses.at(server);
+    return configured.substr(0, configured.rfind(':') + 1) + std::to_string(ports_[server]);
 }
 
-void Fleet::take(std::size_t server) {
-    for (std::size_t n = 0; n < most_accepts; ++n) {
-        auto made = std::make_unique<Connection>(*this, server);
-        Connection& c = *made;
-        c.no = connections_.add(std::move(made));
-        c.stream = net::Stream::accept(*listeners_[server], c);
-        if (c.stream == nullptr)
-            return connections_.erase(c.no);
+void Fleet::accept(std::size_t server) {
+    for (std::size_t n = 0; n < max_accepts_per_event; ++n) {
+        auto owned = std::make_unique<Connection>(*this, server);
+        Connection& connection = *owned;
+        connection.id = connections_.add(std::move(owned));
+        connection.stream = net::Stream::accept(*listeners_[server], connection);
+        if (connection.stream == nullptr)
+            return connections_.erase(connection.id);
     }
 }
 
-void Fleet::read(Connection& c) {
-    Queue& q = queues_[c.server];
+void Fleet::on_request(Connection& connection) {
+    ServerModel& model = models_[connection.server];
     const Timestamp now = loop_.unix_now();
-    if (c.url == "/healthz") {
-        ++counts_.probes;
-        return c.answer(q.failing() ? "503 x" : "200 x", load_balancing::format_load_report(q.probed(now)),
-                        "ok");
+    const std::string& url = connection.url();
+    if (url == "/healthz") {
+        ++counters_.probes;
+        return connection.answer(model.is_failing() ? "503 x" : "200 x",
+                                 load_balancing::format_load_report(model.answer_probe(now)), "ok");
     }
-    ++counts_.calls;
-    ++calls_[c.server];
-    if (plan_.once.count(c.url.substr(c.url.rfind('/') + 1)) != 0 && !seen_.insert(c.body).second)
-        ++counts_.doubled;
-    c.call = ++last_;
-    open_[c.call] = c.no;
-    follow(c.server, q.arrive(now, c.call, random_));
+    ++counters_.calls;
+    ++calls_by_server_[connection.server];
+    const std::string class_name = url.substr(url.rfind('/') + 1);
+    if (spec_.at_most_once_classes.count(class_name) != 0 && !seen_bodies_.insert(connection.body()).second)
+        ++counters_.duplicates;
+    connection.call = ++last_call_;
+    connection_by_call_[connection.call] = connection.id;
+    schedule_finish(connection.server, model.arrive(now, connection.call, random_));
 }
 
-void Fleet::follow(std::size_t server, const std::optional<Queue::Begun>& begun) {
-    if (!begun)
+void Fleet::schedule_finish(std::size_t server, const std::optional<ServerModel::ServiceStart>& start) {
+    if (!start)
         return;
-    ends_[begun->call] = timers_.schedule(begun->ends, [this, server, call = begun->call] {
-        ends_.erase(call);
-        const base::SlotId no = open_[call];
-        leave(server, call);
-        Connection* c = connections_.find(no);
-        if (c == nullptr)
-            return;
-        c->call = 0;
-        const bool bad = queues_[server].failing();
-        ++(bad ? counts_.errors : counts_.answers);
-        c->answer(bad ? "500 x" : "200 x", load_balancing::format_load_report(queues_[server].load()),
-                  bad ? "no" : "ok");
-    });
+    finish_timers_[start->call] = timers_.schedule(
+        start->finishes_at, [this, server, call = start->call] { on_service_finished(server, call); });
 }
 
-void Fleet::leave(std::size_t server, CallNo call) {
-    open_.erase(call);
-    if (const auto it = ends_.find(call); it != ends_.end()) {
+void Fleet::on_service_finished(std::size_t server, CallId call) {
+    finish_timers_.erase(call);
+    const base::SlotId id = connection_by_call_[call];
+    depart(server, call);
+    Connection* connection = connections_.find(id);
+    if (connection == nullptr)
+        return;
+    connection->call = 0;
+    const bool failing = models_[server].is_failing();
+    ++(failing ? counters_.errors : counters_.answers);
+    connection->answer(failing ? "500 x" : "200 x",
+                       load_balancing::format_load_report(models_[server].load_report()),
+                       failing ? "no" : "ok");
+}
+
+void Fleet::depart(std::size_t server, CallId call) {
+    connection_by_call_.erase(call);
+    if (const auto it = finish_timers_.find(call); it != finish_timers_.end()) {
         timers_.cancel(it->second);
-        ends_.erase(it);
+        finish_timers_.erase(it);
     }
-    follow(server, queues_[server].leave(loop_.unix_now(), call, random_));
+    schedule_finish(server, models_[server].depart(loop_.unix_now(), call, random_));
 }
 
-void Fleet::gone(base::SlotId no) {
-    Connection* c = connections_.find(no);
-    if (c == nullptr)
+void Fleet::close(base::SlotId id) {
+    Connection* connection = connections_.find(id);
+    if (connection == nullptr)
         return;
-    if (c->call != 0) {
-        ++counts_.given_up;
-        leave(c->server, c->call);
+    if (connection->call != 0) {
+        ++counters_.abandoned;
+        depart(connection->server, connection->call);
     }
-    c->call = 0;
-    if (c->stream != nullptr)
-        std::exchange(c->stream, nullptr)->close();
-    over_.push_back(no);
-    if (sweep_ != 0)
-        return;
-    sweep_ = timers_.schedule(Timestamp(0), [this] {
-        sweep_ = 0;
-        for (const base::SlotId over : std::exchange(over_, {}))
-            connections_.erase(over);
-    });
+    connection->call = 0;
+    connection->close_stream();
+    closed_connections_.erase(id);
 }
 
-void Fleet::restart(std::size_t server, Duration gone_for) {
+void Fleet::restart(std::size_t server, Duration downtime) {
     listeners_.at(server).reset();
-    for (const base::SlotId no : connections_.ids())
-        if (Connection* c = connections_.find(no); c->server == server)
-            gone(no);
-    auto& back = back_[server];
-    timers_.cancel(back);
-    back = timers_.schedule(loop_.unix_now() + gone_for, [this, server] {
-        back_.erase(server);
-        queues_[server].restart(loop_.unix_now());
+    for (const base::SlotId id : connections_.ids())
+        if (connections_.find(id)->server == server)
+            close(id);
+    auto& timer = restart_timers_[server];
+    timers_.cancel(timer);
+    timer = timers_.schedule(loop_.unix_now() + downtime, [this, server] {
+        restart_timers_.erase(server);
+        models_[server].restart(loop_.unix_now());
         listen(server);
     });
 }
 
-void Fleet::observe(bool on) {
-    timers_.cancel(look_);
-    look_ = 0;
-    if (!on)
+void Fleet::set_monitoring(bool enabled) {
+    timers_.cancel(sample_timer_);
+    sample_timer_ = 0;
+    if (!enabled)
         return;
-    observer_ = Observer();
-    next_look_ = loop_.unix_now();
-    look();
+    monitor_ = LoadImbalanceMonitor();
+    next_sample_at_ = loop_.unix_now();
+    take_due_samples();
 }
 
-void Fleet::look() {
-    // Every one that was due is taken, late or not: a figure over time counts moments, not turns of the loop.
-    for (const Timestamp now = loop_.unix_now(); next_look_ <= now; next_look_ += look_every)
-        observer_.look(queues_);
-    look_ = timers_.schedule(next_look_, [this] { look(); });
+void Fleet::take_due_samples() {
+    // Every sample that was due is taken, late or not: a figure over time counts moments, not turns of the loop.
+    for (const Timestamp now = loop_.unix_now(); next_sample_at_ <= now; next_sample_at_ += sample_interval)
+        monitor_.sample(models_);
+    sample_timer_ = timers_.schedule(next_sample_at_, [this] { take_due_samples(); });
 }
 
 }  // namespace cressledge::fake_upstream
--- a/tools/fake_upstream/fleet.hpp
+++ b/tools/fake_upstream/fleet.hpp
@@ -1,5 +1,5 @@
-// A stand-in for the servers of an inventory: many HTTP/1.1 servers in one process, each a Queue on a listening socket of
-// its own, that say their load (load_balancing::report) in their answers. They slow down, fail and restart cold on command.
+/// Fake upstream servers: many HTTP/1.1 servers in one process, each a ServerModel on a listening socket of its own, that
+/// report their load (load_balancing::format_load_report) in their answers. They slow down, fail and restart on command.
 #pragma once
 
 #include <map>
@@ -9,73 +9,90 @@
 #include <vector>
 
 #include "base/slot_map.hpp"
-#include "fake_upstream/observer.hpp"
+#include "common/deferred_eraser.hpp"
+#include "fake_upstream/load_imbalance.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
 
 namespace cressledge::fake_upstream {
 
-struct Plan {
-    std::vector<Nature> servers;
-    std::vector<std::string> addresses;  // of each, with a port; port 0: the kernel chooses
-    std::set<std::string> once;  // classes of which no body may be read twice
+/// The servers of a fleet.
+struct FleetSpec {
+    std::vector<ServerProfile> servers;
+    /// Of each server, with a port; port 0: the kernel chooses.
+    std::vector<std::string> addresses;
+    /// Request classes of which no body may arrive twice.
+    std::set<std::string> at_most_once_classes;
     std::uint64_t seed = 1;
 };
 
+/// A running fleet; the destructor closes its listeners and connections.
 class Fleet {
 public:
-    Fleet(net::Loop& loop, base::TimerQueue& timers, Plan plan);
+    /// Throws std::runtime_error where an address cannot be bound.
+    Fleet(net::Loop& loop, base::TimerQueue& timers, FleetSpec spec);
     ~Fleet();
     Fleet(const Fleet&) = delete;
     Fleet& operator=(const Fleet&) = delete;
 
-    std::size_t size() const { return queues_.size(); }
+    std::size_t size() const { return models_.size(); }
+    /// The address of a server with the port it is bound to.
     std::string address(std::size_t server) const;
-    void slow(std::size_t server, double factor) { queues_.at(server).slow(factor); }
-    void fail(std::size_t server, bool on) { queues_.at(server).fail(on); }
-    void restart(std::size_t server, Duration gone_for);  // its connections break; it listens again, cold
-    void observe(bool on);  // from now on; what was seen before is forgotten when it is turned on
+    /// See ServerModel::set_slowdown.
+    void set_slowdown(std::size_t server, double factor) { models_.at(server).set_slowdown(factor); }
+    /// See ServerModel::set_failing.
+    void set_failing(std::size_t server, bool failing) { models_.at(server).set_failing(failing); }
+    /// Breaks the connections of a server and stops listening; it listens again, cold, after `downtime`.
+    void restart(std::size_t server, Duration downtime);
+    /// Starts the sampling of the imbalance anew, or stops it.
+    void set_monitoring(bool enabled);
 
-    struct Counts {
+    /// What has happened since the start.
+    struct Counters {
         std::uint64_t calls = 0, answers = 0, errors = 0, probes = 0;
-        std::uint64_t given_up = 0;  // calls whose connection ended first
-        std::uint64_t bad = 0;  // that no server understands
-        std::uint64_t doubled = 0;  // bodies of a class of `once` that came again
+        /// Calls whose connection ended before their answer.
+        std::uint64_t abandoned = 0;
+        /// Requests that are malformed or sent out of turn.
+        std::uint64_t malformed = 0;
+        /// Bodies of a class of `at_most_once_classes` that arrived again.
+        std::uint64_t duplicates = 0;
     };
-    const Counts& counts() const { return counts_; }
-    const std::vector<std::uint64_t>& calls() const { return calls_; }  // of each server
-    Evenness evenness() const { return observer_.result(); }
+    const Counters& counters() const { return counters_; }
+    /// Calls that each server has received.
+    const std::vector<std::uint64_t>& calls_by_server() const { return calls_by_server_; }
+    LoadImbalance load_imbalance() const { return monitor_.result(); }
 
 private:
     class Connection;
     void listen(std::size_t server);
-    void take(std::size_t server);
-    void read(Connection& c);
-    void follow(std::size_t server, const std::optional<Queue::Begun>& begun);
-    void end(CallNo call);
-    void leave(std::size_t server, CallNo call);
-    void gone(base::SlotId no);
-    void look();
+    void accept(std::size_t server);
+    void on_request(Connection& connection);
+    void schedule_finish(std::size_t server, const std::optional<ServerModel::ServiceStart>& start);
+    void on_service_finished(std::size_t server, CallId call);
+    void depart(std::size_t server, CallId call);
+    void close(base::SlotId id);
+    void take_due_samples();
 
     net::Loop& loop_;
     base::TimerQueue& timers_;
-    const Plan plan_;
+    const FleetSpec spec_;
     Random random_;
-    std::vector<Queue> queues_;
+    std::vector<ServerModel> models_;
     std::vector<std::unique_ptr<net::Listener>> listeners_;
     std::vector<int> ports_;
     base::SlotMap<Connection> connections_;
-    std::map<CallNo, base::SlotId> open_;  // calls that a connection waits for
-    std::map<CallNo, base::TimerQueue::Handle> ends_;
-    std::map<std::size_t, base::TimerQueue::Handle> back_;
-    std::set<std::string> seen_;
-    CallNo last_ = 0;
-    base::TimerQueue::Handle look_ = 0, sweep_ = 0;
-    std::vector<base::SlotId> over_;  // freed on the next turn: their own code may be on the stack
-    Timestamp next_look_{0};
-    Observer observer_;
-    Counts counts_;
-    std::vector<std::uint64_t> calls_;
+    tools::DeferredEraser<Connection> closed_connections_{timers_, connections_};
+    /// The connection that waits for each call.
+    std::map<CallId, base::SlotId> connection_by_call_;
+    std::map<CallId, base::TimerQueue::Handle> finish_timers_;
+    std::map<std::size_t, base::TimerQueue::Handle> restart_timers_;
+    std::set<std::string> seen_bodies_;
+    CallId last_call_ = 0;
+    base::TimerQueue::Handle sample_timer_ = 0;
+    Timestamp next_sample_at_{0};
+    LoadImbalanceMonitor monitor_;
+    Counters counters_;
+    std::vector<std::uint64_t> calls_by_server_;
 };
 
 }  // namespace cressledge::fake_upstream
