--- a/bench/load_spread_sim.cpp
+++ b/bench/load_spread_sim.cpp
@@ -112,8 +112,8 @@
         std::printf(
             "%4.0f%%  %-24s %9.3f %9.2f %7.3f %7.3f%% %8.1f %8.1f %8.2f "
             "%8.3f%% %9.2f %6.1f%%\n",
-            load_percent, word(choice), outcome.even.worst_p99, outcome.even.longest_over(2.0),
-            outcome.even.variation, 100.0 * outcome.even.idle, outcome.p50_ms, outcome.p99_ms,
+            load_percent, word(choice), outcome.even.peak_to_mean_p99, outcome.even.longest_time_above_s(2.0),
+            outcome.even.variation, 100.0 * outcome.even.idle_fraction, outcome.p50_ms, outcome.p99_ms,
             outcome.p99_ms / shortest_queue_p99_ms, 100.0 * outcome.errors,
             static_cast<double>(outcome.probes) / static_cast<double>(outcome.calls), 100.0 * outcome.moved);
         std::fflush(stdout);
