--- a/tests/policy/admission_controller_fixture.hpp
+++ b/tests/policy/admission_controller_fixture.hpp
@@ -15,35 +15,39 @@
 
 using namespace cressledge::policy;
 using namespace std::chrono_literals;
-using Take = cressledge::policy::Run;  // Test::Run hides the plain name
+/// The action that starts a run. In the body of a test the name `Run` is that of testing::Test::Run.
+using StartRun = cressledge::policy::Run;
 
+/// Two cores; three classes: `read` may be repeated, `buy` with an idempotency key, `enter` never.
 inline Settings test_settings() {
-    Settings s;
-    s.classes.resize(3);
-    s.classes[0] = {"read", Idempotency::always, 1.0, 0.0, 1s, 4s, 0s, true, 0.5};
-    s.classes[1] = {"buy", Idempotency::with_key, 1.0, 0.0, 1s, 4s, 20s, true, 0.0};
-    s.classes[2] = {"enter", Idempotency::never, 10.0, 0.0, 1s, 4s, 0s, true, 0.0};
-    s.cores = 2;
-    s.memory_kb = 4000;
-    s.running_memory_factor = 4;
-    s.idempotency_key_kb = 2;
-    s.replica_count = 4;
-    s.caller_count = 2;
-    s.dependency = Dependency::shared_service;
-    s.dependency_call_quota = 6;
-    s.abandoned_call_grace = 200ms;
-    s.preemption = Preemption::discard;
-    s.cold_start_speed = 0.2;
-    s.warm_up_duration = 10s;
-    s.drain_grace = 2s;
-    s.max_runnable_per_core = 6;
-    s.answer_slack = 60ms;
-    s.max_retry_after = 1s;
-    return s;
+    Settings settings;
+    settings.classes.resize(3);
+    settings.classes[0] = {"read", Idempotency::always, 1.0, 0.0, 1s, 4s, 0s, true, 0.5};
+    settings.classes[1] = {"buy", Idempotency::with_key, 1.0, 0.0, 1s, 4s, 20s, true, 0.0};
+    settings.classes[2] = {"enter", Idempotency::never, 10.0, 0.0, 1s, 4s, 0s, true, 0.0};
+    settings.cores = 2;
+    settings.memory_kb = 4000;
+    settings.running_memory_factor = 4;
+    settings.idempotency_key_kb = 2;
+    settings.replica_count = 4;
+    settings.caller_count = 2;
+    settings.dependency = Dependency::shared_service;
+    settings.dependency_call_quota = 6;
+    settings.abandoned_call_grace = 200ms;
+    settings.preemption = Preemption::discard;
+    settings.cold_start_speed = 0.2;
+    settings.warm_up_duration = 10s;
+    settings.drain_grace = 2s;
+    settings.max_runnable_per_core = 6;
+    settings.answer_slack = 60ms;
+    settings.max_retry_after = 1s;
+    return settings;
 }
 
-struct RecordingHost {  // carries out nothing: it records what the controller asks for
-    explicit RecordingHost(const Settings& s) : controller(make_admission_controller(s, 1)) {
+/// A host of one controller that executes nothing: it records the actions, and delivers timers as the test moves the
+/// clock.
+struct RecordingHost {
+    explicit RecordingHost(const Settings& settings) : controller(make_admission_controller(settings, 1)) {
         send(Started{});
     }
     std::vector<Action> send(const Event& e) {
@@ -52,13 +56,10 @@
         recorded_actions.insert(recorded_actions.end(), actions.begin(), actions.end());
         for (const Action& a : actions)
             if (const auto* w = std::get_if<ScheduleTimer>(&a))
-                wakes.push_back({now + w->delay, w->token});
+                pending_timers.push_back({now + w->delay, w->token});
         return actions;
     }
-    std::vector<Action> send_at(Timestamp t, const Event& e) {
-        now = t;
-        return send(e);
-    }
+    /// An arrival of a request with 20 kB reserved; returns the actions that follow.
     std::vector<Action> request(RequestId id, std::size_t class_index, RequestId repeated_id = 0,
                                 Duration age = 0s) {
         RequestArrived r;
@@ -69,14 +70,15 @@
         r.age = age;
         return send(r);
     }
+    /// Moves the clock to `until` and delivers the timers that are due on the way, with these gauges.
     void advance_until(Timestamp until, double cpu = 1.0, std::optional<double> runnable = {},
-                       std::optional<double> connections = {}) {  // delivers the timers that were asked for
+                       std::optional<double> connections = {}) {
         for (;;) {
-            const auto next = std::min_element(wakes.begin(), wakes.end());
-            if (next == wakes.end() || next->first > until)
+            const auto next = std::min_element(pending_timers.begin(), pending_timers.end());
+            if (next == pending_timers.end() || next->first > until)
                 break;
             const auto [when, token] = *next;
-            wakes.erase(next);
+            pending_timers.erase(next);
             now = std::max(now, when);
             TimerFired t;
             t.token = token;
@@ -87,6 +89,7 @@
         }
         now = until;
     }
+    /// Number of recorded actions of one type for a request.
     template <class A>
     long count(RequestId id) const {
         return std::count_if(recorded_actions.begin(), recorded_actions.end(), [&](const Action& a) {
@@ -94,6 +97,7 @@
             return x != nullptr && x->id == id;
         });
     }
+    /// The last recorded action of one type; null: there is none.
     template <class A>
     const A* last() const {
         for (auto it = recorded_actions.rbegin(); it != recorded_actions.rend(); ++it)
@@ -101,11 +105,12 @@
                 return x;
         return nullptr;
     }
+    /// Final answers without a result: rejections and failures.
     long answer_count(RequestId id) const { return count<Reject>(id) + count<Fail>(id); }
 
     std::unique_ptr<AdmissionController> controller;
     std::vector<Action> recorded_actions;
-    std::vector<std::pair<Timestamp, std::uint32_t>> wakes;
+    std::vector<std::pair<Timestamp, std::uint32_t>> pending_timers;
     Timestamp now{1s};
 };
 
--- a/tests/policy/admission_controller_test.cpp
+++ b/tests/policy/admission_controller_test.cpp
@@ -12,41 +12,41 @@
 using namespace std::chrono_literals;
 
 TEST(ContractTest, EventsForUnknownRequestsChangeNothing) {
-    RecordingHost h(test_settings());
+    RecordingHost host(test_settings());
     for (const Event& e : std::vector<Event>{RunFinished{7, Outcome::ok}, DependencyCallRequested{7},
                                              DependencyCallFinished{7, Outcome::ok, 1ms}, Cancelled{7}})
-        EXPECT_TRUE(h.send(e).empty());
+        EXPECT_TRUE(host.send(e).empty());
 }
 
 TEST(ContractTest, ZeroAndOneOfEverythingIsServed) {  // no replicas or callers given, no quota, one core
-    Settings s = test_settings();
-    s.replica_count = s.caller_count = 0;
-    s.tenants = {{"none", 0.0}};
-    s.cores = 1;
-    s.dependency_call_quota = 0;
-    RecordingHost h(s);
+    Settings settings = test_settings();
+    settings.replica_count = settings.caller_count = 0;
+    settings.tenants = {{"none", 0.0}};
+    settings.cores = 1;
+    settings.dependency_call_quota = 0;
+    RecordingHost host(settings);
     for (RequestId id = 1; id <= 20; ++id) {
         RequestArrived r;
         r.id = id;
         r.class_index = id % 3;
         r.tenant_index = 0;
         r.reserved_kb = 20;
-        h.send(r);
+        host.send(r);
     }
-    EXPECT_EQ(h.count<Take>(3), 1);  // earns without the call that cannot be had
-    h.advance_until(20s);
+    EXPECT_EQ(host.count<StartRun>(3), 1);  // earns without the call that cannot be had
+    host.advance_until(20s);
     for (RequestId id = 1; id <= 20; ++id)
-        EXPECT_GE(h.answer_count(id), 1) << id;  // nobody finished: all are answered
+        EXPECT_GE(host.answer_count(id), 1) << id;  // nobody finished: all are answered
 }
 
 TEST(ContractTest, TimeGoingBackwardsIsHarmless) {
-    RecordingHost h(test_settings());
-    h.request(1, 0);
-    h.now = Timestamp(200ms);
-    h.request(2, 0);
-    h.now = Timestamp(1100ms);
-    h.send(RunFinished{1, Outcome::ok});
-    EXPECT_EQ(h.count<Take>(2), 1);
+    RecordingHost host(test_settings());
+    host.request(1, 0);
+    host.now = Timestamp(200ms);
+    host.request(2, 0);
+    host.now = Timestamp(1100ms);
+    host.send(RunFinished{1, Outcome::ok});
+    EXPECT_EQ(host.count<StartRun>(2), 1);
 }
 
 TEST(ContractTest, SameEventsSameActions) {
@@ -62,29 +62,29 @@
 
 // A soak of 45 minutes asked for 2,200 timers a second by its end: each that came asked for a later one again.
 TEST(TimersTest, RateStaysTheSameOverALongBusyDay) {
-    Settings s = test_settings();
-    s.classes[0].latency_objective = 300ms;  // its alarms come before those that stand for the others
-    s.classes[0].answer_deadline = 900ms;
-    RecordingHost h(s);
+    Settings settings = test_settings();
+    settings.classes[0].latency_objective = 300ms;  // its alarms come before those that stand for the others
+    settings.classes[0].answer_deadline = 900ms;
+    RecordingHost host(settings);
     RequestId id = 0;
     const auto minute = [&] {
-        const std::size_t before = h.recorded_actions.size();
+        const std::size_t before = host.recorded_actions.size();
         for (int i = 0; i < 600; ++i) {
             ++id;
-            h.request(id, id % 3);
-            h.advance_until(h.now + 100ms);
+            host.request(id, id % 3);
+            host.advance_until(host.now + 100ms);
             if (id > 3)
-                h.send(RunFinished{id - 3, Outcome::ok});
+                host.send(RunFinished{id - 3, Outcome::ok});
         }
-        return std::count_if(h.recorded_actions.begin() + static_cast<std::ptrdiff_t>(before),
-                             h.recorded_actions.end(),
+        return std::count_if(host.recorded_actions.begin() + static_cast<std::ptrdiff_t>(before),
+                             host.recorded_actions.end(),
                              [](const Action& a) { return std::holds_alternative<ScheduleTimer>(a); });
     };
     const auto first = minute();
     for (int i = 0; i < 8; ++i)
         minute();
     EXPECT_LE(minute(), first + first / 10);
-    EXPECT_LE(h.wakes.size(), 4U);
+    EXPECT_LE(host.pending_timers.size(), 4U);
 }
 
 }  // namespace
--- a/tests/policy/concurrency_limiter_test.cpp
+++ b/tests/policy/concurrency_limiter_test.cpp
@@ -10,60 +10,60 @@
 using namespace std::chrono_literals;
 
 TEST(ConcurrencyLimiterTest, StartsAtTheCoreCountAndGrowsWhileCoresIdle) {
-    RecordingHost h(test_settings());
+    RecordingHost host(test_settings());
     for (RequestId id = 1; id <= 3; ++id)
-        h.request(id, 0);
-    EXPECT_EQ(h.count<Take>(1) + h.count<Take>(2) + h.count<Take>(3), 2);
-    h.advance_until(1200ms, 0.5);
-    EXPECT_EQ(h.count<Take>(3), 1);
+        host.request(id, 0);
+    EXPECT_EQ(host.count<StartRun>(1) + host.count<StartRun>(2) + host.count<StartRun>(3), 2);
+    host.advance_until(1200ms, 0.5);
+    EXPECT_EQ(host.count<StartRun>(3), 1);
 }
 
 TEST(ConcurrencyLimiterTest,
      GrowsToFullCoresUnderPressureOnly) {  // mixco quiet: large requests late beside a third run
-    RecordingHost light(test_settings());
+    RecordingHost lightly_loaded(test_settings());
     for (RequestId id = 1; id <= 3; ++id)
-        light.request(id, 0);
-    light.advance_until(1200ms, 0.85);
-    EXPECT_EQ(light.count<Take>(3), 0);
-    RecordingHost pressed(test_settings());
+        lightly_loaded.request(id, 0);
+    lightly_loaded.advance_until(1200ms, 0.85);
+    EXPECT_EQ(lightly_loaded.count<StartRun>(3), 0);
+    RecordingHost overloaded(test_settings());
     for (RequestId id = 1; id <= 40; ++id)
-        pressed.request(id, 0);
-    pressed.advance_until(1400ms, 0.85);  // a period has shown what is asked for
+        overloaded.request(id, 0);
+    overloaded.advance_until(1400ms, 0.85);  // a period has shown what is asked for
     for (RequestId id = 41; id <= 60; ++id)
-        pressed.request(id, 0);
-    pressed.advance_until(1700ms, 0.85);
-    long begun = 0;
+        overloaded.request(id, 0);
+    overloaded.advance_until(1700ms, 0.85);
+    long started = 0;
     for (RequestId id = 1; id <= 60; ++id)
-        begun += pressed.count<Take>(id);
-    EXPECT_GT(begun, 2);
+        started += overloaded.count<StartRun>(id);
+    EXPECT_GT(started, 2);
 }
 
 TEST(ConcurrencyLimiterTest, RequestsAwaitingACallDoNotCount) {
-    RecordingHost h(test_settings());
+    RecordingHost host(test_settings());
     for (RequestId id = 1; id <= 3; ++id)
-        h.request(id, 0);
-    h.send(DependencyCallRequested{1});
-    EXPECT_EQ(h.count<CallDependency>(1), 1);
-    EXPECT_EQ(h.count<Take>(3), 1);
+        host.request(id, 0);
+    host.send(DependencyCallRequested{1});
+    EXPECT_EQ(host.count<CallDependency>(1), 1);
+    EXPECT_EQ(host.count<StartRun>(3), 1);
 }
 
 TEST(ConcurrencyLimiterTest,
      RunsThatWaitForADiskLeaveTheirCoreToOthers) {  // mixco overload: cores at 58 to 85%
     RecordingHost busy(test_settings()), waiting(test_settings());
-    const auto load = [](RecordingHost& h, double runnable) {
+    const auto load = [](RecordingHost& host, double runnable) {
         for (RequestId id = 1; id <= 60; ++id) {
-            h.request(id, 0);
+            host.request(id, 0);
             if (id > 2)
-                h.send(RunFinished{id - 2, Outcome::ok});
-            h.advance_until(h.now + 150ms, 1.0, runnable);
+                host.send(RunFinished{id - 2, Outcome::ok});
+            host.advance_until(host.now + 150ms, 1.0, runnable);
         }
         long before = 0, after = 0;
-        for (const Action& a : h.recorded_actions)
-            before += std::holds_alternative<Take>(a);
+        for (const Action& a : host.recorded_actions)
+            before += std::holds_alternative<StartRun>(a);
         for (RequestId id = 101; id <= 106; ++id)
-            h.request(id, 0);
-        for (const Action& a : h.recorded_actions)
-            after += std::holds_alternative<Take>(a);
+            host.request(id, 0);
+        for (const Action& a : host.recorded_actions)
+            after += std::holds_alternative<StartRun>(a);
         return after - before;
     };
     const long with_cores = load(busy, 2.0), with_disk = load(waiting, 0.5);
@@ -72,18 +72,18 @@
 
 // Found by the random run: repeats that wait took memory without limit.
 TEST(MemoryTest, RepeatsOfOneRunStayUnderTheLimit) {
-    Settings s = test_settings();
-    s.memory_kb = 600;
-    RecordingHost h(s);
-    h.request(1, 1);
-    ASSERT_EQ(h.count<Take>(1), 1);
+    Settings settings = test_settings();
+    settings.memory_kb = 600;
+    RecordingHost host(settings);
+    host.request(1, 1);
+    ASSERT_EQ(host.count<StartRun>(1), 1);
     for (RequestId id = 2; id <= 80; ++id)
-        h.request(id, 1, 1);
+        host.request(id, 1, 1);
     long waiting = 0, failed = 0, rejected = 0;
     for (RequestId id = 2; id <= 80; ++id) {
-        waiting += h.count<ReplayResult>(id);
-        failed += h.count<Fail>(id);
-        rejected += h.count<Reject>(id);
+        waiting += host.count<ReplayResult>(id);
+        failed += host.count<Fail>(id);
+        rejected += host.count<Reject>(id);
     }
     EXPECT_LE(20 * 4 + 20 * waiting + 2, 600);
     EXPECT_EQ(waiting + failed, 79);
@@ -91,35 +91,35 @@
 }
 
 TEST(MemoryTest, StaysUnderTheLimit) {
-    Settings s = test_settings();
-    s.memory_kb = 500;
-    RecordingHost h(s);
+    Settings settings = test_settings();
+    settings.memory_kb = 500;
+    RecordingHost host(settings);
     double used_kb = 0.0;
     for (RequestId id = 1; id <= 40; ++id) {
-        h.request(id, id % 2 == 0 ? 1 : 2);
+        host.request(id, id % 2 == 0 ? 1 : 2);
         used_kb = 0.0;
         for (RequestId i = 1; i <= id; ++i)
-            if (h.answer_count(i) == 0)
-                used_kb += 20 * (h.count<Take>(i) ? 4 : 1) + (h.count<RetainKey>(i) ? 2 : 0);
-        ASSERT_LE(used_kb, s.memory_kb) << id;
+            if (host.answer_count(i) == 0)
+                used_kb += 20 * (host.count<StartRun>(i) ? 4 : 1) + (host.count<RetainKey>(i) ? 2 : 0);
+        ASSERT_LE(used_kb, settings.memory_kb) << id;
     }
-    EXPECT_GT(used_kb, 0.3 * s.memory_kb);
+    EXPECT_GT(used_kb, 0.3 * settings.memory_kb);
 }
 
 TEST(MaxInFlightTest, CountsRequestsAwaitingCallsAsTheyMayReturnAtOnce) {
-    Settings s = test_settings();
-    s.cold_start = true;  // a fifth of the speed: (1 + 5 x 0.2) x 2 cores = 4
-    s.memory_kb = 1e6;
-    s.dependency = Dependency::upstream_tier;
-    RecordingHost h(s);
+    Settings settings = test_settings();
+    settings.cold_start = true;  // a fifth of the speed: (1 + 5 x 0.2) x 2 cores = 4
+    settings.memory_kb = 1e6;
+    settings.dependency = Dependency::upstream_tier;
+    RecordingHost host(settings);
     for (RequestId id = 1; id <= 12; ++id) {
-        h.request(id, 2);
-        if (h.count<Take>(id))
-            h.send(DependencyCallRequested{id});
+        host.request(id, 2);
+        if (host.count<StartRun>(id))
+            host.send(DependencyCallRequested{id});
     }
     long run = 0;
     for (RequestId id = 1; id <= 12; ++id)
-        run += h.count<Take>(id);
+        run += host.count<StartRun>(id);
     EXPECT_LE(run, 4);
     EXPECT_GE(run, 2);
 }
--- a/tests/policy/drain_test.cpp
+++ b/tests/policy/drain_test.cpp
@@ -10,54 +10,54 @@
 using namespace std::chrono_literals;
 
 TEST(DrainTest, NothingRunsThatCameLaterThanTheGrace) {
-    RecordingHost h(test_settings());
-    h.send(DrainStarted{h.now + 5s});
-    h.advance_until(3100ms, 0.0);
-    h.request(1, 0);
-    EXPECT_EQ(h.count<Take>(1), 0);
-    EXPECT_EQ(h.count<Reject>(1), 1);
+    RecordingHost host(test_settings());
+    host.send(DrainStarted{host.now + 5s});
+    host.advance_until(3100ms, 0.0);
+    host.request(1, 0);
+    EXPECT_EQ(host.count<StartRun>(1), 0);
+    EXPECT_EQ(host.count<Reject>(1), 1);
 }
 
 TEST(DrainTest, AllRequestsAreAnsweredBeforeTheDeadline) {
-    Settings s = test_settings();
-    s.preemption = Preemption::none;
-    RecordingHost h(s);
+    Settings settings = test_settings();
+    settings.preemption = Preemption::none;
+    RecordingHost host(settings);
     for (RequestId id = 1; id <= 3; ++id)
-        h.request(id, 1);
-    h.send(DrainStarted{h.now + 800ms});
-    h.advance_until(1800ms);
+        host.request(id, 1);
+    host.send(DrainStarted{host.now + 800ms});
+    host.advance_until(1800ms);
     for (RequestId id = 1; id <= 3; ++id)
-        EXPECT_EQ(h.answer_count(id), 1) << id;
-    EXPECT_FALSE(h.last<SetHealth>()->healthy);
+        EXPECT_EQ(host.answer_count(id), 1) << id;
+    EXPECT_FALSE(host.last<SetHealth>()->healthy);
 }
 
 // Found by the random run: what waited for the run it repeats, or at a call, was answered at its due time only.
 TEST(DrainTest, WhatAwaitsAResultOrACallIsAnsweredBeforeTheDeadlineToo) {
-    RecordingHost h(test_settings());
-    h.request(1, 1);
-    ASSERT_EQ(h.count<Take>(1), 1);
-    h.request(5, 0);
-    ASSERT_EQ(h.count<Take>(5), 1);
-    const Timestamp stop = h.now + 500ms;
-    h.send(DrainStarted{stop});
-    h.request(2, 1, 1);  // repeats the one that runs
-    EXPECT_EQ(h.count<ReplayResult>(2), 1);
-    h.send(DependencyCallRequested{5});
-    h.advance_until(stop - 50ms);
-    EXPECT_EQ(h.answer_count(1), 1);
-    EXPECT_EQ(h.answer_count(2), 1);
-    EXPECT_EQ(h.answer_count(5), 1);
+    RecordingHost host(test_settings());
+    host.request(1, 1);
+    ASSERT_EQ(host.count<StartRun>(1), 1);
+    host.request(5, 0);
+    ASSERT_EQ(host.count<StartRun>(5), 1);
+    const Timestamp stop = host.now + 500ms;
+    host.send(DrainStarted{stop});
+    host.request(2, 1, 1);  // repeats the one that runs
+    EXPECT_EQ(host.count<ReplayResult>(2), 1);
+    host.send(DependencyCallRequested{5});
+    host.advance_until(stop - 50ms);
+    EXPECT_EQ(host.answer_count(1), 1);
+    EXPECT_EQ(host.answer_count(2), 1);
+    EXPECT_EQ(host.answer_count(5), 1);
 }
 
 TEST(DrainTest, ASecondNoticeDoesNotRenewTheGrace) {
-    RecordingHost h(test_settings());
-    h.advance_until(1200ms);
-    h.send(DrainStarted{h.now + 20s});
-    h.advance_until(h.now + 1500ms);
-    h.send(DrainStarted{h.now + 20s});
-    h.advance_until(h.now + 1s);
-    h.request(1, 0);
-    EXPECT_EQ(h.count<Reject>(1), 1);  // 2.5 s after the first notice, at a grace of 2 s
+    RecordingHost host(test_settings());
+    host.advance_until(1200ms);
+    host.send(DrainStarted{host.now + 20s});
+    host.advance_until(host.now + 1500ms);
+    host.send(DrainStarted{host.now + 20s});
+    host.advance_until(host.now + 1s);
+    host.request(1, 0);
+    EXPECT_EQ(host.count<Reject>(1), 1);  // 2.5 s after the first notice, at a grace of 2 s
 }
 
 }  // namespace
--- a/tests/policy/failure_detector_test.cpp
+++ b/tests/policy/failure_detector_test.cpp
@@ -10,110 +10,110 @@
 using namespace std::chrono_literals;
 
 TEST(FailureDetectorTest, FailingServerRejectsWhatMayRunOnceAndProbesWithTheRest) {
-    RecordingHost h(test_settings());
+    RecordingHost host(test_settings());
     for (RequestId id = 1; id <= 8; ++id) {
-        h.request(id, 0);
-        h.send(RunFinished{id, Outcome::error});
+        host.request(id, 0);
+        host.send(RunFinished{id, Outcome::error});
     }
-    h.advance_until(1400ms, 0.1);
-    EXPECT_FALSE(h.last<SetHealth>()->healthy);
-    h.request(20, 2);
-    EXPECT_EQ(h.count<Reject>(20), 1);
-    EXPECT_EQ(h.last<Reject>()->retry_after, Duration(1s));
-    h.request(21, 0);
-    EXPECT_EQ(h.count<Take>(21), 1);
+    host.advance_until(1400ms, 0.1);
+    EXPECT_FALSE(host.last<SetHealth>()->healthy);
+    host.request(20, 2);
+    EXPECT_EQ(host.count<Reject>(20), 1);
+    EXPECT_EQ(host.last<Reject>()->retry_after, Duration(1s));
+    host.request(21, 0);
+    EXPECT_EQ(host.count<StartRun>(21), 1);
     for (RequestId id = 30; id <= 60; ++id) {  // it recovers by its probes
-        h.advance_until(h.now + 250ms, 0.1);
-        h.request(id, 0);
-        if (h.count<Take>(id))
-            h.send(RunFinished{id, Outcome::ok});
+        host.advance_until(host.now + 250ms, 0.1);
+        host.request(id, 0);
+        if (host.count<StartRun>(id))
+            host.send(RunFinished{id, Outcome::ok});
     }
-    h.advance_until(h.now + 250ms, 0.1);
-    EXPECT_TRUE(h.last<SetHealth>()->healthy);
-    h.request(99, 2);
-    EXPECT_EQ(h.count<Take>(99), 1);
+    host.advance_until(host.now + 250ms, 0.1);
+    EXPECT_TRUE(host.last<SetHealth>()->healthy);
+    host.request(99, 2);
+    EXPECT_EQ(host.count<StartRun>(99), 1);
 }
 
 TEST(FailureDetectorTest, FailuresOfTheDependencyDoNotCount) {
-    RecordingHost h(test_settings());
+    RecordingHost host(test_settings());
     for (RequestId id = 1; id <= 20; ++id) {
-        h.request(id, 2);
-        h.send(DependencyCallRequested{id});
-        h.send(DependencyCallFinished{id, Outcome::error, 5ms});
-        h.send(RunFinished{id, Outcome::cancelled});
+        host.request(id, 2);
+        host.send(DependencyCallRequested{id});
+        host.send(DependencyCallFinished{id, Outcome::error, 5ms});
+        host.send(RunFinished{id, Outcome::cancelled});
     }
-    h.advance_until(1400ms, 0.1);
-    EXPECT_TRUE(h.last<SetHealth>()->healthy);
+    host.advance_until(1400ms, 0.1);
+    EXPECT_TRUE(host.last<SetHealth>()->healthy);
 }
 
 TEST(FailureDetectorTest, HungServerRejectsUntilARunEnds) {
-    Settings s = test_settings();
-    s.classes[0].latency_objective = 8s;
-    s.classes[0].answer_deadline = 9s;
-    RecordingHost h(s);
-    h.request(1, 0);
-    h.advance_until(14s);
-    h.recorded_actions.clear();
-    h.request(2, 0);
-    h.request(3, 0);
-    h.advance_until(22500ms);
-    h.request(4, 0);
-    EXPECT_EQ(h.count<Reject>(4), 1);
-    h.send(RunFinished{2, Outcome::cancelled});
-    h.send(RunFinished{1, Outcome::cancelled});
-    h.request(5, 0);
-    EXPECT_EQ(h.count<Take>(5), 1);
+    Settings settings = test_settings();
+    settings.classes[0].latency_objective = 8s;
+    settings.classes[0].answer_deadline = 9s;
+    RecordingHost host(settings);
+    host.request(1, 0);
+    host.advance_until(14s);
+    host.recorded_actions.clear();
+    host.request(2, 0);
+    host.request(3, 0);
+    host.advance_until(22500ms);
+    host.request(4, 0);
+    EXPECT_EQ(host.count<Reject>(4), 1);
+    host.send(RunFinished{2, Outcome::cancelled});
+    host.send(RunFinished{1, Outcome::cancelled});
+    host.request(5, 0);
+    EXPECT_EQ(host.count<StartRun>(5), 1);
 }
 
 TEST(FailureDetectorTest, WhatMayRunAgainIsAdmittedWhileMostRunsSucceed) {
-    RecordingHost h(test_settings());
+    RecordingHost host(test_settings());
     for (RequestId id = 1; id <= 40; ++id) {  // one in three fails
-        h.request(id, 0);
-        h.send(RunFinished{id, id % 3 == 0 ? Outcome::error : Outcome::ok});
+        host.request(id, 0);
+        host.send(RunFinished{id, id % 3 == 0 ? Outcome::error : Outcome::ok});
     }
-    h.advance_until(1400ms, 0.1);
-    h.request(50, 0);
-    h.request(51, 2);
-    EXPECT_EQ(h.count<Take>(50), 1);
-    EXPECT_EQ(h.count<Reject>(51), 1);
-    EXPECT_TRUE(h.last<SetHealth>()->healthy);
+    host.advance_until(1400ms, 0.1);
+    host.request(50, 0);
+    host.request(51, 2);
+    EXPECT_EQ(host.count<StartRun>(50), 1);
+    EXPECT_EQ(host.count<Reject>(51), 1);
+    EXPECT_TRUE(host.last<SetHealth>()->healthy);
 }
 
 TEST(StallDetectorTest, SlowedServerRejectsBeforeDearRunsComplete) {
-    RecordingHost h(test_settings());
+    RecordingHost host(test_settings());
     RequestId id = 0;
     for (int i = 0; i < 40; ++i) {  // ten a second, each done at once
-        h.advance_until(h.now + 100ms);
-        h.request(++id, 0);
-        h.advance_until(h.now + 50ms);
-        h.send(RunFinished{id, Outcome::ok});
+        host.advance_until(host.now + 100ms);
+        host.request(++id, 0);
+        host.advance_until(host.now + 50ms);
+        host.send(RunFinished{id, Outcome::ok});
     }
-    EXPECT_EQ(h.count<Reject>(id), 0);
+    EXPECT_EQ(host.count<Reject>(id), 0);
     for (int i = 0; i < 12; ++i) {  // now nothing completes
-        h.advance_until(h.now + 60ms);
-        h.request(++id, 0);
+        host.advance_until(host.now + 60ms);
+        host.request(++id, 0);
     }
-    EXPECT_EQ(h.count<Reject>(id), 1);
+    EXPECT_EQ(host.count<Reject>(id), 1);
 }
 
 TEST(ProcessPauseTest, IsNotLearnedAsDearWork) {
     const auto rejected = [](bool pauses) {
-        RecordingHost h(test_settings());
+        RecordingHost host(test_settings());
         RequestId id = 0;
         for (int i = 0; i < 40; ++i) {
-            h.request(++id, 0);
-            h.advance_until(h.now + 100ms);
+            host.request(++id, 0);
+            host.advance_until(host.now + 100ms);
             if (pauses)
-                h.now += 270ms;  // nothing comes in, no timer runs
-            h.send(RunFinished{id, Outcome::ok});
+                host.now += 270ms;  // nothing comes in, no timer runs
+            host.send(RunFinished{id, Outcome::ok});
         }
-        h.advance_until(h.now + 1s);
+        host.advance_until(host.now + 1s);
         const RequestId first = id + 1;
         for (int i = 0; i < 30; ++i)
-            h.request(++id, 0);
+            host.request(++id, 0);
         long n = 0;
         for (RequestId k = first; k <= id; ++k)
-            n += h.count<Reject>(k);
+            n += host.count<Reject>(k);
         return n;
     };
     EXPECT_LE(rejected(true), rejected(false) + 1);
--- a/tests/policy/random_schedule_test.cpp
+++ b/tests/policy/random_schedule_test.cpp
@@ -195,7 +195,7 @@
                 std::advance(it,
                              static_cast<long>(random_unit() * static_cast<double>(retained_keys.size())));
             if (it != retained_keys.end() && it->second.second > e.arrived_at &&
-                random_unit() < 0.5) {  // a further try
+                random_unit() < 0.5) {  // a retry
                 e.idempotency_key = it->first;
                 r.repeated_id = e.original_id = it->second.first;
             }
@@ -282,65 +282,66 @@
 };
 
 Settings test_settings(Preemption preemption, bool cold_start) {
-    Settings s;
-    s.classes.resize(3);
-    s.classes[0] = {"read", Idempotency::always, 1.0, 0.0, 1s, 3s, 0s, true, 0.5};
-    s.classes[1] = {"buy", Idempotency::with_key, 3.0, 0.0, 1s, 3s, 9s, false, 0.0};
-    s.classes[2] = {"enter", Idempotency::never, 5.0, 0.0, 1s, 4s, 0s, true, 0.0};
-    s.cores = 2;
-    s.memory_kb = 2500;
-    s.running_memory_factor = 16;
-    s.idempotency_key_kb = 6;
-    s.replica_count = 30;
-    s.caller_count = 200;
-    s.dependency = Dependency::shared_service;
-    s.dependency_call_quota = 6;
-    s.abandoned_call_grace = 200ms;
-    s.idle_timeout = 30s;
-    s.preemption = preemption;
-    s.load_advertisement = LoadAdvertisement::weight;
-    s.cold_start = cold_start;
-    s.cold_start_speed = 0.2;
-    s.warm_up_duration = 10s;
-    s.drain_grace = 1800ms;
-    s.max_runnable_per_core = 5;
-    s.runnable_window = 1500ms;
-    s.answer_slack = 60ms;
-    s.max_retry_after = 1s;
-    return s;
+    Settings settings;
+    settings.classes.resize(3);
+    settings.classes[0] = {"read", Idempotency::always, 1.0, 0.0, 1s, 3s, 0s, true, 0.5};
+    settings.classes[1] = {"buy", Idempotency::with_key, 3.0, 0.0, 1s, 3s, 9s, false, 0.0};
+    settings.classes[2] = {"enter", Idempotency::never, 5.0, 0.0, 1s, 4s, 0s, true, 0.0};
+    settings.cores = 2;
+    settings.memory_kb = 2500;
+    settings.running_memory_factor = 16;
+    settings.idempotency_key_kb = 6;
+    settings.replica_count = 30;
+    settings.caller_count = 200;
+    settings.dependency = Dependency::shared_service;
+    settings.dependency_call_quota = 6;
+    settings.abandoned_call_grace = 200ms;
+    settings.idle_timeout = 30s;
+    settings.preemption = preemption;
+    settings.load_advertisement = LoadAdvertisement::weight;
+    settings.cold_start = cold_start;
+    settings.cold_start_speed = 0.2;
+    settings.warm_up_duration = 10s;
+    settings.drain_grace = 1800ms;
+    settings.max_runnable_per_core = 5;
+    settings.runnable_window = 1500ms;
+    settings.answer_slack = 60ms;
+    settings.max_retry_after = 1s;
+    return settings;
 }
 
 class RandomScheduleTest : public testing::TestWithParam<unsigned> {};
 
 TEST_P(RandomScheduleTest, KeepsTheContractOfAPlainModel) {
     const unsigned seed = GetParam();
-    ServerModel m(test_settings(seed % 2 == 0 ? Preemption::pause : Preemption::discard, seed % 3 == 0),
-                  seed);
+    ServerModel model(test_settings(seed % 2 == 0 ? Preemption::pause : Preemption::discard, seed % 3 == 0),
+                      seed);
     for (int i = 0; i < 3000 && !testing::Test::HasFatalFailure(); ++i)
-        m.step();
-    m.is_draining = true;
-    m.drain_started_at = m.now;
-    const Timestamp deadline = m.now + (seed % 2 == 0 ? 4s : 1s);  // the notice may be shorter than the grace
-    m.send(DrainStarted{deadline});
+        model.step();
+    model.is_draining = true;
+    model.drain_started_at = model.now;
+    const Timestamp deadline =
+        model.now + (seed % 2 == 0 ? 4s : 1s);  // the notice may be shorter than the grace
+    model.send(DrainStarted{deadline});
     if (seed % 3 == 1)
-        m.send(DrainStarted{deadline});  // and may come twice
-    while (m.now < deadline - 450ms && !testing::Test::HasFatalFailure())
-        m.step();
-    for (; m.now < deadline - 20ms; m.now += 10ms) {
-        while (!m.timers.empty() && m.timers.begin()->first <= m.now) {
+        model.send(DrainStarted{deadline});  // and may come twice
+    while (model.now < deadline - 450ms && !testing::Test::HasFatalFailure())
+        model.step();
+    for (; model.now < deadline - 20ms; model.now += 10ms) {
+        while (!model.timers.empty() && model.timers.begin()->first <= model.now) {
             TimerFired t;
-            t.token = m.timers.begin()->second;
-            m.timers.erase(m.timers.begin());
-            m.send(t);
+            t.token = model.timers.begin()->second;
+            model.timers.erase(model.timers.begin());
+            model.send(t);
         }
     }
-    for (const auto& [id, e] : m.entries)
+    for (const auto& [id, e] : model.entries)
         if (!e.is_cancelled) {
             EXPECT_EQ(e.answers, 1) << "unanswered at the deadline: " << id;
         }
-    EXPECT_GT(m.run_count, 100);
-    EXPECT_GT(m.rejected_count, 300);
-    EXPECT_GT(m.replayed_count, 10);
+    EXPECT_GT(model.run_count, 100);
+    EXPECT_GT(model.rejected_count, 300);
+    EXPECT_GT(model.replayed_count, 10);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomScheduleTest, testing::Range(1U, 7U));
 
--- a/tests/policy/simulator_adapter_test.cpp
+++ b/tests/policy/simulator_adapter_test.cpp
@@ -31,86 +31,90 @@
 }
 
 TEST(SimulatorAdapterTest, EmptyBatchGetsEmptyReply) {
-    SimulatorAdapter a;
-    EXPECT_EQ(a.handle_batch(R"({"time":8412.25,"msgs":[]})"), R"({"actions":[]})");
+    SimulatorAdapter adapter;
+    EXPECT_EQ(adapter.handle_batch(R"({"time":8412.25,"msgs":[]})"), R"({"actions":[]})");
 }
 
 TEST(SimulatorAdapterTest, BornSetsHealthAndTimer) {
-    SimulatorAdapter a;
-    const std::string r = a.handle_batch(batch(10, born_message("backend-1")));
-    EXPECT_TRUE(contains(r, R"("health":{"who":"backend-1","active":true,"cheap":true})")) << r;
-    EXPECT_TRUE(contains(r, R"("sleep":{"who":"backend-1","offset":)")) << r;
+    SimulatorAdapter adapter;
+    const std::string reply = adapter.handle_batch(batch(10, born_message("backend-1")));
+    EXPECT_TRUE(contains(reply, R"("health":{"who":"backend-1","active":true,"cheap":true})")) << reply;
+    EXPECT_TRUE(contains(reply, R"("sleep":{"who":"backend-1","offset":)")) << reply;
 }
 
 TEST(SimulatorAdapterTest, IdleLimitIsSentWithTheSettingAndTheGauges) {
-    SimulatorAdapter a;
-    a.handle_batch(batch(10, born_message("b", R"(,"idle":30000.0,"clients-total":900)")));
+    SimulatorAdapter adapter;
+    adapter.handle_batch(batch(10, born_message("b", R"(,"idle":30000.0,"clients-total":900)")));
     std::string all;
     for (int i = 1; i <= 40; ++i)
-        all += a.handle_batch(batch(10 + 125 * i, R"({"wake":{"who":"b","label":"1","usage":{"cpu_busy":0.2,)"
-                                                  R"("runnable":0,"mem_used":0.1,"sockets":90}}})"));
+        all += adapter.handle_batch(batch(10 + 125 * i,
+                                          R"({"wake":{"who":"b","label":"1","usage":{"cpu_busy":0.2,)"
+                                          R"("runnable":0,"mem_used":0.1,"sockets":90}}})"));
     EXPECT_TRUE(contains(all, R"("idle-limit":{"who":"b","span":)")) << all;
 }
 
 TEST(SimulatorAdapterTest, NullAbsentAndUnknownFieldsAreIgnored) {
-    SimulatorAdapter a;
-    a.handle_batch(batch(10, born_message("b", R"(,"brand-new":true,"fresh":null)")));
-    const std::string r = a.handle_batch(batch(
+    SimulatorAdapter adapter;
+    adapter.handle_batch(batch(10, born_message("b", R"(,"brand-new":true,"fresh":null)")));
+    const std::string reply = adapter.handle_batch(batch(
         20, inbound("b", 5, "read", R"(,"account":null,"repeats":null,"client-deadline":null,"novel":[1])")));
-    EXPECT_TRUE(contains(r, R"({"take":{"who":"b","txn":5}})")) << r;
+    EXPECT_TRUE(contains(reply, R"({"take":{"who":"b","txn":5}})")) << reply;
 }
 
 TEST(SimulatorAdapterTest, ReadsEveryEvent) {
-    SimulatorAdapter a;
-    a.handle_batch(batch(10, born_message("b")));
-    a.handle_batch(batch(20, inbound("b", 1, "buy") + "," + inbound("b", 2, "read")));
-    std::string r = a.handle_batch(batch(30, R"({"needs-dep":{"who":"b","txn":1}})"));
-    EXPECT_TRUE(contains(r, R"("invoke":{"who":"b","txn":1,"patience":)")) << r;
-    r = a.handle_batch(batch(40, R"({"downstream":{"who":"b","txn":1,"code":"dropped","wait-time":5}})"));
-    EXPECT_TRUE(contains(r, R"({"respond-error":{"who":"b","txn":1}})"))
-        << r;  // may have run: neither again nor skipped
-    r = a.handle_batch(batch(50, R"({"expired":{"who":"b","txn":2}})"));
-    EXPECT_TRUE(contains(r, R"({"take-off":{"who":"b","txn":2}})")) << r;
-    r = a.handle_batch(batch(60, R"({"finished":{"who":"b","txn":2,"wait-time":40,"code":"revoked"}})"));
-    EXPECT_EQ(r, R"({"actions":[]})");
-    r = a.handle_batch(batch(70, inbound("b", 3, "buy", R"(,"repeats":1)")));
-    EXPECT_TRUE(contains(r, R"({"replay":{"who":"b","txn":3}})")) << r;
-    r = a.handle_batch(batch(80, R"({"terminate-soon":{"who":"b","client-deadline":5000}})"));
-    EXPECT_TRUE(contains(r, R"("health":{"who":"b","active":false,"cheap":true})")) << r;
-    EXPECT_TRUE(contains(r, R"("hint-out":{"who":"b","x":1.0})")) << r;
-    r = a.handle_batch(
+    SimulatorAdapter adapter;
+    adapter.handle_batch(batch(10, born_message("b")));
+    adapter.handle_batch(batch(20, inbound("b", 1, "buy") + "," + inbound("b", 2, "read")));
+    std::string reply = adapter.handle_batch(batch(30, R"({"needs-dep":{"who":"b","txn":1}})"));
+    EXPECT_TRUE(contains(reply, R"("invoke":{"who":"b","txn":1,"patience":)")) << reply;
+    reply = adapter.handle_batch(
+        batch(40, R"({"downstream":{"who":"b","txn":1,"code":"dropped","wait-time":5}})"));
+    EXPECT_TRUE(contains(reply, R"({"respond-error":{"who":"b","txn":1}})"))
+        << reply;  // may have run: neither again nor skipped
+    reply = adapter.handle_batch(batch(50, R"({"expired":{"who":"b","txn":2}})"));
+    EXPECT_TRUE(contains(reply, R"({"take-off":{"who":"b","txn":2}})")) << reply;
+    reply = adapter.handle_batch(
+        batch(60, R"({"finished":{"who":"b","txn":2,"wait-time":40,"code":"revoked"}})"));
+    EXPECT_EQ(reply, R"({"actions":[]})");
+    reply = adapter.handle_batch(batch(70, inbound("b", 3, "buy", R"(,"repeats":1)")));
+    EXPECT_TRUE(contains(reply, R"({"replay":{"who":"b","txn":3}})")) << reply;
+    reply = adapter.handle_batch(batch(80, R"({"terminate-soon":{"who":"b","client-deadline":5000}})"));
+    EXPECT_TRUE(contains(reply, R"("health":{"who":"b","active":false,"cheap":true})")) << reply;
+    EXPECT_TRUE(contains(reply, R"("hint-out":{"who":"b","x":1.0})")) << reply;
+    reply = adapter.handle_batch(
         batch(90, R"({"wake":{"who":"b","label":"1","usage":{"cpu_busy":0.4,"odd_gauge":7}}})"));
-    EXPECT_TRUE(contains(r, R"("sleep":)")) << r;
-    EXPECT_EQ(a.handle_batch(batch(99, R"({"detach":{"who":"b"}})")), R"({"actions":[]})");
-    EXPECT_EQ(a.handle_batch(batch(99.5, R"({"finished":{"who":"b","txn":1,"code":"revoked"}})")),
+    EXPECT_TRUE(contains(reply, R"("sleep":)")) << reply;
+    EXPECT_EQ(adapter.handle_batch(batch(99, R"({"detach":{"who":"b"}})")), R"({"actions":[]})");
+    EXPECT_EQ(adapter.handle_batch(batch(99.5, R"({"finished":{"who":"b","txn":1,"code":"revoked"}})")),
               R"({"actions":[]})");
 }
 
 TEST(SimulatorAdapterTest, WritesFallBackWhereSkippingEarns) {
-    SimulatorAdapter a;
-    a.handle_batch(batch(10, born_message("b")));
-    a.handle_batch(batch(20, inbound("b", 1, "read")));
-    a.handle_batch(batch(30, R"({"needs-dep":{"who":"b","txn":1}})"));
-    a.handle_batch(batch(1100, R"({"wake":{"who":"b","label":"2","usage":{}}})"));
-    SimulatorAdapter c;
-    c.handle_batch(batch(10, born_message("b")));
-    c.handle_batch(batch(20, inbound("b", 1, "read")));
-    const std::string r = c.handle_batch(batch(900, R"({"needs-dep":{"who":"b","txn":1}})"));
-    EXPECT_TRUE(contains(r, R"({"fall-back":{"who":"b","txn":1}})")) << r;
+    SimulatorAdapter adapter;
+    adapter.handle_batch(batch(10, born_message("b")));
+    adapter.handle_batch(batch(20, inbound("b", 1, "read")));
+    adapter.handle_batch(batch(30, R"({"needs-dep":{"who":"b","txn":1}})"));
+    adapter.handle_batch(batch(1100, R"({"wake":{"who":"b","label":"2","usage":{}}})"));
+    SimulatorAdapter late_adapter;
+    late_adapter.handle_batch(batch(10, born_message("b")));
+    late_adapter.handle_batch(batch(20, inbound("b", 1, "read")));
+    const std::string reply = late_adapter.handle_batch(batch(900, R"({"needs-dep":{"who":"b","txn":1}})"));
+    EXPECT_TRUE(contains(reply, R"({"fall-back":{"who":"b","txn":1}})")) << reply;
 }
 
 TEST(SimulatorAdapterTest, WritesStoreKeyForAGuardedClass) {
-    SimulatorAdapter a;
-    a.handle_batch(batch(10, born_message("b")));
-    const std::string r = a.handle_batch(batch(20, inbound("b", 1, "buy")));
-    EXPECT_TRUE(contains(r, R"("store-key":{"who":"b","txn":1,"span":)")) << r;
+    SimulatorAdapter adapter;
+    adapter.handle_batch(batch(10, born_message("b")));
+    const std::string reply = adapter.handle_batch(batch(20, inbound("b", 1, "buy")));
+    EXPECT_TRUE(contains(reply, R"("store-key":{"who":"b","txn":1,"span":)")) << reply;
 }
 
 TEST(SimulatorAdapterTest, UnknownClassIsRejected) {
-    SimulatorAdapter a;
-    a.handle_batch(batch(10, born_message("b")));
-    const std::string r = a.handle_batch(batch(20, inbound("b", 1, "never-heard-of")));
-    EXPECT_TRUE(contains(r, R"("turn-away":{"who":"b","txn":1,"retry-in":0.0,"dont-retry":false})")) << r;
+    SimulatorAdapter adapter;
+    adapter.handle_batch(batch(10, born_message("b")));
+    const std::string reply = adapter.handle_batch(batch(20, inbound("b", 1, "never-heard-of")));
+    EXPECT_TRUE(contains(reply, R"("turn-away":{"who":"b","txn":1,"retry-in":0.0,"dont-retry":false})"))
+        << reply;
 }
 
 TEST(SimulatorAdapterTest, InstancesShareNothing) {
@@ -123,22 +127,23 @@
 }
 
 TEST(SimulatorAdapterTest, UnknownEventIsIgnored) {
-    SimulatorAdapter a;
-    a.handle_batch(batch(10, born_message("b")));
-    EXPECT_EQ(a.handle_batch(batch(20, R"({"novelty":{"who":"b","txn":1}})")), R"({"actions":[]})");
+    SimulatorAdapter adapter;
+    adapter.handle_batch(batch(10, born_message("b")));
+    EXPECT_EQ(adapter.handle_batch(batch(20, R"({"novelty":{"who":"b","txn":1}})")), R"({"actions":[]})");
 }
 
 TEST(SimulatorAdapterTest, MalformedLinesThrow) {
-    SimulatorAdapter a;
-    EXPECT_THROW(a.handle_batch("not json"), MalformedBatch);
-    EXPECT_THROW(a.handle_batch("[]"), MalformedBatch);
-    EXPECT_THROW(a.handle_batch(R"({"time":1})"), MalformedBatch);
-    EXPECT_THROW(a.handle_batch(R"({"msgs":[]})"), MalformedBatch);
-    EXPECT_THROW(a.handle_batch(R"({"time":1,"msgs":[{"born":{"who":"b"}}]})"), MalformedBatch);
-    EXPECT_THROW(a.handle_batch(R"({"time":1,"msgs":[{"born":{"who":"b","info":{"domain":{"cores":2}}}}]})"),
-                 MalformedBatch);
-    a.handle_batch(batch(10, born_message("b")));
-    EXPECT_THROW(a.handle_batch(batch(20, R"({"inbound":{"who":"b","type":"read"}})")), MalformedBatch);
+    SimulatorAdapter adapter;
+    EXPECT_THROW(adapter.handle_batch("not json"), MalformedBatch);
+    EXPECT_THROW(adapter.handle_batch("[]"), MalformedBatch);
+    EXPECT_THROW(adapter.handle_batch(R"({"time":1})"), MalformedBatch);
+    EXPECT_THROW(adapter.handle_batch(R"({"msgs":[]})"), MalformedBatch);
+    EXPECT_THROW(adapter.handle_batch(R"({"time":1,"msgs":[{"born":{"who":"b"}}]})"), MalformedBatch);
+    EXPECT_THROW(
+        adapter.handle_batch(R"({"time":1,"msgs":[{"born":{"who":"b","info":{"domain":{"cores":2}}}}]})"),
+        MalformedBatch);
+    adapter.handle_batch(batch(10, born_message("b")));
+    EXPECT_THROW(adapter.handle_batch(batch(20, R"({"inbound":{"who":"b","type":"read"}})")), MalformedBatch);
 }
 
 }  // namespace
