--- a/bench/balancing_simulation.cpp
+++ b/bench/balancing_simulation.cpp
@@ -330,8 +330,7 @@
 }
 
 void BalancingSimulation::retry_or_fail(std::uint64_t request_id, Request& request, CallResult result) {
-    // Nothing ran at a server that refused the connection: the next attempt takes
-    // nothing from the budget.
+    // Nothing ran at a server that refused the connection: the next attempt takes nothing from the budget.
     const bool is_free =
         result == CallResult::connection_refused && request.attempts < hosts_.listed_hosts().size();
     if (!is_free && (!variant_.retries || request.attempts >= retry_settings_.max_attempts ||
--- a/bench/balancing_simulation.hpp
+++ b/bench/balancing_simulation.hpp
@@ -1,11 +1,9 @@
-// Discrete-event simulation of one process that balances calls over a fleet of
-// servers, under the real code of src/load_balancing, src/retry and
-// src/upstream_health. Time is simulated, in microseconds; the random numbers
-// are seeded, so that a run gives the same numbers on every machine.
+// Discrete-event simulation of one process that balances calls over a fleet of servers, under the real code of
+// src/load_balancing, src/retry and src/upstream_health. Time is simulated, in microseconds; the random numbers are
+// seeded, so that a run gives the same numbers on every machine.
 //
-// Half of the servers run at 0.6 of the speed, one in twenty never answers, a
-// rolling restart takes a tenth of them down; in the outage scenario every
-// server fails each call from the middle of the run on.
+// Half of the servers run at 0.6 of the speed, one in twenty never answers, a rolling restart takes a tenth of them
+// down; in the outage scenario every server fails each call from the middle of the run on.
 #pragma once
 
 #include <cstdint>
@@ -27,8 +25,7 @@
 using load_balancing::Random;
 using load_balancing::Timestamp;
 
-/// A row of the table: a balancing policy and the mechanisms that are on with
-/// it.
+/// A row of the table: a balancing policy and the mechanisms that are on with it.
 struct PolicyVariant {
     const char* name;
     BalancingPolicy policy;
@@ -84,8 +81,7 @@
         Timestamp deadline{0};
         /// At a server of speed 1.
         double work_seconds = 0.0;
-        /// The caller has its result or waits no longer; the server may still work
-        /// on it.
+        /// The caller has its result or waits no longer; the server may still work on it.
         bool is_concluded = false;
     };
 
@@ -116,8 +112,7 @@
         EventType type;
         /// Id of the attempt or request, or index of the server, by type.
         std::uint64_t subject_id;
-        /// The earliest event is the greatest, as std::priority_queue gives the
-        /// greatest first.
+        /// The earliest event is the greatest, as std::priority_queue gives the greatest first.
         bool operator<(const Event& other) const {
             return std::tie(other.time, other.sequence) < std::tie(time, sequence);
         }
--- a/bench/connection_limiter_bench.cpp
+++ b/bench/connection_limiter_bench.cpp
@@ -1,12 +1,9 @@
-// What a decision of the connection limiter costs, by the number of sources it
-// has seen. The table is full, so that each accepted connection also chooses
-// one to evict.
+// What a decision of the connection limiter costs, by the number of sources it has seen. The table is full, so that
+// each accepted connection also chooses one to evict.
 //
-//   connection_limiter_bench        flags of Google Benchmark, such as
-//   --benchmark_filter=accept_one
+//   connection_limiter_bench        flags of Google Benchmark, such as --benchmark_filter=accept_one
 //
-// Prints ns a decision; for accept_one also the memory of the limiter (`bytes`)
-// and the sources it tracks (`known`).
+// Prints ns a decision; for accept_one also the memory of the limiter (`bytes`) and the sources it tracks (`known`).
 #include <benchmark/benchmark.h>
 
 #include <random>
@@ -35,8 +32,7 @@
     return {settings, 7};
 }
 
-// A connection arrives from one of `sources` addresses at random, sends a
-// request, gets the response and becomes idle.
+// A connection arrives from one of `sources` addresses at random, sends a request, gets the response and becomes idle.
 void accept_one(benchmark::State& state) {
     // Every rule is applied, and none rejects.
     ConnectionLimiter limiter = make_limiter({max_connections, max_connections, 1e9, 1e9});
--- a/bench/gossip_sim.cpp
+++ b/bench/gossip_sim.cpp
@@ -1,13 +1,10 @@
-// Emulated fleets of the gossip protocol in one process: how long a crash, a
-// join and a leave take until every member knows them, whether a live member is
-// declared dead, and what the protocol costs beside an all-to-all heartbeat.
-// Bounded in count and time; seeded, so that a run gives the same numbers on
-// every machine.
+// Emulated fleets of the gossip protocol in one process: how long a crash, a join and a leave take until every member
+// knows them, whether a live member is declared dead, and what the protocol costs beside an all-to-all heartbeat.
+// Bounded in count and time; seeded, so that a run gives the same numbers on every machine.
 //
-//   gossip_sim sizes [--most 10000]           detection times, ms, by fleet
-//   size gossip_sim runs [--runs 1000] [--loss 1]  false deaths over seeded
-//   runs with lost datagrams (percent) gossip_sim bytes bytes a process sends a
-//   second
+//   gossip_sim sizes [--most 10000]           detection times, ms, by fleet size
+//   gossip_sim runs [--runs 1000] [--loss 1]  false deaths over seeded runs with lost datagrams (percent)
+//   gossip_sim bytes                          bytes a process sends a second
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -37,15 +34,13 @@
     return settings;
 }
 
-// When a change of one member was known, in ms after it; -1: not within the
-// timeout.
+// When a change of one member was known, in ms after it; -1: not within the timeout.
 struct DetectionTime {
     double first_ms = -1;
     double all_ms = -1;
 };
 
-// When the first and when all other running members had `state` for member
-// `index`.
+// When the first and when all other running members had `state` for member `index`.
 DetectionTime wait_until_known(Fleet& fleet, std::size_t index, MemberState state) {
     const base::Timestamp start = fleet.now();
     DetectionTime detection;
@@ -113,10 +108,8 @@
 }
 
 int run_sizes(std::size_t max_members, std::int64_t probe_ms) {
-    std::printf(
-        "probe period %lld ms, no loss; times in ms, median (worst) over "
-        "the repeats\n",
-        static_cast<long long>(probe_ms));
+    std::printf("probe period %lld ms, no loss; times in ms, median (worst) over the repeats\n",
+                static_cast<long long>(probe_ms));
     std::printf("%8s %8s %18s %18s %18s %18s %12s\n", "members", "repeats", "crash first", "crash all",
                 "join all", "leave all", "false deaths");
     for (const std::size_t members : {std::size_t{100}, std::size_t{1'000}, std::size_t{10'000}})
@@ -162,11 +155,9 @@
                          static_cast<unsigned long long>(totals.false_deaths));
     }
     std::printf(
-        "%d seeded runs of %zu members at %.1f%% loss: %llu live members "
-        "declared dead (in any view), %llu "
-        "runs without "
-        "agreement 10 s after a crash and a join, %llu suspicions "
-        "raised, %llu refuted by their subjects\n",
+        "%d seeded runs of %zu members at %.1f%% loss: %llu live members declared dead (in any view), %llu "
+        "runs without agreement 10 s after a crash and a join, %llu suspicions raised, %llu refuted by their "
+        "subjects\n",
         count, members, loss_percent, static_cast<unsigned long long>(totals.false_deaths),
         static_cast<unsigned long long>(totals.disagreements),
         static_cast<unsigned long long>(totals.suspicions),
@@ -174,8 +165,7 @@
     return totals.false_deaths == 0 && totals.disagreements == 0 ? 0 : 1;
 }
 
-// Bytes a process sends a second where each member sends each other its own
-// entry in every probe period.
+// Bytes a process sends a second where each member sends each other its own entry in every probe period.
 double heartbeat_bytes_per_second(std::size_t members, std::int64_t probe_ms) {
     membership::Message message;
     message.sender = {"n100", {1, 1}, 1, 0, MemberState::alive, {}};
@@ -185,10 +175,8 @@
 
 int run_bytes(std::int64_t probe_ms) {
     constexpr std::int64_t measured_seconds = 120;
-    std::printf(
-        "bytes sent a process a second, quiet fleet, 120 s, probe period "
-        "%lld ms\n",
-        static_cast<long long>(probe_ms));
+    std::printf("bytes sent a process a second, quiet fleet, 120 s, probe period %lld ms\n",
+                static_cast<long long>(probe_ms));
     std::printf("%8s %12s %22s\n", "members", "gossip", "all-to-all heartbeat");
     for (const std::size_t members : {std::size_t{50}, std::size_t{200}, std::size_t{800}}) {
         Fleet fleet(members, settings_with(probe_ms), {}, bytes_random_seed);
--- a/bench/load_balancing_bench.cpp
+++ b/bench/load_balancing_bench.cpp
@@ -1,11 +1,8 @@
-// What one choice of a host costs with the probing policies, and the assignment
-// of subsets, by the number of servers.
+// What one choice of a host costs with the probing policies, and the assignment of subsets, by the number of servers.
 //
-//   load_balancing_bench            flags of Google Benchmark, such as
-//   --benchmark_filter=pool_pick
+//   load_balancing_bench            flags of Google Benchmark, such as --benchmark_filter=pool_pick
 //
-// Prints ns a choice, ms an assignment; for choose_of_five also the memory a
-// server takes (`bytes/server`).
+// Prints ns a choice, ms an assignment; for choose_of_five also the memory a server takes (`bytes/server`).
 #include <benchmark/benchmark.h>
 
 #include "load_balancing/load_probes.hpp"
@@ -19,8 +16,7 @@
 constexpr unsigned probes_per_call = 5;
 constexpr std::size_t subset_size = 20;
 
-// Both halves of a choice by `probe_first`: the hosts to probe, and the host to
-// call by their answers.
+// Both halves of a choice by `probe_first`: the hosts to probe, and the host to call by their answers.
 void choose_of_five(benchmark::State& state) {
     std::vector<double> capacities;
     for (std::int64_t i = 0; i < state.range(0); ++i)
--- a/bench/load_balancing_sim.cpp
+++ b/bench/load_balancing_sim.cpp
@@ -1,13 +1,10 @@
-// Compares balancing policies over simulated fleets of 10, 100 and 1,000
-// servers, on a usual day and in an outage, and measures what one choice of a
-// host costs.
+// Compares balancing policies over simulated fleets of 10, 100 and 1,000 servers, on a usual day and in an outage, and
+// measures what one choice of a host costs.
 //
-//   load_balancing_sim [SECONDS]    simulated time of a run; a quarter of it
-//   with 1,000 servers
+//   load_balancing_sim [SECONDS]    simulated time of a run; a quarter of it with 1,000 servers
 //
-// Prints a table of latencies (ms, of requests that succeeded), failed requests
-// (percent) and attempts a request, by scenario, fleet size and policy: the
-// same numbers on every machine. Then the cost of a choice, ns of this machine.
+// Prints a table of latencies (ms, of requests that succeeded), failed requests (percent) and attempts a request, by
+// scenario, fleet size and policy: the same numbers on every machine. Then the cost of a choice, ns of this machine.
 #include <chrono>
 #include <cstdio>
 #include <cstdlib>
@@ -50,8 +47,7 @@
 
 void print_simulations(double seconds) {
     std::printf(
-        "day    servers policy                       p50 ms   p99 ms   "
-        "failed   tries a request, and once "
+        "day    servers policy                       p50 ms   p99 ms   failed   tries a request, and once "
         "all fail\n");
     for (const Scenario scenario : {Scenario::usual, Scenario::outage})
         for (const std::size_t server_count : {std::size_t{10}, std::size_t{100}, large_fleet})
--- a/bench/load_spread_sim.cpp
+++ b/bench/load_spread_sim.cpp
@@ -1,20 +1,14 @@
-// Emulates many balancing processes, each with a partial view, before many
-// servers of capacities 1, 2 and 4, and measures how evenly each balancing
-// policy spreads the load. Bounded; the same numbers on every machine for one
-// seed.
+// Emulates many balancing processes, each with a partial view, before many servers of capacities 1, 2 and 4, and
+// measures how evenly each balancing policy spreads the load. Bounded; the same numbers on every machine for one seed.
 //
-//   load_spread_sim [--processes 300] [--servers 300] [--slots 16] [--seconds
-//   10] [--load 80,95]
+//   load_spread_sim [--processes 300] [--servers 300] [--slots 16] [--seconds 10] [--load 80,95]
 //              [--trouble none|slow|fails|burst|cold|restart|crowd|dead]
 //
-// Prints a table, a row for each load and policy. "worst p99": 99th percentile
-// over time of the busiest server's utilization over the mean; "over 2 s":
-// longest time, in seconds, for which it was over 2; "cv": coefficient of
-// variation of the utilizations; "idle": percent of server time without calls
-// while another server queues; "x JSQ": the p99 latency over that of
-// join-the-shortest-queue; "errors": percent of calls; "probes": probes a call;
-// "moved": percent of subset places that a change in the number of processes
-// moved.
+// Prints a table, a row for each load and policy. "worst p99": 99th percentile over time of the busiest server's
+// utilization over the mean; "over 2 s": longest time, in seconds, for which it was over 2; "cv": coefficient of
+// variation of the utilizations; "idle": percent of server time without calls while another server queues; "x JSQ": the
+// p99 latency over that of join-the-shortest-queue; "errors": percent of calls; "probes": probes a call; "moved":
+// percent of subset places that a change in the number of processes moved.
 #include <cstdio>
 #include <cxxopts.hpp>
 
@@ -67,8 +61,7 @@
         "hot", "quantile, probe pool", cxxopts::value<double>()->default_value("0"))(
         "subset", "servers a process uses; 0: all", cxxopts::value<std::size_t>()->default_value("0"))(
         "trouble",
-        "none, slow, fails, burst, cold (a server restarts), restart (all "
-        "processes), crowd (50, 300, 50 "
+        "none, slow, fails, burst, cold (a server restarts), restart (all processes), crowd (50, 300, 50 "
         "processes) or dead (a third of the servers gone for 2 s)",
         cxxopts::value<std::string>()->default_value("none"))(
         "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"));
@@ -99,8 +92,7 @@
                 "over 2 s", "cv", "idle", "p50 ms", "p99 ms", "x JSQ", "errors", "probes", "moved");
 }
 
-// A row for each policy at one load; the first is join-the-shortest-queue, to
-// which the others are compared.
+// A row for each policy at one load; the first is join-the-shortest-queue, to which the others are compared.
 void print_rows(Spread spread, double load_percent) {
     double shortest_queue_p99_ms = 0.0;
     for (const Choice choice : {Choice::all_seen, Choice::random, Choice::round_robin, Choice::stale,
@@ -109,13 +101,12 @@
         const Outcome outcome = run(spread);
         if (choice == Choice::all_seen)
             shortest_queue_p99_ms = outcome.p99_ms;
-        std::printf(
-            "%4.0f%%  %-24s %9.3f %9.2f %7.3f %7.3f%% %8.1f %8.1f %8.2f "
-            "%8.3f%% %9.2f %6.1f%%\n",
-            load_percent, word(choice), outcome.even.worst_p99, outcome.even.longest_over(2.0),
-            outcome.even.variation, 100.0 * outcome.even.idle, outcome.p50_ms, outcome.p99_ms,
-            outcome.p99_ms / shortest_queue_p99_ms, 100.0 * outcome.errors,
-            static_cast<double>(outcome.probes) / static_cast<double>(outcome.calls), 100.0 * outcome.moved);
+        std::printf("%4.0f%%  %-24s %9.3f %9.2f %7.3f %7.3f%% %8.1f %8.1f %8.2f %8.3f%% %9.2f %6.1f%%\n",
+                    load_percent, word(choice), outcome.even.worst_p99, outcome.even.longest_over(2.0),
+                    outcome.even.variation, 100.0 * outcome.even.idle, outcome.p50_ms, outcome.p99_ms,
+                    outcome.p99_ms / shortest_queue_p99_ms, 100.0 * outcome.errors,
+                    static_cast<double>(outcome.probes) / static_cast<double>(outcome.calls),
+                    100.0 * outcome.moved);
         std::fflush(stdout);
     }
 }
@@ -123,8 +114,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    cxxopts::Options options = make_options();
     try {
+        cxxopts::Options options = make_options();
         const auto arguments = options.parse(argc, argv);
         print_header();
         for (const double load_percent : arguments["load"].as<std::vector<double>>())
--- a/bench/rollout_sim.cpp
+++ b/bench/rollout_sim.cpp
@@ -1,13 +1,10 @@
-// Emulated rollouts of 300 processes with noisy figures: how often a good
-// version is reverted and a faulty one is completed. Seeded, so that a run
-// gives the same numbers on every machine.
+// Emulated rollouts of 300 processes with noisy figures: how often a good version is reverted and a faulty one is
+// completed. Seeded, so that a run gives the same numbers on every machine.
 //
-//   rollout_sim [--rolls 1000] [--processes 300] [--jobs 4] [--case
-//   good|noisy|tail|errors|crash|refusals|slower|all]
+//   rollout_sim [--rolls 1000] [--processes 300] [--jobs 4] [--case good|noisy|tail|errors|crash|refusals|slower|all]
 //
-// Prints a table, a row for each case: rollouts, those done, reverted, and
-// reverted in the first stage; the mean part of all requests that reached the
-// new version (percent), and the mean duration (minutes of emulated time).
+// Prints a table, a row for each case: rollouts, those done, reverted, and reverted in the first stage; the mean part
+// of all requests that reached the new version (percent), and the mean duration (minutes of emulated time).
 #include <cstdio>
 #include <cxxopts.hpp>
 #include <deque>
@@ -23,8 +20,7 @@
 // The faults of the new version, by case.
 const std::map<std::string, Version> versions = {
     {"good", {}},
-    {"noisy", {}},  // the same, on machines twice as uneven, a fifth of the
-    // fleet cut off for a while
+    {"noisy", {}},  // the same, on machines twice as uneven, a fifth of the fleet cut off for a while
     {"tail", {.slow_share = 0.03, .slow_ms = 3000.0}},
     {"errors", {.errors = 0.02}},
     {"crash", {.crash_after_s = 30.0}},
@@ -70,8 +66,7 @@
     return std::async(std::launch::async, [roll_case] { return run(roll_case); });
 }
 
-// Runs seeds 1 to `rollouts`, at most `jobs` at a time; results are taken in
-// the order of the seeds.
+// Runs seeds 1 to `rollouts`, at most `jobs` at a time; results are taken in the order of the seeds.
 CaseTotals run_case(const RollCase& roll_case, std::uint64_t rollouts, unsigned jobs, bool print_reasons) {
     CaseTotals totals;
     std::uint64_t next_seed = 1;
@@ -112,8 +107,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    cxxopts::Options options = make_options();
     try {
+        cxxopts::Options options = make_options();
         const auto arguments = options.parse(argc, argv);
         const auto selected_case = arguments["case"].as<std::string>();
         if (selected_case != "all" && versions.count(selected_case) == 0)
--- a/bench/save_bench.cpp
+++ b/bench/save_bench.cpp
@@ -1,13 +1,11 @@
-// How long a save of the learned state blocks the event loop, and how many
-// bytes it writes. Ten seconds without saves and ten with one every 50 ms, of 3
-// classes and 200 upstreams that all change each time; a timer each millisecond
+// How long a save of the learned state blocks the event loop, and how many bytes it writes. Ten seconds without saves
+// and ten with one every 50 ms, of 3 classes and 200 upstreams that all change each time; a timer each millisecond
 // measures how late the loop is.
 //
 //   save_bench FOLDER               on the disk to be measured
 //
-// Prints quantiles of the loop's lateness and the longest part of a save on the
-// loop, us; bytes a commit, and kB an hour with a save every 30 s. Exits with 1
-// if a commit failed.
+// Prints quantiles of the loop's lateness and the longest part of a save on the loop, us; bytes a commit, and kB an
+// hour with a save every 30 s. Exits with 1 if a commit failed.
 #include <algorithm>
 #include <chrono>
 #include <iostream>
