--- /dev/null
+++ b/bench/json_line.hpp
@@ -0,0 +1,14 @@
+// Output of the benchmarks with real processes: one JSON object a line, flushed at once so that a log can be followed.
+#pragma once
+
+#include <cstdio>
+#include <nlohmann/json.hpp>
+
+namespace cressledge::bench {
+
+inline void print_json_line(const nlohmann::ordered_json& object) {
+    std::printf("%s\n", object.dump().c_str());
+    std::fflush(stdout);
+}
+
+}  // namespace cressledge::bench
--- a/bench/membership_rig.cpp
+++ b/bench/membership_rig.cpp
@@ -1,7 +1,10 @@
-// Many real processes of the program on loopback with the relay between them: how long their views take to agree when
-// parts fail. Bounded in count and time; everything it starts it ends. A line of JSON for each figure.
+// Many real processes of the program on loopback with a relay that injects faults between them: how long their
+// membership tables take to agree after faults. Bounded in count and time; every process that it starts is ended.
 //
 //   membership_rig join|kill|leave|loss|partition|pause|replace|bytes [--processes 200] [--program build/cressledge]
+//
+// Prints one JSON object a line for each measurement: times in ms (`*_ms`) or s (`seconds`), rates in bytes or
+// datagrams a second and process (`*_per_process_s`).
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -11,226 +14,188 @@
 #include <cxxopts.hpp>
 #include <filesystem>
 #include <fstream>
-#include <nlohmann/json.hpp>
 #include <set>
 
-#include "fault_injection/process_cluster.hpp"
+#include "json_line.hpp"
+#include "membership_testbed.hpp"
 
 namespace {
 
 using namespace cressledge;
 using base::Duration;
 using base::Timestamp;
+using bench::MembershipTestbed;
+using bench::print_json_line;
+using bench::seed_members;
+using bench::to_duration;
+using bench::to_seconds;
 using nlohmann::ordered_json;
 
-struct Rig {
-    base::TimerQueue timers;
-    net::Loop loop{timers};
-    fault_injection::ProcessCluster cluster;
-    std::size_t seeds = 3;
-    explicit Rig(const fault_injection::Plan& plan) : cluster(loop, timers, plan) {}
-    Timestamp now() { return loop.unix_now(); }
-    void say(const ordered_json& j) {
-        std::printf("%s\n", j.dump().c_str());
-        std::fflush(stdout);
-    }
-    void wait(double seconds) { cluster.run(now() + Duration(static_cast<std::int64_t>(seconds * 1e6))); }
-    std::size_t add() {
-        std::vector<std::size_t> at;
-        for (std::size_t s = 0; s < std::min(seeds, cluster.size()); ++s)
-            at.push_back(s);
-        return cluster.add(at);
-    }
-    // Ms from `since` until each of `whom` saw `expected`; reports median and worst, and who did not by the bound.
-    ordered_json spread(const std::vector<std::size_t>& whom, const std::vector<std::size_t>& expected,
-                        Timestamp since, double bound_s) {
-        std::vector<double> ms;
-        std::size_t missing = 0;
-        for (const auto& s :
-             cluster.until_seen(whom, expected, now() + Duration(static_cast<std::int64_t>(bound_s * 1e6)))) {
-            if (s)
-                ms.push_back(static_cast<double>((*s - since).count()) / 1000.0);
-            else
-                ++missing;
-        }
-        std::sort(ms.begin(), ms.end());
-        ordered_json j;
-        j["views"] = whom.size();
-        j["not_agreed"] = missing;
-        if (!ms.empty())
-            j["median_ms"] = std::lround(ms[ms.size() / 2]), j["worst_ms"] = std::lround(ms.back());
-        return j;
-    }
-    ordered_json spread(Timestamp since, double bound_s) {
-        const auto all = cluster.all_running();
-        return spread(all, all, since, bound_s);
-    }
-    // Starts all and waits for them; the time counts from when the last process was started.
-    void gather(std::size_t n) {
-        const Timestamp from = now();
-        for (std::size_t i = 0; i < n; ++i)
-            add();
-        const Timestamp started = now();
-        auto j = spread(started, 60);
-        j["what"] = "join";
-        j["processes"] = n;
-        j["starting_ms"] = (started - from).count() / 1000;
-        say(j);
-    }
-    ordered_json sums(std::initializer_list<const char*> names) {
-        ordered_json j = ordered_json::object();
-        for (const std::size_t no : cluster.all_running()) {
-            const auto f = cluster.figures(no);
-            for (const char* name : names) {
-                std::string key = "fleet.";
-                const auto it = f.find(key += name);
-                j[name] = j.value(name, std::uint64_t{0}) + (it == f.end() ? 0 : it->second);
-            }
-        }
-        return j;
-    }
-};
+/// Graceful departures begin so many members after the seeds, so that crashes before them took others.
+constexpr std::size_t first_departing_offset = 40;
+constexpr double start_timeout_s = 60;
+constexpr double agreement_timeout_s = 30;
+constexpr double progress_interval_s = 30;
+constexpr double pause_s = 3;
+constexpr double replacement_s = 7;
+/// New members exchange more than others for so long.
+constexpr double settling_s = 10;
+
+/// Starts all processes; the time counts from the start of the last one.
+void run_join(MembershipTestbed& testbed, std::size_t processes) {
+    const Timestamp first_start = testbed.now();
+    for (std::size_t i = 0; i < processes; ++i)
+        testbed.add_process();
+    const Timestamp last_start = testbed.now();
+    auto result = testbed.measure_agreement(last_start, start_timeout_s);
+    result["what"] = "join";
+    result["processes"] = processes;
+    result["starting_ms"] = (last_start - first_start).count() / 1000;
+    print_json_line(result);
+}
 
-void kills(Rig& r, int times) {
-    std::vector<long> worst;
-    for (int k = 0; k < times; ++k) {
-        const std::size_t victim = r.seeds + static_cast<std::size_t>(k);
-        const Timestamp at = r.now();
-        r.cluster.signal(victim, SIGKILL);
-        auto j = r.spread(at, 30);
-        worst.push_back(j["not_agreed"] == 0 ? j["worst_ms"].get<long>() : -1);
-        j["what"] = "kill";
-        j["member"] = r.cluster.id(victim);
-        r.say(j);
+void run_kills(MembershipTestbed& testbed, int count) {
+    constexpr long not_agreed = -1;
+    std::vector<long> worst_ms;
+    for (int i = 0; i < count; ++i) {
+        const std::size_t killed = seed_members + static_cast<std::size_t>(i);
+        const Timestamp killed_at = testbed.now();
+        testbed.cluster.signal(killed, SIGKILL);
+        auto result = testbed.measure_agreement(killed_at, agreement_timeout_s);
+        worst_ms.push_back(result["not_agreed"] == 0 ? result["worst_ms"].get<long>() : not_agreed);
+        result["what"] = "kill";
+        result["member"] = testbed.cluster.id(killed);
+        print_json_line(result);
     }
-    std::sort(worst.begin(), worst.end());
-    r.say({{"what", "kills"},
-           {"count", times},
-           {"median_ms", worst[worst.size() / 2]},
-           {"worst_ms", worst.back()},
-           {"not_agreed", std::count(worst.begin(), worst.end(), -1)}});
+    std::sort(worst_ms.begin(), worst_ms.end());
+    print_json_line({{"what", "kills"},
+                     {"count", count},
+                     {"median_ms", worst_ms[worst_ms.size() / 2]},
+                     {"worst_ms", worst_ms.back()},
+                     {"not_agreed", std::count(worst_ms.begin(), worst_ms.end(), not_agreed)}});
 }
 
-void leaves(Rig& r, int times) {
-    std::vector<long> worst;
-    for (int k = 0; k < times; ++k) {
-        const std::size_t goer = r.seeds + 40 + static_cast<std::size_t>(k);
-        if (goer >= r.cluster.size())
+void run_departures(MembershipTestbed& testbed, int count) {
+    std::vector<long> worst_ms;
+    for (int i = 0; i < count; ++i) {
+        const std::size_t departing = seed_members + first_departing_offset + static_cast<std::size_t>(i);
+        if (departing >= testbed.cluster.size())
             break;
-        const Timestamp at = r.now();
-        r.cluster.signal(goer, SIGTERM);
-        worst.push_back(r.spread(at, 30).value("worst_ms", -1L));
+        const Timestamp signalled_at = testbed.now();
+        testbed.cluster.signal(departing, SIGTERM);
+        const auto result = testbed.measure_agreement(signalled_at, agreement_timeout_s);
+        worst_ms.push_back(result.value("worst_ms", -1L));
     }
-    std::sort(worst.begin(), worst.end());
-    r.say({{"what", "leaves"},
-           {"count", worst.size()},
-           {"median_ms", worst[worst.size() / 2]},
-           {"worst_ms", worst.back()}});
+    std::sort(worst_ms.begin(), worst_ms.end());
+    print_json_line({{"what", "leaves"},
+                     {"count", worst_ms.size()},
+                     {"median_ms", worst_ms[worst_ms.size() / 2]},
+                     {"worst_ms", worst_ms.back()}});
 }
 
-void loss(Rig& r, double seconds, double share) {
-    const auto names = {"dead",        "suspicions",  "suspected", "refuted",
-                        "refutations", "standstills", "probes",    "indirect_probes"};
-    r.cluster.relay().harm({share, 0.0, Duration(0), Duration(0)});
-    const Timestamp end = r.now() + Duration(static_cast<std::int64_t>(seconds * 1e6));
-    while (r.now() < end) {
-        r.wait(std::min(30.0, static_cast<double>((end - r.now()).count()) / 1e6));
-        auto j = r.sums(names);
-        j["what"] = "loss, so far";
-        j["seconds"] = seconds - static_cast<double>((end - r.now()).count()) / 1e6;
-        r.say(j);
+void run_loss(MembershipTestbed& testbed, double seconds, double loss_fraction) {
+    const auto metrics = {"dead",        "suspicions",  "suspected", "refuted",
+                          "refutations", "standstills", "probes",    "indirect_probes"};
+    testbed.cluster.relay().harm({loss_fraction, 0.0, Duration(0), Duration(0)});
+    const Timestamp end = testbed.now() + to_duration(seconds);
+    while (testbed.now() < end) {
+        testbed.wait(std::min(progress_interval_s, to_seconds(end - testbed.now())));
+        auto progress = testbed.sum_metrics(metrics);
+        progress["what"] = "loss, so far";
+        progress["seconds"] = seconds - to_seconds(end - testbed.now());
+        print_json_line(progress);
     }
-    auto j = r.sums(names);
-    j["what"] = "loss";
-    j["share"] = share;
-    j["lost"] = r.cluster.relay().counts().lost;
-    j["passed"] = r.cluster.relay().counts().passed;
-    j["crashes"] = r.cluster.crashes();
-    r.say(j);
+    auto result = testbed.sum_metrics(metrics);
+    result["what"] = "loss";
+    result["share"] = loss_fraction;
+    result["lost"] = testbed.cluster.relay().counts().lost;
+    result["passed"] = testbed.cluster.relay().counts().passed;
+    result["crashes"] = testbed.cluster.crashes();
+    print_json_line(result);
 }
 
-void partition(Rig& r, double seconds) {
-    const auto all = r.cluster.all_running();
-    std::set<std::string> names;
+void run_partition(MembershipTestbed& testbed, double seconds) {
+    const auto running = testbed.cluster.all_running();
+    std::set<std::string> first_half_ids;
     std::vector<std::size_t> halves[2];
-    for (std::size_t i = 0; i < all.size(); ++i) {
-        halves[i % 2].push_back(all[i]);
+    for (std::size_t i = 0; i < running.size(); ++i) {
+        halves[i % 2].push_back(running[i]);
         if (i % 2 == 0)
-            names.insert(r.cluster.id(all[i]));
+            first_half_ids.insert(testbed.cluster.id(running[i]));
     }
-    const Timestamp cut = r.now();
-    r.cluster.relay().part(names);
-    for (int h = 0; h < 2; ++h) {
-        auto j = r.spread(halves[h], halves[h], cut, seconds);
-        j["what"] = "partition, each half of itself";
-        r.say(j);
+    const Timestamp partitioned_at = testbed.now();
+    testbed.cluster.relay().part(first_half_ids);
+    for (const auto& half : halves) {
+        auto result = testbed.measure_agreement(half, half, partitioned_at, seconds);
+        result["what"] = "partition, each half of itself";
+        print_json_line(result);
     }
-    r.wait(std::max(0.0, seconds - static_cast<double>((r.now() - cut).count()) / 1e6));
-    const Timestamp healed = r.now();
-    r.cluster.relay().heal();
-    auto j = r.spread(healed, 60);
-    j["what"] = "heal";
-    j["cut_seconds"] = seconds;
-    r.say(j);
+    testbed.wait(std::max(0.0, seconds - to_seconds(testbed.now() - partitioned_at)));
+    const Timestamp healed_at = testbed.now();
+    testbed.cluster.relay().heal();
+    auto result = testbed.measure_agreement(healed_at, start_timeout_s);
+    result["what"] = "heal";
+    result["cut_seconds"] = seconds;
+    print_json_line(result);
 }
 
-void pause(Rig& r, double seconds) {
-    const std::size_t who = r.cluster.all_running().back();
-    const std::uint64_t before = r.cluster.figures(who)["fleet.suspicions"];
-    r.cluster.signal(who, SIGSTOP);
-    r.wait(seconds);
-    const Timestamp on = r.now();
-    r.cluster.signal(who, SIGCONT);
-    auto j = r.spread(on, 30);
-    j["what"] = "pause";
-    j["seconds"] = seconds;
-    j["suspicions_by_it"] = r.cluster.figures(who)["fleet.suspicions"] - before;
-    r.say(j);
+/// Suspends the last process and resumes it.
+void run_pause(MembershipTestbed& testbed) {
+    const std::size_t paused = testbed.cluster.all_running().back();
+    const std::uint64_t suspicions_before = testbed.cluster.figures(paused)["fleet.suspicions"];
+    testbed.cluster.signal(paused, SIGSTOP);
+    testbed.wait(pause_s);
+    const Timestamp resumed_at = testbed.now();
+    testbed.cluster.signal(paused, SIGCONT);
+    auto result = testbed.measure_agreement(resumed_at, agreement_timeout_s);
+    result["what"] = "pause";
+    result["seconds"] = pause_s;
+    result["suspicions_by_it"] = testbed.cluster.figures(paused)["fleet.suspicions"] - suspicions_before;
+    print_json_line(result);
 }
 
-void replace(Rig& r, double seconds) {
-    const std::size_t n = r.cluster.size(), gone = n * 6 / 10;
-    const Timestamp from = r.now();
-    for (std::size_t k = 0; k < gone; ++k) {
-        r.cluster.signal(n - 1 - k, k % 2 == 0 ? SIGTERM : SIGKILL);
-        r.add();
-        const Timestamp due =
-            from + Duration(static_cast<std::int64_t>(seconds * 1e6 * static_cast<double>(k + 1) /
-                                                      static_cast<double>(gone)));
-        if (r.now() < due)
-            r.cluster.run(due);
+/// Replaces six in ten of the processes, by SIGTERM and SIGKILL in turn, at an even rate.
+void run_replacement(MembershipTestbed& testbed) {
+    const std::size_t processes = testbed.cluster.size();
+    const std::size_t replaced = processes * 6 / 10;
+    const Timestamp start = testbed.now();
+    for (std::size_t i = 0; i < replaced; ++i) {
+        testbed.cluster.signal(processes - 1 - i, i % 2 == 0 ? SIGTERM : SIGKILL);
+        testbed.add_process();
+        const double next_s = replacement_s * static_cast<double>(i + 1) / static_cast<double>(replaced);
+        const Timestamp next_at = start + to_duration(next_s);
+        if (testbed.now() < next_at)
+            testbed.cluster.run(next_at);
     }
-    const Timestamp done = r.now();
-    auto j = r.spread(done, 60);
-    j["what"] = "replace";
-    j["replaced"] = gone;
-    j["within_ms"] = (done - from).count() / 1000;
-    r.say(j);
+    const Timestamp last_start = testbed.now();
+    auto result = testbed.measure_agreement(last_start, start_timeout_s);
+    result["what"] = "replace";
+    result["replaced"] = replaced;
+    result["within_ms"] = (last_start - start).count() / 1000;
+    print_json_line(result);
 }
 
-void bytes(Rig& r, double seconds) {
-    r.wait(10);  // newcomers exchange more
-    const auto before = r.sums({"bytes_sent", "bytes_received", "datagrams_sent"});
-    const Timestamp from = r.now();
-    r.wait(seconds);
-    const auto after = r.sums({"bytes_sent", "bytes_received", "datagrams_sent"});
-    const double s = static_cast<double>((r.now() - from).count()) / 1e6 *
-                     static_cast<double>(r.cluster.all_running().size());
+void run_bytes(MembershipTestbed& testbed, double seconds) {
+    testbed.wait(settling_s);
+    const auto before = testbed.sum_metrics({"bytes_sent", "bytes_received", "datagrams_sent"});
+    const Timestamp start = testbed.now();
+    testbed.wait(seconds);
+    const auto after = testbed.sum_metrics({"bytes_sent", "bytes_received", "datagrams_sent"});
+    const std::size_t processes = testbed.cluster.all_running().size();
+    const double process_seconds = to_seconds(testbed.now() - start) * static_cast<double>(processes);
     const auto rate = [&](const char* name) {
-        return std::lround(
-            static_cast<double>(after[name].get<std::uint64_t>() - before[name].get<std::uint64_t>()) / s);
+        const std::uint64_t count = after[name].get<std::uint64_t>() - before[name].get<std::uint64_t>();
+        return std::lround(static_cast<double>(count) / process_seconds);
     };
-    r.say({{"what", "bytes"},
-           {"processes", r.cluster.all_running().size()},
-           {"seconds", seconds},
-           {"sent_per_process_s", rate("bytes_sent")},
-           {"received_per_process_s", rate("bytes_received")},
-           {"datagrams_per_process_s", rate("datagrams_sent")}});
+    print_json_line({{"what", "bytes"},
+                     {"processes", processes},
+                     {"seconds", seconds},
+                     {"sent_per_process_s", rate("bytes_sent")},
+                     {"received_per_process_s", rate("bytes_received")},
+                     {"datagrams_per_process_s", rate("datagrams_sent")}});
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
+cxxopts::Options make_options() {
     cxxopts::Options options("membership_rig", "many processes, with faults between them");
     options.add_options()(
         "what", "join, kill, leave, loss, partition, pause, replace, bytes; several may follow each other",
@@ -244,42 +209,62 @@
         "seed", "of the relay", cxxopts::value<std::uint64_t>()->default_value("1"))(
         "keep", "a folder for files and logs", cxxopts::value<std::string>());
     options.parse_positional({"what"});
+    return options;
+}
+
+fault_injection::Plan read_plan(const cxxopts::ParseResult& arguments) {
+    fault_injection::Plan plan;
+    plan.program = std::filesystem::absolute(arguments["program"].as<std::string>());
+    plan.probe_ms = arguments["probe"].as<int>();
+    plan.seed = arguments["seed"].as<std::uint64_t>();
+    char temporary_folder[] = "/tmp/fleet-rig-XXXXXX";
+    plan.folder =
+        arguments.count("keep") != 0 ? arguments["keep"].as<std::string>() : mkdtemp(temporary_folder);
+    std::filesystem::create_directories(plan.folder);
+    return plan;
+}
+
+void run_scenario(MembershipTestbed& testbed, const std::string& name,
+                  const cxxopts::ParseResult& arguments) {
+    const double seconds = arguments["seconds"].as<double>();
+    const int count = arguments["times"].as<int>();
+    if (name == "kill")
+        run_kills(testbed, count);
+    else if (name == "leave")
+        run_departures(testbed, count);
+    else if (name == "loss")
+        run_loss(testbed, seconds, arguments["loss"].as<double>());
+    else if (name == "partition")
+        run_partition(testbed, seconds);
+    else if (name == "pause")
+        run_pause(testbed);
+    else if (name == "replace")
+        run_replacement(testbed);
+    else if (name == "bytes")
+        run_bytes(testbed, seconds);
+    else if (name != "join")  // every run begins with it
+        throw std::invalid_argument(name + ": no such scenario");
+}
+
+/// The processes are ended when it returns or throws.
+void run_scenarios(const fault_injection::Plan& plan, const cxxopts::ParseResult& arguments) {
+    MembershipTestbed testbed(plan);
+    run_join(testbed, arguments["processes"].as<std::size_t>());
+    for (const std::string& name : arguments["what"].as<std::vector<std::string>>())
+        run_scenario(testbed, name, arguments);
+    if (testbed.cluster.crashes() > 0)
+        print_json_line({{"what", "crashes"}, {"count", testbed.cluster.crashes()}});
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
     try {
-        const auto given = options.parse(argc, argv);
-        fault_injection::Plan plan;
-        plan.program = std::filesystem::absolute(given["program"].as<std::string>());
-        plan.probe_ms = given["probe"].as<int>();
-        plan.seed = given["seed"].as<std::uint64_t>();
-        char name[] = "/tmp/fleet-rig-XXXXXX";
-        const bool keep = given.count("keep") != 0;
-        plan.folder = keep ? given["keep"].as<std::string>() : mkdtemp(name);
-        std::filesystem::create_directories(plan.folder);
-        {
-            Rig r(plan);
-            const double seconds = given["seconds"].as<double>();
-            r.gather(given["processes"].as<std::size_t>());
-            for (const std::string& what : given["what"].as<std::vector<std::string>>()) {
-                if (what == "kill")
-                    kills(r, given["times"].as<int>());
-                else if (what == "leave")
-                    leaves(r, given["times"].as<int>());
-                else if (what == "loss")
-                    loss(r, seconds, given["loss"].as<double>());
-                else if (what == "partition")
-                    partition(r, seconds);
-                else if (what == "pause")
-                    pause(r, 3.0);
-                else if (what == "replace")
-                    replace(r, 7.0);
-                else if (what == "bytes")
-                    bytes(r, seconds);
-                else if (what != "join")
-                    throw std::invalid_argument(what + ": no such scenario");
-            }
-            if (r.cluster.crashes() > 0)
-                r.say({{"what", "crashes"}, {"count", r.cluster.crashes()}});
-        }
-        if (!keep)
+        cxxopts::Options options = make_options();
+        const auto arguments = options.parse(argc, argv);
+        const fault_injection::Plan plan = read_plan(arguments);
+        run_scenarios(plan, arguments);
+        if (arguments.count("keep") == 0)
             std::filesystem::remove_all(plan.folder);
     } catch (const std::exception& e) {
         std::fprintf(stderr, "membership_rig: %s\n", e.what());
--- a/bench/rollout_rig.cpp
+++ b/bench/rollout_rig.cpp
@@ -1,10 +1,15 @@
-// Rolls with real processes on loopback under steady load. Bounded in count and time; everything it starts it ends. A
-// line of JSON for each.
+// Rollouts on real processes on loopback under steady load: whether a good version is completed and a faulty one
+// reverted, how many requests meet the new version, and whether a killed controller resumes. Bounded in count and time;
+// every process that it starts is ended.
 //
-//   rollout_rig good|settings|tail|errors|crash|refusals|never|noise|cut|kills [--processes 20] [--program build/cressledge]
-//            [--faulty build-plain/cressledge_faulty]
+//   rollout_rig good|settings|tail|errors|crash|refusals|never|noise|cut|kills [--processes 20]
+//            [--program build/cressledge] [--faulty build-plain/cressledge_faulty]
+//
+// Prints one JSON object a line for each rollout: times in ms (`*_ms`) or s (`*_s`), `met` as a fraction of the
+// requests.
 #include <spdlog/spdlog.h>
 
+#include <cmath>
 #include <csignal>
 #include <cstdio>
 #include <cxxopts.hpp>
@@ -12,116 +17,169 @@
 #include <fstream>
 
 #include "experiment/rollout_testbed.hpp"
+#include "json_line.hpp"
 
 namespace {
 
 using namespace cressledge;
+using bench::print_json_line;
+using experiment::RolloutTestbed;
 using nlohmann::json;
 using nlohmann::ordered_json;
 
-void say(const ordered_json& j) {
-    std::printf("%s\n", j.dump().c_str());
-    std::fflush(stdout);
+constexpr double rollout_timeout_s = 600.0;
+constexpr double resumed_rollout_timeout_s = 120.0;
+constexpr double controller_exit_timeout_s = 10.0;
+constexpr double warm_up_s = 3.0;
+constexpr double drain_timeout_s = 15.0;
+/// The controller is killed at a random moment in this interval after its start.
+constexpr double first_kill_s = 0.1;
+constexpr double kill_interval_s = 7.0;
+constexpr std::uint64_t kill_random_stream = 31;
+/// Exit codes of the controller.
+constexpr int exit_done = 0;
+constexpr int exit_reverted = 1;
+
+double round_to(double value, double steps_per_unit) {
+    return std::round(value * steps_per_unit) / steps_per_unit;
 }
 
-ordered_json judged(experiment::RolloutTestbed& r, const std::string& plan, int status) {
-    ordered_json j = {{"status", status}};
-    const json report = r.report(plan);
+/// The outcome of a rollout by the controller's exit code and report.
+ordered_json outcome_of(const RolloutTestbed& testbed, const std::string& plan, int exit_code) {
+    ordered_json outcome = {{"status", exit_code}};
+    const json report = testbed.report(plan);
     if (!report.is_object())
-        return j;
-    j["phase"] = report["phase"];
-    j["why"] = report["why"];
-    j["stages"] = report["stages"].size();
-    j["holds"] = ordered_json::array();
-    for (const auto& s : report["stages"])
-        for (const auto& h : s["holds"])
-            j["holds"].push_back(h.get<std::string>());
-    if (report["phase"] == "reverted")
-        j["reverted_after_ms"] = (report["samples"].back()["at_us"].get<std::int64_t>() -
-                                  report["stages"].back()["ended_us"].get<std::int64_t>()) /
-                                 1000;
-    return j;
+        return outcome;
+    outcome["phase"] = report["phase"];
+    outcome["why"] = report["why"];
+    outcome["stages"] = report["stages"].size();
+    outcome["holds"] = ordered_json::array();
+    for (const auto& stage : report["stages"])
+        for (const auto& pause_reason : stage["holds"])
+            outcome["holds"].push_back(pause_reason.get<std::string>());
+    if (report["phase"] == "reverted") {
+        const auto reverted_at_us = report["samples"].back()["at_us"].get<std::int64_t>();
+        const auto stage_ended_us = report["stages"].back()["ended_us"].get<std::int64_t>();
+        outcome["reverted_after_ms"] = (reverted_at_us - stage_ended_us) / 1000;
+    }
+    return outcome;
 }
 
-// One roll from beginning to end.
-void one(experiment::RolloutTestbed& r, const std::string& what, const std::string& change, double most_s) {
-    const std::string plan = r.plan(what, change);
-    r.forget();
-    const auto before = r.driver().total();
-    const auto controller = r.start(plan);
-    if (what == "noise") {  // a neighbour on the cores, and a death that nobody is to blame for
-        r.run(6.0);
-        r.kill("n7");
+/// Cuts one supervisor off three times, and breaks off a tenth of the connections to every supervisor.
+void inject_network_faults(RolloutTestbed& testbed) {
+    constexpr std::size_t supervisors = 4;
+    for (int i = 0; i < 3; ++i) {
+        testbed.run(8.0);
+        testbed.wire(1).cut(true);
+        testbed.run(6.0);
+        testbed.wire(1).cut(false);
+        for (std::size_t supervisor = 0; supervisor < supervisors; ++supervisor)
+            testbed.wire(supervisor).loss(0.1);
     }
-    if (what == "cut") {
-        for (int i = 0; i < 3; ++i) {
-            r.run(8.0);
-            r.wire(1).cut(true);
-            r.run(6.0);
-            r.wire(1).cut(false);
-            for (std::size_t s = 0; s < 4; ++s)
-                r.wire(s).loss(0.1);
-        }
+}
+
+void run_rollout(RolloutTestbed& testbed, const std::string& scenario, const std::string& change) {
+    const std::string plan = testbed.plan(scenario, change);
+    testbed.forget();
+    const auto requests_before = testbed.driver().total();
+    const auto controller = testbed.start(plan);
+    if (scenario == "noise") {  // a process dies for no fault of the new version
+        testbed.run(6.0);
+        testbed.kill("n7");
     }
-    const int status = r.wait(*controller, most_s);
-    ordered_json j = {{"what", what}};
-    j.update(judged(r, plan, status));
-    j["met"] = std::round(r.met() * 1e4) / 1e4;
-    j["astray"] = r.astray(plan, true);
-    const auto after = r.driver().total();
-    j["requests"] = after.all() - before.all();
-    j["lost"] = after.count(load_generator::End::lost) - before.count(load_generator::End::lost);
-    j["doubled"] = r.servers().counts().doubled;
-    say(j);
+    if (scenario == "cut")
+        inject_network_faults(testbed);
+    const int exit_code = testbed.wait(*controller, rollout_timeout_s);
+    ordered_json result = {{"what", scenario}};
+    result.update(outcome_of(testbed, plan, exit_code));
+    result["met"] = round_to(testbed.met(), 1e4);
+    result["astray"] = testbed.astray(plan, true);
+    const auto requests_after = testbed.driver().total();
+    result["requests"] = requests_after.all() - requests_before.all();
+    result["lost"] =
+        requests_after.count(load_generator::End::lost) - requests_before.count(load_generator::End::lost);
+    result["doubled"] = testbed.servers().counts().doubled;
+    print_json_line(result);
 }
 
-void kills(experiment::RolloutTestbed& r, int times, std::uint64_t seed) {
-    pcg32 random(seed, 31);
-    int resumed = 0, astray = 0, done = 0, reverted = 0;
-    for (int k = 0; k < times; ++k) {
-        // Settings and programs in turn, good and bad ones; each roll begins where the one before has ended.
-        const bool program = k % 4 >= 2, bad = k % 4 == 3;
-        const std::string name = "kill" + std::to_string(k), settings = name + "-settings.yaml";
-        std::string change = "{program: " + r.faulty(bad ? "never" : k % 8 == 2 ? "none" : "also-none") + '}';
-        if (!program) {
-            const std::string path = r.plan(name, "{}");
-            std::ofstream(path.substr(0, path.rfind('/') + 1) + settings)
-                << "routing: {hedging: " << (k % 8 < 4 ? "true" : "false") << "}\n";
-            change = "{settings: " + settings + '}';
-        }
-        const std::string plan = r.plan(name, change);
-        auto controller = r.start(plan);
-        const double at = 0.1 + 7.0 * (random() / 4294967296.0);
-        r.run(at);
-        const bool running = controller->running();
-        controller->signal(SIGKILL);
-        r.wait(*controller, 10.0);
-        const std::string mixed = r.astray(plan, false);
-        auto again = r.start(plan);
-        const int status = r.wait(*again, 120.0);
-        const std::string end = r.astray(plan, true);
-        resumed += running ? 1 : 0;
-        astray += mixed.empty() && end.empty() ? 0 : 1;
-        done += status == 0 ? 1 : 0;
-        reverted += status == 1 ? 1 : 0;
-        say({{"what", name},
-             {"killed_at_s", std::round(at * 100) / 100},
-             {"was_running", running},
-             {"status", status},
-             {"astray", mixed},
-             {"at_end", end}});
+/// Sums over the rollouts whose controller was killed.
+struct KillTotals {
+    int killed_while_running = 0;
+    int inconsistent = 0;
+    int done = 0;
+    int reverted = 0;
+};
+
+/// Writes the plan of the `index`-th rollout: settings and programs alternate, good and faulty ones.
+std::string write_plan(RolloutTestbed& testbed, int index, const std::string& name) {
+    const bool changes_program = index % 4 >= 2;
+    if (changes_program) {
+        const bool is_faulty = index % 4 == 3;
+        const std::string fault = is_faulty ? "never" : index % 8 == 2 ? "none" : "also-none";
+        return testbed.plan(name, "{program: " + testbed.faulty(fault) + '}');
     }
-    say({{"what", "kills"},
-         {"times", times},
-         {"killed_while_running", resumed},
-         {"done", done},
-         {"reverted", reverted},
-         {"astray", astray}});
+    const std::string settings_file = name + "-settings.yaml";
+    const std::string plan_path = testbed.plan(name, "{}");
+    const std::string folder = plan_path.substr(0, plan_path.rfind('/') + 1);
+    std::ofstream(folder + settings_file)
+        << "routing: {hedging: " << (index % 8 < 4 ? "true" : "false") << "}\n";
+    return testbed.plan(name, "{settings: " + settings_file + '}');
 }
 
-}  // namespace
+/// Kills the controller of one rollout and starts it again.
+void run_killed_rollout(RolloutTestbed& testbed, int index, pcg32& random, KillTotals& totals) {
+    const std::string name = "kill" + std::to_string(index);
+    const std::string plan = write_plan(testbed, index, name);
+    const auto controller = testbed.start(plan);
+    const double killed_at_s = first_kill_s + kill_interval_s * (random() / 4294967296.0);
+    testbed.run(killed_at_s);
+    const bool was_running = controller->running();
+    controller->signal(SIGKILL);
+    testbed.wait(*controller, controller_exit_timeout_s);
+    const std::string mismatch_after_kill = testbed.astray(plan, false);
+    const auto resumed_controller = testbed.start(plan);
+    const int exit_code = testbed.wait(*resumed_controller, resumed_rollout_timeout_s);
+    const std::string mismatch_at_end = testbed.astray(plan, true);
+    totals.killed_while_running += was_running ? 1 : 0;
+    totals.inconsistent += mismatch_after_kill.empty() && mismatch_at_end.empty() ? 0 : 1;
+    totals.done += exit_code == exit_done ? 1 : 0;
+    totals.reverted += exit_code == exit_reverted ? 1 : 0;
+    print_json_line({{"what", name},
+                     {"killed_at_s", round_to(killed_at_s, 100)},
+                     {"was_running", was_running},
+                     {"status", exit_code},
+                     {"astray", mismatch_after_kill},
+                     {"at_end", mismatch_at_end}});
+}
 
-int main(int argc, char** argv) {
+/// Each rollout begins where the one before has ended.
+void run_kills(RolloutTestbed& testbed, int count, std::uint64_t seed) {
+    pcg32 random(seed, kill_random_stream);
+    KillTotals totals;
+    for (int i = 0; i < count; ++i)
+        run_killed_rollout(testbed, i, random, totals);
+    print_json_line({{"what", "kills"},
+                     {"times", count},
+                     {"killed_while_running", totals.killed_while_running},
+                     {"done", totals.done},
+                     {"reverted", totals.reverted},
+                     {"astray", totals.inconsistent}});
+}
+
+void run_scenario(RolloutTestbed& testbed, const std::string& name, const cxxopts::ParseResult& arguments) {
+    if (name == "kills")
+        run_kills(testbed, arguments["times"].as<int>(), arguments["seed"].as<std::uint64_t>());
+    else if (name == "settings")
+        run_rollout(testbed, name, "{settings: good-settings.yaml}");
+    else if (name == "good")
+        run_rollout(testbed, name, "{program: " + testbed.faulty("none") + '}');
+    else if (name == "noise" || name == "cut")
+        run_rollout(testbed, name, "{program: " + testbed.faulty(name + "-none") + '}');
+    else
+        run_rollout(testbed, name, "{program: " + testbed.faulty(name) + '}');
+}
+
+cxxopts::Options make_options() {
     cxxopts::Options options("rollout_rig", "rolls with real processes");
     options.add_options()("what",
                           "good, settings, tail, errors, crash, refusals, never, noise, cut, kills; several "
@@ -136,52 +194,58 @@
         "seed", "", cxxopts::value<std::uint64_t>()->default_value("1"))(
         "keep", "a folder for files and logs", cxxopts::value<std::string>());
     options.parse_positional({"what"});
+    return options;
+}
+
+experiment::Scene read_scene(const cxxopts::ParseResult& arguments) {
+    experiment::Scene scene;
+    scene.program = std::filesystem::canonical(arguments["program"].as<std::string>());
+    scene.faulty = std::filesystem::canonical(arguments["faulty"].as<std::string>());
+    scene.processes = arguments["processes"].as<std::size_t>();
+    scene.rate_s = arguments["rate"].as<double>();
+    scene.bake_s = arguments["bake"].as<double>();
+    scene.seed = arguments["seed"].as<std::uint64_t>();
+    const auto scenarios = arguments["what"].as<std::vector<std::string>>();
+    if (scenarios == std::vector<std::string>{"kills"}) {  // many short rollouts
+        scene.stages = "[1, 50%, 100%]";
+        scene.bake_s = 1.0;
+        scene.look_ms = 200;
+        scene.least = 20.0;
+    }
+    char temporary_folder[] = "/tmp/roll-rig-XXXXXX";
+    scene.folder =
+        arguments.count("keep") != 0 ? arguments["keep"].as<std::string>() : mkdtemp(temporary_folder);
+    std::filesystem::create_directories(scene.folder);
+    return scene;
+}
+
+/// The processes are ended when it returns or throws.
+void run_scenarios(const experiment::Scene& scene, const cxxopts::ParseResult& arguments) {
+    base::TimerQueue timers;
+    net::Loop loop(timers);
+    RolloutTestbed testbed(loop, timers, scene);
+    testbed.up();
+    testbed.run(warm_up_s);
+    std::ofstream(scene.folder + "/good-settings.yaml") << "routing: {policy: probe-pool}\n";
+    for (const std::string& name : arguments["what"].as<std::vector<std::string>>())
+        run_scenario(testbed, name, arguments);
+    const std::string wrong = testbed.settle(drain_timeout_s);
+    print_json_line({{"what", "all requests"},
+                     {"sent", testbed.driver().sent()},
+                     {"ended", testbed.driver().total().all()},
+                     {"record", testbed.driver().total().json()},
+                     {"wrong", wrong}});
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
     try {
-        const auto given = options.parse(argc, argv);
-        experiment::Scene scene;
-        scene.program = std::filesystem::canonical(given["program"].as<std::string>());
-        scene.faulty = std::filesystem::canonical(given["faulty"].as<std::string>());
-        scene.processes = given["processes"].as<std::size_t>();
-        scene.rate_s = given["rate"].as<double>();
-        scene.bake_s = given["bake"].as<double>();
-        scene.seed = given["seed"].as<std::uint64_t>();
-        const auto all = given["what"].as<std::vector<std::string>>();
-        if (all.size() == 1 && all[0] == "kills") {
-            scene.stages = "[1, 50%, 100%]";
-            scene.bake_s = 1.0;
-            scene.look_ms = 200;
-            scene.least = 20.0;
-        }
-        char name[] = "/tmp/roll-rig-XXXXXX";
-        const bool keep = given.count("keep") != 0;
-        scene.folder = keep ? given["keep"].as<std::string>() : mkdtemp(name);
-        std::filesystem::create_directories(scene.folder);
-        {
-            base::TimerQueue timers;
-            net::Loop loop(timers);
-            experiment::RolloutTestbed r(loop, timers, scene);
-            r.up();
-            r.run(3.0);
-            std::ofstream(scene.folder + "/good-settings.yaml") << "routing: {policy: probe-pool}\n";
-            for (const std::string& what : all) {
-                if (what == "kills")
-                    kills(r, given["times"].as<int>(), scene.seed);
-                else if (what == "settings")
-                    one(r, what, "{settings: good-settings.yaml}", 600.0);
-                else if (what == "good" || what == "noise" || what == "cut")
-                    one(r, what, "{program: " + r.faulty(what == "good" ? "none" : what + "-none") + '}',
-                        600.0);
-                else
-                    one(r, what, "{program: " + r.faulty(what) + '}', 600.0);
-            }
-            const std::string wrong = r.settle(15.0);
-            say({{"what", "all requests"},
-                 {"sent", r.driver().sent()},
-                 {"ended", r.driver().total().all()},
-                 {"record", r.driver().total().json()},
-                 {"wrong", wrong}});
-        }
-        if (!keep)
+        cxxopts::Options options = make_options();
+        const auto arguments = options.parse(argc, argv);
+        const experiment::Scene scene = read_scene(arguments);
+        run_scenarios(scene, arguments);
+        if (arguments.count("keep") == 0)
             std::filesystem::remove_all(scene.folder);
     } catch (const std::exception& e) {
         std::fprintf(stderr, "rollout_rig: %s\n", e.what());
