--- a/bench/rollout_rig.cpp
+++ b/bench/rollout_rig.cpp
@@ -47,7 +47,7 @@
 void one(experiment::RolloutTestbed& r, const std::string& what, const std::string& change, double most_s) {
     const std::string plan = r.plan(what, change);
     r.forget();
-    const auto before = r.driver().total();
+    const auto before = r.driver().total_stats();
     const auto controller = r.start(plan);
     if (what == "noise") {  // a neighbour on the cores, and a death that nobody is to blame for
         r.run(6.0);
@@ -68,9 +68,10 @@
     j.update(judged(r, plan, status));
     j["met"] = std::round(r.met() * 1e4) / 1e4;
     j["astray"] = r.astray(plan, true);
-    const auto after = r.driver().total();
-    j["requests"] = after.all() - before.all();
-    j["lost"] = after.count(load_generator::End::lost) - before.count(load_generator::End::lost);
+    const auto after = r.driver().total_stats();
+    j["requests"] = after.total() - before.total();
+    j["lost"] = after.count(load_generator::Outcome::connection_lost) -
+                before.count(load_generator::Outcome::connection_lost);
     j["doubled"] = r.servers().counters().duplicates;
     say(j);
 }
@@ -177,8 +178,8 @@
             const std::string wrong = r.settle(15.0);
             say({{"what", "all requests"},
                  {"sent", r.driver().sent()},
-                 {"ended", r.driver().total().all()},
-                 {"record", r.driver().total().json()},
+                 {"ended", r.driver().total_stats().total()},
+                 {"record", r.driver().total_stats().to_json()},
                  {"wrong", wrong}});
         }
         if (!keep)
--- a/tests/cressledge/experiment_test.cpp
+++ b/tests/cressledge/experiment_test.cpp
@@ -89,28 +89,28 @@
 }
 
 TEST_CASE("arrivals: the rate and the mix that were asked for, evenly or in runs") {
-    load_generator::Arrivals a(1000.0, 10, {{"x", 3.0, false}, {"y", 1.0, true}}, 5);
+    load_generator::ArrivalProcess a(1000.0, 10, {{"x", 3.0, false}, {"y", 1.0, true}}, 5);
     Timestamp at(0);
     int runs = 0, second = 0;
     for (; at < Timestamp(100'000'000); ++runs)
         at = a.next(at);
     CHECK(runs * 10 == Approx(100'000).epsilon(0.03));
     for (int i = 0; i < 10'000; ++i)
-        second += a.kind() == 1 ? 1 : 0;
+        second += a.sample_class() == 1 ? 1 : 0;
     CHECK(second == Approx(2'500).epsilon(0.06));
 }
 
 TEST_CASE("a record's quantiles are within its bins, and records add up") {
-    load_generator::Record r, other;
+    load_generator::OutcomeStats r, other;
     for (int ms = 1; ms <= 1000; ++ms)
-        (ms % 2 == 0 ? r : other).add(load_generator::End::ok, Duration(ms * 1000));
-    other.add(load_generator::End::lost, Duration(5));
+        (ms % 2 == 0 ? r : other).add(load_generator::Outcome::ok, Duration(ms * 1000));
+    other.add(load_generator::Outcome::connection_lost, Duration(5));
     r.add(other);
-    CHECK(r.all() == 1001);
+    CHECK(r.total() == 1001);
     CHECK(r.quantile_ms(0.5) == Approx(500).epsilon(0.025));
     CHECK(r.quantile_ms(0.99) == Approx(990).epsilon(0.025));
-    CHECK(r.json()["lost"] == 1);
-    CHECK(load_generator::Record().quantile_ms(0.5) == 0.0);
+    CHECK(r.to_json()["lost"] == 1);
+    CHECK(load_generator::OutcomeStats().quantile_ms(0.5) == 0.0);
 }
 
 TEST_CASE(
@@ -126,27 +126,27 @@
     fake_upstream::Fleet fleet(w.loop, w.timers, spec);
     load_generator::Driver driver(
         w.loop, w.timers,
-        load_generator::Arrivals(500.0, 1, {{"trail-sheet", 1.0, false}, {"map-order", 1.0, true}}, 3));
-    std::vector<net::Address> doors;
+        load_generator::ArrivalProcess(500.0, 1, {{"trail-sheet", 1.0, false}, {"map-order", 1.0, true}}, 3));
+    std::vector<net::Address> targets;
     for (std::size_t i = 0; i < 3; ++i)
-        doors.push_back(*net::Address::parse(fleet.address(i)));
-    driver.doors(doors);
+        targets.push_back(*net::Address::parse(fleet.address(i)));
+    driver.set_targets(targets);
     fleet.set_monitoring(true);
     driver.start();
-    w.run_until([&] { return driver.total().count(load_generator::End::ok) >= 100; });
+    w.run_until([&] { return driver.total_stats().count(load_generator::Outcome::ok) >= 100; });
     fleet.set_failing(1, true);
-    w.run_until([&] { return driver.total().count(load_generator::End::failed) >= 10; });
+    w.run_until([&] { return driver.total_stats().count(load_generator::Outcome::failed) >= 10; });
     fleet.set_failing(1, false);
     fleet.set_slowdown(0, 100.0);
-    w.run_until([&] { return driver.open() >= 20; });
+    w.run_until([&] { return driver.in_flight() >= 20; });
     fleet.restart(0, Duration(100'000));  // what it has in hand breaks
-    w.run_until([&] { return driver.total().count(load_generator::End::lost) >= 20; });
+    w.run_until([&] { return driver.total_stats().count(load_generator::Outcome::connection_lost) >= 20; });
     fleet.set_slowdown(0, 1.0);
     const std::uint64_t before = fleet.calls_by_server()[0];
     w.run_until([&] { return fleet.calls_by_server()[0] > before + 10; });  // it is back
     driver.stop();
-    w.run_until([&] { return driver.open() == 0; });
-    CHECK(driver.total().all() == driver.sent());
+    w.run_until([&] { return driver.in_flight() == 0; });
+    CHECK(driver.total_stats().total() == driver.sent());
     CHECK(driver.unsent() == 0);
     CHECK(fleet.counters().duplicates == 0);
     CHECK(fleet.counters().malformed == 0);
--- a/tests/cressledge/rollout_test.cpp
+++ b/tests/cressledge/rollout_test.cpp
@@ -105,7 +105,7 @@
     CHECK(fixture.testbed->report(bad)["why"].get<std::string>().find("cores: not a number") !=
           std::string::npos);
     CHECK(fixture.testbed->settle(20.0) == "");
-    CHECK(fixture.testbed->driver().total().count(load_generator::End::failed) == 0);
+    CHECK(fixture.testbed->driver().total_stats().count(load_generator::Outcome::failed) == 0);
 }
 
 TEST_CASE(
--- a/tests/cressledge/slow_start_test.cpp
+++ b/tests/cressledge/slow_start_test.cpp
@@ -258,12 +258,12 @@
         cluster.add(i == 0 ? std::vector<std::size_t>{} : std::vector<std::size_t>{0});
     REQUIRE(cluster.wait_for_agreement(Duration(40'000'000)));
     load_generator::Driver driver(loop.loop, loop.timers,
-                                  load_generator::Arrivals(400.0, 1, {{"sheet", 1.0, false}}, 5));
+                                  load_generator::ArrivalProcess(400.0, 1, {{"sheet", 1.0, false}}, 5));
     const auto update_targets = [&] {
         std::vector<net::Address> addresses;
         for (const std::size_t process : cluster.running_processes())
             addresses.push_back(*net::Address::parse(membership::to_string(cluster.http_endpoint(process))));
-        driver.doors(addresses);
+        driver.set_targets(addresses);
     };
     update_targets();
     driver.start();
--- a/tools/experiment/experiment.cpp
+++ b/tools/experiment/experiment.cpp
@@ -127,8 +127,8 @@
     if (const YAML::Node classes = doc["classes"]) {
         for (const auto& c : classes) {
             r.require_known_keys(c, "classes", {"name", "share", "once"});
-            load_generator::Kind k{r.text(c, "name"), r.number(c, "share", 0.0, 1e6, 1.0), false};
-            if (c["once"] && !YAML::convert<bool>::decode(c["once"], k.once))
+            load_generator::RequestClass k{r.text(c, "name"), r.number(c, "share", 0.0, 1e6, 1.0), false};
+            if (c["once"] && !YAML::convert<bool>::decode(c["once"], k.at_most_once))
                 r.fail(c["once"], "once", "neither true nor false");
             e.kinds.push_back(k);
         }
--- a/tools/experiment/experiment.hpp
+++ b/tools/experiment/experiment.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "emulator/spread.hpp"
-#include "load_generator/arrivals.hpp"
+#include "load_generator/arrival_process.hpp"
 
 namespace cressledge::experiment {
 
@@ -28,7 +28,7 @@
     double warm_up_s = 3.0, seconds = 10.0;
     Duration round_trip{1'000};  // emulated
     double gossip_loss = 0.0;  // share of the datagrams between processes that are lost
-    std::vector<load_generator::Kind> kinds;
+    std::vector<load_generator::RequestClass> kinds;
     std::vector<emulator::Trouble> troubles;
 
     unsigned places(std::size_t server) const;
--- a/tools/experiment/rollout_testbed.cpp
+++ b/tools/experiment/rollout_testbed.cpp
@@ -136,12 +136,12 @@
     }
     driver_ = std::make_unique<load_generator::Driver>(
         loop_, timers_,
-        load_generator::Arrivals(
+        load_generator::ArrivalProcess(
             scene_.rate_s, 1,
             {{"trail-sheet", 0.46, false}, {"route-profile", 0.46, false}, {"map-order", 0.08, true}},
             scene_.seed));
-    driver_->doors(std::move(doors));
-    driver_->on_end = [this](std::size_t, std::size_t door, load_generator::End, Duration) {
+    driver_->set_targets(std::move(doors));
+    driver_->on_request_finished = [this](std::size_t, std::size_t door, load_generator::Outcome, Duration) {
         ++all_;
         met_ += others_.count(ids_[door]);
     };
@@ -253,16 +253,16 @@
 std::string RolloutTestbed::settle(double most_s) {
     driver_->stop();
     const Timestamp end = loop_.unix_now() + span(most_s);
-    while (driver_->open() > 0 && loop_.unix_now() < end)
+    while (driver_->in_flight() > 0 && loop_.unix_now() < end)
         run(0.02);
-    const load_generator::Record all = driver_->total();
+    const load_generator::OutcomeStats all = driver_->total_stats();
     std::string wrong;
     const auto note = [&wrong](const char* what, std::uint64_t n) {
         if (n > 0)
             wrong += (wrong.empty() ? "" : ", ") + std::to_string(n) + ' ' + what;
     };
-    note("lost", all.count(load_generator::End::lost));
-    note("open", driver_->open());
+    note("lost", all.count(load_generator::Outcome::connection_lost));
+    note("open", driver_->in_flight());
     note("unsent", driver_->unsent());
     note("doubled", servers_->counters().duplicates);
     return wrong;
--- a/tools/experiment/servers.cpp
+++ b/tools/experiment/servers.cpp
@@ -23,8 +23,8 @@
         p.addresses.push_back("127.0." + std::to_string(1 + i / 250) + '.' + std::to_string(1 + i % 250) +
                               ":0");
     }
-    for (const load_generator::Kind& k : e.kinds)
-        if (k.once)
+    for (const load_generator::RequestClass& k : e.kinds)
+        if (k.at_most_once)
             p.at_most_once_classes.insert(k.name);
     p.seed = e.seed;
     return p;
--- a/tools/experiment/trial.cpp
+++ b/tools/experiment/trial.cpp
@@ -61,8 +61,8 @@
           where_(where),
           servers_(loop_, timers_, where.self, where.file),
           cluster_(loop_, timers_, plan()),
-          driver_(loop_, timers_, load_generator::Arrivals(e.rate_s(), e.bursty ? 10 : 1, e.kinds, e.seed),
-                  20'000) {}
+          driver_(loop_, timers_,
+                  load_generator::ArrivalProcess(e.rate_s(), e.bursty ? 10 : 1, e.kinds, e.seed), 20'000) {}
 
     ordered_json run() {
         // Told to end, it takes the processes that it has started with it.
@@ -77,7 +77,7 @@
         driver_.start();
         wait(e_.warm_up_s, "warming up");
         servers_.ask({{"do", "observe"}, {"on", true}});
-        driver_.forget();
+        driver_.reset_counts();
         std::vector<base::TimerQueue::Handle> handles;
         for (const emulator::Trouble& t : e_.troubles)
             handles.push_back(timers_.schedule(loop_.unix_now() + span(t.at_s), [this, &t] { meet(t); }));
@@ -87,23 +87,23 @@
         const auto probes = cluster_.metric_sum("upstream.load_probes") - probes_before;
         driver_.stop();
         const Timestamp end = loop_.unix_now() + span(drain_s);
-        while (driver_.open() > 0 && loop_.unix_now() < end)
+        while (driver_.in_flight() > 0 && loop_.unix_now() < end)
             cluster_.run(loop_.unix_now() + Duration(50'000));
         const auto seen = servers_.ask({{"do", "report"}});
         if (!seen.is_object())
             throw std::runtime_error("no report from the stand-in servers");
         ordered_json j = about(e_, "real processes");
-        const load_generator::Record all = driver_.total();
+        const load_generator::OutcomeStats all = driver_.total_stats();
         const ordered_json even = seen["evenness"];
-        const double n = std::max(1.0, static_cast<double>(all.all()));
+        const double n = std::max(1.0, static_cast<double>(all.total()));
         j["figures"] = figures(even, all.quantile_ms(0.5), all.quantile_ms(0.95), all.quantile_ms(0.99),
                                all.quantile_ms(0.999),
-                               brief(1.0 - static_cast<double>(all.count(load_generator::End::ok)) / n));
+                               brief(1.0 - static_cast<double>(all.count(load_generator::Outcome::ok)) / n));
         j["figures"]["probes_a_call"] = brief(static_cast<double>(probes) / n);
         j["requests"] = {
-            {"sent", driver_.sent()}, {"unsent", driver_.unsent()}, {"open_at_end", driver_.open()}};
-        for (std::size_t k = 0; k < driver_.kinds().size(); ++k)
-            j["classes"][driver_.kinds()[k].name] = driver_.records()[k].json();
+            {"sent", driver_.sent()}, {"unsent", driver_.unsent()}, {"open_at_end", driver_.in_flight()}};
+        for (std::size_t k = 0; k < driver_.classes().size(); ++k)
+            j["classes"][driver_.classes()[k].name] = driver_.stats_by_class()[k].to_json();
         j["servers_saw"] = {{"calls", seen["calls"]},       {"answers", seen["answers"]},
                             {"errors", seen["errors"]},     {"probes", seen["probes"]},
                             {"given_up", seen["given_up"]}, {"bad", seen["bad"]},
@@ -145,7 +145,7 @@
         std::vector<net::Address> all;
         for (const std::size_t no : cluster_.running_processes())
             all.push_back(gossip::to_address(cluster_.http_endpoint(no)));
-        driver_.doors(std::move(all));
+        driver_.set_targets(std::move(all));
     }
     void wait(double seconds, const char* what) {
         const Timestamp end = loop_.unix_now() + span(seconds);
@@ -156,10 +156,10 @@
             if (!where_.progress || (loop_.unix_now() < next_line_ && loop_.unix_now() < end))
                 continue;
             next_line_ = loop_.unix_now() + span(say_every_s);
-            const load_generator::Record all = driver_.total();
+            const load_generator::OutcomeStats all = driver_.total_stats();
             where_.progress(e_.name + ": " + what + ", " +
                             std::to_string((end - loop_.unix_now()).count() / 1'000'000) + " s left, " +
-                            std::to_string(all.all()) + " ended, " + std::to_string(driver_.open()) +
+                            std::to_string(all.total()) + " ended, " + std::to_string(driver_.in_flight()) +
                             " open, p99 " + std::to_string(std::lround(all.quantile_ms(0.99))) + " ms");
         }
     }
@@ -188,9 +188,9 @@
                 return doors();
             }
             case T::burst:
-                driver_.rate(driver_.rate() * t.by);
+                driver_.set_rate_s(driver_.rate_s() * t.by);
                 timers_.schedule(loop_.unix_now() + span(t.for_s),
-                                 [this, by = t.by] { driver_.rate(driver_.rate() / by); });
+                                 [this, by = t.by] { driver_.set_rate_s(driver_.rate_s() / by); });
                 return;
         }
     }
@@ -215,8 +215,8 @@
         "routing: " +
         e.routing + "\nclasses:\n";
     // As much time as it takes: what is looked at is the spread, not what is given up.
-    for (const load_generator::Kind& k : e.kinds)
-        text += "  - {name: " + k.name + ", effect: " + (k.once ? "unsafe" : "safe") +
+    for (const load_generator::RequestClass& k : e.kinds)
+        text += "  - {name: " + k.name + ", effect: " + (k.at_most_once ? "unsafe" : "safe") +
                 ", target_ms: 30000, deadline_ms: 60000}\n";
     return text;
 }
--- a/tools/load_generator/driver.cpp
+++ b/tools/load_generator/driver.cpp
@@ -1,208 +1,200 @@
 #include "load_generator/driver.hpp"
 
-#include <http_parser.h>
-
 #include <algorithm>
 
+#include "common/http_message_parser.hpp"
+
 namespace cressledge::load_generator {
 namespace {
 
-constexpr Duration rests_for{2'000'000};  // a connection that has nothing to do
+constexpr Duration idle_timeout{2'000'000};
 
-std::uint64_t key(const net::Address& a) {
-    const auto& in = reinterpret_cast<const sockaddr_in&>(a.raw);
+std::uint64_t address_key(const net::Address& address) {
+    const auto& in = reinterpret_cast<const sockaddr_in&>(address.raw);
     return std::uint64_t{in.sin_addr.s_addr} << 16U | in.sin_port;
 }
 
-End end_of(unsigned status) {
+Outcome outcome_of(unsigned status) {
     if (status >= 200 && status < 300)
-        return End::ok;
+        return Outcome::ok;
     if (status == 503 || status == 429)
-        return End::refused;
-    return status == 504 ? End::out_of_time : End::failed;
+        return Outcome::rejected;
+    return status == 504 ? Outcome::timed_out : Outcome::failed;
 }
 
 }  // namespace
 
+/// A connection to one target; it has at most one request.
 class Driver::Connection final : public net::Stream::Owner {
 public:
-    Connection(Driver& driver, net::Address to) : driver_(driver), door(to) {
-        http_parser_init(&parser_, HTTP_RESPONSE);
-        parser_.data = this;
-        http_parser_settings_init(&hooks_);
-        hooks_.on_message_complete = [](http_parser* p) {
-            auto& me = *static_cast<Connection*>(p->data);
-            me.stays = http_should_keep_alive(p) != 0;
-            me.whole = true;
-            http_parser_pause(p, 1);
-            return 0;
-        };
-    }
+    Connection(Driver& driver, net::Address address) : target(address), driver_(driver) {}
     ~Connection() override {
-        driver_.timers_.cancel(rest);
+        driver_.timers_.cancel(idle_timer);
         if (stream != nullptr)
             std::exchange(stream, nullptr)->close();
     }
-    void ask(const std::string& text) {
-        request = text;
-        if (open && !stream->write(request))
+    void send(const std::string& text) {
+        request_ = text;
+        if (stream == nullptr) {
+            stream = net::Stream::connect(driver_.loop_.uv(), target, *this);
+            if (stream == nullptr)
+                driver_.finish_request(*this, Outcome::connection_lost);
+            return;
+        }
+        if (is_open_ && !stream->write(request_))
             on_end(false);
     }
     void on_open() override {
-        open = true;
-        if (busy)
-            stream->write(request);
+        is_open_ = true;
+        if (has_request)
+            stream->write(request_);
     }
     void on_bytes(std::string_view bytes) override {
-        if (!busy)
-            return driver_.drop(no);
-        http_parser_execute(&parser_, &hooks_, bytes.data(), bytes.size());
-        if (whole) {
-            whole = false;
-            http_parser_pause(&parser_, 0);
-            return driver_.ended(*this, end_of(parser_.status_code));
+        if (!has_request)
+            return driver_.drop(id);
+        switch (parser_.parse(bytes)) {
+            case tools::HttpMessageParser::Result::incomplete:
+                return;
+            case tools::HttpMessageParser::Result::complete:
+                is_reusable = parser_.keeps_alive();
+                return driver_.finish_request(*this, outcome_of(parser_.status()));
+            case tools::HttpMessageParser::Result::malformed:
+                return on_end(false);
         }
-        if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK)
-            on_end(false);
     }
     void on_end(bool) override {
         if (stream != nullptr)
             stream->close();
         stream = nullptr;
-        stays = false;
-        if (busy)
-            return driver_.ended(*this, End::lost);
-        driver_.drop(no);
+        is_reusable = false;
+        if (has_request)
+            return driver_.finish_request(*this, Outcome::connection_lost);
+        driver_.drop(id);
     }
 
+    const net::Address target;
+    base::SlotId id = 0;
+    net::Stream* stream = nullptr;
+    base::TimerQueue::Handle idle_timer = 0;
+    /// Of the request in flight.
+    bool has_request = false;
+    std::size_t class_index = 0, target_index = 0;
+    Timestamp due_at{0};
+    /// Whether another request may follow the one that has just ended.
+    bool is_reusable = false;
+
 private:
     Driver& driver_;
-    http_parser parser_{};
-    http_parser_settings hooks_{};
-
-public:
-    const net::Address door;
-    std::size_t door_no = 0;
-    base::SlotId no = 0;
-    net::Stream* stream = nullptr;
-    std::string request;
-    std::size_t kind = 0;
-    Timestamp due{0};
-    base::TimerQueue::Handle rest = 0;
-    bool open = false, busy = false, whole = false, stays = false;
+    tools::HttpMessageParser parser_{HTTP_RESPONSE};
+    std::string request_;
+    bool is_open_ = false;
 };
 
-Driver::Driver(net::Loop& loop, base::TimerQueue& timers, Arrivals arrivals, std::size_t most)
+Driver::Driver(net::Loop& loop, base::TimerQueue& timers, ArrivalProcess arrivals,
+               std::size_t max_connections)
     : loop_(loop),
       timers_(timers),
       arrivals_(std::move(arrivals)),
-      most_(most),
-      records_(arrivals_.kinds().size()) {}
+      max_connections_(max_connections),
+      stats_(arrivals_.classes().size()) {}
 
 Driver::~Driver() {
-    timers_.cancel(next_);
-    timers_.cancel(sweep_);
+    timers_.cancel(arrival_timer_);
 }
 
 void Driver::start() {
-    on_ = true;
-    due_ = arrivals_.next(loop_.unix_now());
-    next_ = timers_.schedule(due_, [this] { come(); });
+    is_started_ = true;
+    next_due_at_ = arrivals_.next(loop_.unix_now());
+    arrival_timer_ = timers_.schedule(next_due_at_, [this] { send_due_requests(); });
 }
+
 void Driver::stop() {
-    on_ = false;
-    timers_.cancel(next_);
+    is_started_ = false;
+    timers_.cancel(arrival_timer_);
 }
-void Driver::forget() {
-    counted_from_ = loop_.unix_now();
-    records_.assign(records_.size(), Record());
+
+void Driver::reset_counts() {
+    counted_since_ = loop_.unix_now();
+    stats_.assign(stats_.size(), OutcomeStats());
     sent_ = unsent_ = 0;
 }
-Record Driver::total() const {
-    Record all;
-    for (const Record& r : records_)
-        all.add(r);
-    return all;
+
+OutcomeStats Driver::total_stats() const {
+    OutcomeStats total;
+    for (const OutcomeStats& stats : stats_)
+        total.add(stats);
+    return total;
 }
 
-void Driver::come() {
-    for (const Timestamp now = loop_.unix_now(); on_ && due_ <= now; due_ = arrivals_.next(due_))
-        for (unsigned k = 0; k < arrivals_.run(); ++k)
-            send(due_);
-    if (on_)
-        next_ = timers_.schedule(due_, [this] { come(); });
+void Driver::send_due_requests() {
+    for (const Timestamp now = loop_.unix_now(); is_started_ && next_due_at_ <= now;
+         next_due_at_ = arrivals_.next(next_due_at_))
+        for (unsigned i = 0; i < arrivals_.batch_size(); ++i)
+            send(next_due_at_);
+    if (is_started_)
+        arrival_timer_ = timers_.schedule(next_due_at_, [this] { send_due_requests(); });
 }
 
-void Driver::send(Timestamp due) {
-    if (doors_.empty())
-        return;
-    const std::size_t kind = arrivals_.kind(),
-                      where = arrivals_.pick(static_cast<std::uint32_t>(doors_.size()));
-    const net::Address& door = doors_[where];
-    Connection* c = nullptr;
-    // The one used last is the least likely to have been closed.
-    if (auto& idle = idle_[key(door)]; !idle.empty()) {
-        c = connections_.find(idle.back());
+Driver::Connection* Driver::idle_or_new_connection(const net::Address& target) {
+    // The connection used last is the least likely to have been closed.
+    if (auto& idle = idle_connections_[address_key(target)]; !idle.empty()) {
+        Connection* connection = connections_.find(idle.back());
         idle.pop_back();
-        timers_.cancel(c->rest);
+        timers_.cancel(connection->idle_timer);
+        return connection;
     }
-    if (c == nullptr && connections_.size() >= most_) {
+    if (connections_.size() >= max_connections_)
+        return nullptr;
+    auto owned = std::make_unique<Connection>(*this, target);
+    Connection* connection = owned.get();
+    connection->id = connections_.add(std::move(owned));
+    return connection;
+}
+
+void Driver::send(Timestamp due_at) {
+    if (targets_.empty())
+        return;
+    const std::size_t class_index = arrivals_.sample_class();
+    const std::size_t target_index = arrivals_.sample_index(static_cast<std::uint32_t>(targets_.size()));
+    Connection* connection = idle_or_new_connection(targets_[target_index]);
+    if (connection == nullptr) {
         ++unsent_;
         return;
     }
-    if (c == nullptr) {
-        auto made = std::make_unique<Connection>(*this, door);
-        c = made.get();
-        c->no = connections_.add(std::move(made));
-    }
-    c->busy = true;
-    c->kind = kind;
-    c->due = due;
-    c->door_no = where;
-    ++waiting_;
+    connection->has_request = true;
+    connection->class_index = class_index;
+    connection->target_index = target_index;
+    connection->due_at = due_at;
+    ++in_flight_;
     ++sent_;
-    const std::string body = "r" + std::to_string(++serial_);
-    const std::string text = "POST /v1/" + arrivals_.kinds()[kind].name +
-                             " HTTP/1.1\r\nHost: map\r\nContent-Length: " + std::to_string(body.size()) +
-                             "\r\n\r\n" + body;
-    if (c->stream == nullptr) {
-        c->request = text;
-        c->stream = net::Stream::connect(loop_.uv(), door, *c);
-        if (c->stream == nullptr)
-            ended(*c, End::lost);
-        return;
-    }
-    c->ask(text);
+    const std::string body = "r" + std::to_string(++last_body_number_);
+    connection->send("POST /v1/" + arrivals_.classes()[class_index].name +
+                     " HTTP/1.1\r\nHost: map\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                     body);
 }
 
-void Driver::ended(Connection& c, End end) {
-    if (!c.busy)
+void Driver::finish_request(Connection& connection, Outcome outcome) {
+    if (!connection.has_request)
         return;
-    c.busy = false;
-    --waiting_;
-    const Duration took = loop_.unix_now() - c.due;
-    if (c.due >= counted_from_) {
-        records_[c.kind].add(end, took);
-        if (on_end)
-            on_end(c.kind, c.door_no, end, took);
+    connection.has_request = false;
+    --in_flight_;
+    const Duration latency = loop_.unix_now() - connection.due_at;
+    if (connection.due_at >= counted_since_) {
+        stats_[connection.class_index].add(outcome, latency);
+        if (on_request_finished)
+            on_request_finished(connection.class_index, connection.target_index, outcome, latency);
     }
-    if (!c.stays || c.stream == nullptr)
-        return drop(c.no);
-    idle_[key(c.door)].push_back(c.no);
-    c.rest = timers_.schedule(loop_.unix_now() + rests_for, [this, no = c.no] { drop(no); });
+    if (!connection.is_reusable || connection.stream == nullptr)
+        return drop(connection.id);
+    idle_connections_[address_key(connection.target)].push_back(connection.id);
+    connection.idle_timer =
+        timers_.schedule(loop_.unix_now() + idle_timeout, [this, id = connection.id] { drop(id); });
 }
 
-void Driver::drop(base::SlotId no) {
-    if (Connection* c = connections_.find(no); c != nullptr)
-        std::erase(idle_[key(c->door)], no);
-    over_.push_back(no);
-    if (sweep_ != 0)
-        return;
-    sweep_ = timers_.schedule(Timestamp(0), [this] {
-        sweep_ = 0;
-        for (const base::SlotId over : std::exchange(over_, {}))
-            connections_.erase(over);
-    });
+void Driver::drop(base::SlotId id) {
+    if (Connection* connection = connections_.find(id); connection != nullptr)
+        std::erase(idle_connections_[address_key(connection->target)], id);
+    closed_connections_.erase(id);
 }
 
 }  // namespace cressledge::load_generator
--- a/tools/load_generator/driver.hpp
+++ b/tools/load_generator/driver.hpp
@@ -1,6 +1,6 @@
-// Drives requests through the front doors of many processes over HTTP/1.1, as an open loop, and keeps what became of
-// each. A request's time counts from the moment it was due, not from when it was sent. Bounded in time by its caller, in
-// connections by `most`: a request for which there is none is counted as unsent.
+/// Drives requests over HTTP/1.1 to the frontends of many processes, as an open loop, and counts their outcomes. The
+/// latency of a request counts from the moment it was due, not from when it was sent. Its connections are bounded: a
+/// request for which there is none is counted as unsent.
 #pragma once
 
 #include <functional>
@@ -10,57 +10,69 @@
 #include <vector>
 
 #include "base/slot_map.hpp"
-#include "load_generator/arrivals.hpp"
-#include "load_generator/record.hpp"
+#include "common/deferred_eraser.hpp"
+#include "load_generator/arrival_process.hpp"
+#include "load_generator/outcome_stats.hpp"
 #include "net/loop.hpp"
 #include "net/stream.hpp"
 
 namespace cressledge::load_generator {
 
+/// Sends requests while it is started, each to a target drawn by chance.
 class Driver {
 public:
-    Driver(net::Loop& loop, base::TimerQueue& timers, Arrivals arrivals, std::size_t most = 8192);
+    Driver(net::Loop& loop, base::TimerQueue& timers, ArrivalProcess arrivals,
+           std::size_t max_connections = 8192);
     ~Driver();
     Driver(const Driver&) = delete;
     Driver& operator=(const Driver&) = delete;
 
-    void doors(std::vector<net::Address> all) { doors_ = std::move(all); }  // one by chance for each request
+    /// The targets of later requests; none: requests are not sent.
+    void set_targets(std::vector<net::Address> targets) { targets_ = std::move(targets); }
     void start();
-    void stop();  // no new ones; those that are open go on
-    void rate(double rate_s) { arrivals_.rate(rate_s); }
-    double rate() const { return arrivals_.rate(); }
-    void forget();  // counts from here on; what is open now is not counted
-    std::size_t open() const { return waiting_; }
+    /// Sends no new requests; those in flight go on.
+    void stop();
+    /// Requests a second.
+    void set_rate_s(double rate_s) { arrivals_.set_rate_s(rate_s); }
+    double rate_s() const { return arrivals_.rate_s(); }
+    /// Clears all counts. Requests that are in flight now are not counted when they end.
+    void reset_counts();
+    /// Requests without an outcome yet.
+    std::size_t in_flight() const { return in_flight_; }
     std::uint64_t sent() const { return sent_; }
+    /// Requests that were due when `max_connections` were in use.
     std::uint64_t unsent() const { return unsent_; }
-    const std::vector<Record>& records() const { return records_; }  // by class
-    const std::vector<Kind>& kinds() const { return arrivals_.kinds(); }
-    Record total() const;
-    // Called for each request that has ended, with its class, its door's place and what became of it.
-    std::function<void(std::size_t kind, std::size_t door, End end, Duration took)> on_end;
+    const std::vector<RequestClass>& classes() const { return arrivals_.classes(); }
+    /// By class.
+    const std::vector<OutcomeStats>& stats_by_class() const { return stats_; }
+    OutcomeStats total_stats() const;
+    /// Called for each request that has ended and is counted.
+    std::function<void(std::size_t class_index, std::size_t target_index, Outcome outcome, Duration latency)>
+        on_request_finished;
 
 private:
     class Connection;
-    void come();
-    void send(Timestamp due);
-    void ended(Connection& c, End end);
-    void drop(base::SlotId no);
+    void send_due_requests();
+    void send(Timestamp due_at);
+    Connection* idle_or_new_connection(const net::Address& target);
+    void finish_request(Connection& connection, Outcome outcome);
+    void drop(base::SlotId id);
 
     net::Loop& loop_;
     base::TimerQueue& timers_;
-    Arrivals arrivals_;
-    const std::size_t most_;
-    std::vector<net::Address> doors_;
+    ArrivalProcess arrivals_;
+    const std::size_t max_connections_;
+    std::vector<net::Address> targets_;
     base::SlotMap<Connection> connections_;
-    std::unordered_map<std::uint64_t, std::vector<base::SlotId>> idle_;  // by door; used last comes last
-    std::vector<base::SlotId> over_;  // freed on the next turn: their own code may be on the stack
-    base::TimerQueue::Handle sweep_ = 0;
-    std::vector<Record> records_;
-    base::TimerQueue::Handle next_ = 0;
-    Timestamp due_{0}, counted_from_{0};
-    std::uint64_t sent_ = 0, unsent_ = 0, serial_ = 0;
-    std::size_t waiting_ = 0;
-    bool on_ = false;
+    tools::DeferredEraser<Connection> closed_connections_{timers_, connections_};
+    /// By target; the one used last comes last.
+    std::unordered_map<std::uint64_t, std::vector<base::SlotId>> idle_connections_;
+    std::vector<OutcomeStats> stats_;
+    base::TimerQueue::Handle arrival_timer_ = 0;
+    Timestamp next_due_at_{0}, counted_since_{0};
+    std::uint64_t sent_ = 0, unsent_ = 0, last_body_number_ = 0;
+    std::size_t in_flight_ = 0;
+    bool is_started_ = false;
 };
 
 }  // namespace cressledge::load_generator
