--- a/bench/gossip_sim.cpp
+++ b/bench/gossip_sim.cpp
@@ -71,7 +71,7 @@
         const int repeats = n >= 10'000 ? 3 : n >= 1'000 ? 10 : 20;
         std::vector<double> first, all, join, leave;
         Fleet f(n + 64, rules(probe), {}, 17);
-        f.start_agreed(n);
+        f.start_converged(n);
         f.run(f.now() + ms(2'000));
         for (int k = 0; k < repeats; ++k) {
             const auto victim = static_cast<std::size_t>(k) * 4 + 3;
@@ -101,11 +101,11 @@
     for (int seed = 1; seed <= count; ++seed) {
         Fleet f(n + 4, rules(probe), {loss / 100.0, base::Duration(200), base::Duration(2'000)},
                 static_cast<std::uint64_t>(seed));
-        f.start_agreed(n);
+        f.start_converged(n);
         f.run(f.now() + ms(10'000));
         f.crash(3);
         f.start({0});
-        bad += !f.run(f.now() + ms(10'000), ms(50), [&] { return f.agreed(); });
+        bad += !f.run(f.now() + ms(10'000), ms(50), [&] { return f.has_converged(); });
         wrong += f.false_deaths();
         for (std::size_t i = 0; i < f.size(); ++i)
             if (f.running(i))
@@ -138,7 +138,7 @@
     std::printf("%8s %12s %22s\n", "members", "gossip", "all-to-all heartbeat");
     for (const std::size_t n : {std::size_t{50}, std::size_t{200}, std::size_t{800}}) {
         Fleet f(n, rules(probe), {}, 23);
-        f.start_agreed(n);
+        f.start_converged(n);
         f.run(f.now() + ms(5'000));
         const auto before = f.bytes();
         f.run(f.now() + ms(120'000));
--- a/bench/rollout_sim.cpp
+++ b/bench/rollout_sim.cpp
@@ -6,20 +6,20 @@
 #include <future>
 #include <map>
 
-#include "emulator/roll.hpp"
+#include "emulator/rollout_emulation.hpp"
 
 namespace {
 
 using namespace cressledge::emulator;
 
-const std::map<std::string, Version> versions = {
+const std::map<std::string, VersionDefects> versions = {
     {"good", {}},
     {"noisy", {}},  // the same, on machines twice as uneven, a fifth of the fleet cut off for a while
-    {"tail", {.slow_share = 0.03, .slow_ms = 3000.0}},
-    {"errors", {.errors = 0.02}},
+    {"tail", {.slow_rate = 0.03, .slow_extra_ms = 3000.0}},
+    {"errors", {.error_rate = 0.02}},
     {"crash", {.crash_after_s = 30.0}},
-    {"refusals", {.refusals = 0.05}},
-    {"slower", {.slower = 1.8}},
+    {"refusals", {.rejection_rate = 0.05}},
+    {"slower", {.latency_factor = 1.8}},
 };
 
 }  // namespace
@@ -43,33 +43,33 @@
         for (const auto& [name, version] : versions) {
             if (only != "all" && only != name)
                 continue;
-            RollCase c;
+            RolloutScenario c;
             c.processes = given["processes"].as<std::size_t>();
-            c.fresh = version;
+            c.new_version = version;
             c.plan.name = name;
             c.plan.stages = {{0.0, 1}, {0.05, 0}, {0.25, 0}, {0.5, 0}, {1.0, 0}};
             c.plan.bake_time =
                 cressledge::base::Duration(static_cast<std::int64_t>(given["bake"].as<double>() * 1e6));
             if (name == "noisy")
-                c.machines = 0.3, c.weather = 0.2, c.cut_off = true;
+                c.machine_speed_sigma = 0.3, c.shared_slowdown_sigma = 0.2, c.has_partition = true;
             std::uint64_t done = 0, reverted = 0, first = 0, next = 1;
             double met = 0.0, seconds = 0.0;
-            std::vector<std::future<RollOutcome>> under_way;
+            std::vector<std::future<RolloutResult>> under_way;
             while (next <= rolls || !under_way.empty()) {
                 while (next <= rolls && under_way.size() < given["jobs"].as<unsigned>())
                     under_way.push_back(std::async(std::launch::async, [c, seed = next++]() mutable {
                         c.seed = seed;
-                        return run(c);
+                        return emulate_rollout(c);
                     }));
-                const RollOutcome o = under_way.front().get();
+                const RolloutResult o = under_way.front().get();
                 under_way.erase(under_way.begin());
-                done += o.done ? 1 : 0;
-                reverted += o.reverted ? 1 : 0;
-                first += o.reverted && o.stage == 0 ? 1 : 0;
-                met += o.met;
+                done += o.completed ? 1 : 0;
+                reverted += o.rolled_back ? 1 : 0;
+                first += o.rolled_back && o.stage == 0 ? 1 : 0;
+                met += o.exposure;
                 seconds += o.seconds;
-                if (given.count("why") != 0 && !o.done)
-                    std::printf("  stage %zu: %s\n", o.stage, o.why.c_str());
+                if (given.count("why") != 0 && !o.completed)
+                    std::printf("  stage %zu: %s\n", o.stage, o.rollback_reason.c_str());
             }
             std::printf("%-10s %7lu %7lu %9lu %14lu %11.3f%% %10.1f\n", name.c_str(),
                         static_cast<unsigned long>(rolls), static_cast<unsigned long>(done),
--- a/tests/cressledge/membership_fleet_test.cpp
+++ b/tests/cressledge/membership_fleet_test.cpp
@@ -16,69 +16,73 @@
         fleet.start({59});
     fleet.run(fleet.now() + milliseconds(1'000));
     fleet.start({});
-    CHECK(fleet.run(fleet.now() + milliseconds(8'000), milliseconds(50), [&] { return fleet.agreed(); }));
+    CHECK(fleet.run(fleet.now() + milliseconds(8'000), milliseconds(50),
+                    [&] { return fleet.has_converged(); }));
 }
 
 TEST_CASE("emulated fleet: a crash and a leave are known to all, and no live member is declared dead") {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Fleet fleet(50, fast_settings(), {0.01, Duration(200), Duration(2'000)}, seed);
-        fleet.start_agreed(50);
+        fleet.start_converged(50);
         fleet.run(fleet.now() + milliseconds(1'000));
         fleet.crash(7);
-        REQUIRE(
-            fleet.run(fleet.now() + milliseconds(6'000), milliseconds(50), [&] { return fleet.agreed(); }));
+        REQUIRE(fleet.run(fleet.now() + milliseconds(6'000), milliseconds(50),
+                          [&] { return fleet.has_converged(); }));
         fleet.leave(8);
-        REQUIRE(
-            fleet.run(fleet.now() + milliseconds(2'000), milliseconds(50), [&] { return fleet.agreed(); }));
+        REQUIRE(fleet.run(fleet.now() + milliseconds(2'000), milliseconds(50),
+                          [&] { return fleet.has_converged(); }));
         CHECK(fleet.view(9).state_of("n8") == MemberState::left);
         CHECK(fleet.view(9).state_of("n7") == MemberState::dead);
         fleet.restart(7, {0});
-        REQUIRE(
-            fleet.run(fleet.now() + milliseconds(6'000), milliseconds(50), [&] { return fleet.agreed(); }));
+        REQUIRE(fleet.run(fleet.now() + milliseconds(6'000), milliseconds(50),
+                          [&] { return fleet.has_converged(); }));
         CHECK(fleet.false_deaths() == 0);
     }
 }
 
 TEST_CASE("emulated fleet: the halves of a partition find each other when it heals") {
     Fleet fleet(40, fast_settings(), {}, 5);
-    fleet.start_agreed(40);
-    fleet.cut([](std::size_t a, std::size_t b) { return (a < 20) != (b < 20); });
+    fleet.start_converged(40);
+    fleet.set_cut_links([](std::size_t a, std::size_t b) { return (a < 20) != (b < 20); });
     fleet.run(fleet.now() + milliseconds(30'000));
     CHECK(fleet.view(0).live_count() == 19);
     CHECK(fleet.view(30).live_count() == 19);
-    fleet.cut({});
-    CHECK(fleet.run(fleet.now() + milliseconds(10'000), milliseconds(50), [&] { return fleet.agreed(); }));
+    fleet.set_cut_links({});
+    CHECK(fleet.run(fleet.now() + milliseconds(10'000), milliseconds(50),
+                    [&] { return fleet.has_converged(); }));
     CHECK(fleet.false_deaths() == 0);
 }
 
 TEST_CASE("emulated fleet: a link dead in one direction, and a member that cannot send") {
     Fleet fleet(30, fast_settings(), {}, 6);
-    fleet.start_agreed(30);
-    fleet.cut([](std::size_t from, std::size_t to) { return from == 3 && to == 4; });  // 4 does not hear 3
+    fleet.start_converged(30);
+    fleet.set_cut_links(
+        [](std::size_t from, std::size_t to) { return from == 3 && to == 4; });  // 4 does not hear 3
     fleet.run(fleet.now() + milliseconds(20'000));
-    CHECK(fleet.agreed());
+    CHECK(fleet.has_converged());
     CHECK(fleet.false_deaths() == 0);
-    fleet.cut([](std::size_t from, std::size_t) { return from == 3; });
+    fleet.set_cut_links([](std::size_t from, std::size_t) { return from == 3; });
     CHECK(fleet.run(fleet.now() + milliseconds(8'000), milliseconds(50), [&] {
         for (std::size_t i = 0; i < 30; ++i)
             if (i != 3 && fleet.view(i).state_of("n3") != MemberState::dead)
                 return false;
         return true;
     }));
-    fleet.cut({});
-    CHECK(fleet.run(fleet.now() + milliseconds(10'000), milliseconds(50), [&] { return fleet.agreed(); }));
+    fleet.set_cut_links({});
+    CHECK(fleet.run(fleet.now() + milliseconds(10'000), milliseconds(50),
+                    [&] { return fleet.has_converged(); }));
 }
 
 TEST_CASE("emulated fleet: a member that was paused for three seconds comes back and suspects nobody") {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         Fleet fleet(30, fast_settings(), {}, seed);
-        fleet.start_agreed(30);
+        fleet.start_converged(30);
         fleet.run(fleet.now() + milliseconds(2'000));
         fleet.pause(3, fleet.now() + milliseconds(3'000));
         fleet.run(fleet.now() + milliseconds(3'100));
         CHECK(fleet.view(3).counters().suspicions_raised == 0);
-        REQUIRE(
-            fleet.run(fleet.now() + milliseconds(5'000), milliseconds(50), [&] { return fleet.agreed(); }));
+        REQUIRE(fleet.run(fleet.now() + milliseconds(5'000), milliseconds(50),
+                          [&] { return fleet.has_converged(); }));
     }
 }
 
@@ -86,7 +90,7 @@
     "emulated fleet: with a tenth of the datagrams lost, suspicions are refuted and nobody is declared "
     "dead") {
     Fleet fleet(60, fast_settings(), {0.1, Duration(200), Duration(2'000)}, 8);
-    fleet.start_agreed(60);
+    fleet.start_converged(60);
     fleet.run(fleet.now() + milliseconds(120'000));
     CHECK(fleet.false_deaths() == 0);
     std::uint64_t suspicions = 0, refutations = 0;
@@ -100,7 +104,7 @@
 
 TEST_CASE("emulated fleet: six in ten members are replaced within seven seconds") {
     Fleet fleet(80, fast_settings(), {}, 9);
-    fleet.start_agreed(50);
+    fleet.start_converged(50);
     for (std::size_t i = 0; i < 30; ++i) {
         fleet.run(fleet.now() + milliseconds(230));
         if (i % 2 == 0)
@@ -109,5 +113,6 @@
             fleet.leave(i);
         fleet.start({40 + i % 10});
     }
-    CHECK(fleet.run(fleet.now() + milliseconds(8'000), milliseconds(50), [&] { return fleet.agreed(); }));
+    CHECK(fleet.run(fleet.now() + milliseconds(8'000), milliseconds(50),
+                    [&] { return fleet.has_converged(); }));
 }
--- a/tests/cressledge/rollout_test.cpp
+++ b/tests/cressledge/rollout_test.cpp
@@ -1,7 +1,7 @@
 /// Whole rollouts: emulated over noisy processes, and over real processes under load.
 #include <filesystem>
 
-#include "emulator/roll.hpp"
+#include "emulator/rollout_emulation.hpp"
 #include "experiment/rollout_testbed.hpp"
 #include "support.hpp"
 
@@ -14,27 +14,28 @@
 TEST_CASE(
     "rollout emulation: a good change completes on noisy machines, and each bad one is rolled back in an "
     "early stage") {
-    emulator::RollCase roll_case;
-    roll_case.processes = 60;
-    roll_case.plan.name = "r";
-    roll_case.plan.stages = {{0.0, 1}, {0.25, 0}, {1.0, 0}};
-    roll_case.plan.bake_time = Duration(60'000'000);
-    const auto run_with = [&roll_case](const emulator::Version& version, std::uint64_t seed) {
-        roll_case.fresh = version;
-        roll_case.seed = seed;
-        return emulator::run(roll_case);
+    emulator::RolloutScenario scenario;
+    scenario.processes = 60;
+    scenario.plan.name = "r";
+    scenario.plan.stages = {{0.0, 1}, {0.25, 0}, {1.0, 0}};
+    scenario.plan.bake_time = Duration(60'000'000);
+    const auto run_with = [&scenario](const emulator::VersionDefects& version, std::uint64_t seed) {
+        scenario.new_version = version;
+        scenario.seed = seed;
+        return emulator::emulate_rollout(scenario);
     };
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        roll_case.cut_off = seed % 2 == 0;
-        CHECK(run_with({}, seed).done);
-        roll_case.cut_off = false;
-        for (const emulator::Version& bad :
-             {emulator::Version{.slow_share = 0.03, .slow_ms = 3000.0}, emulator::Version{.errors = 0.02},
-              emulator::Version{.refusals = 0.05}, emulator::Version{.crash_after_s = 30.0}}) {
-            const emulator::RollOutcome outcome = run_with(bad, seed);
-            CHECK(outcome.reverted);
+        scenario.has_partition = seed % 2 == 0;
+        CHECK(run_with({}, seed).completed);
+        scenario.has_partition = false;
+        for (const emulator::VersionDefects& bad :
+             {emulator::VersionDefects{.slow_rate = 0.03, .slow_extra_ms = 3000.0},
+              emulator::VersionDefects{.error_rate = 0.02}, emulator::VersionDefects{.rejection_rate = 0.05},
+              emulator::VersionDefects{.crash_after_s = 30.0}}) {
+            const emulator::RolloutResult result = run_with(bad, seed);
+            CHECK(result.rolled_back);
             // Two errors in a hundred of one class may take the second stage to tell from a machine that fails more.
-            CHECK(outcome.stage <= (bad.errors > 0.0 ? 1U : 0U));
+            CHECK(result.stage <= (bad.error_rate > 0.0 ? 1U : 0U));
         }
     }
 }
--- a/tools/emulator/fleet.cpp
+++ b/tools/emulator/fleet.cpp
@@ -1,189 +1,217 @@
 #include "emulator/fleet.hpp"
 
 namespace cressledge::emulator {
+namespace {
 
-Fleet::Fleet(std::size_t most, const membership::MembershipSettings& rules, const Network& network,
-             std::uint64_t seed)
-    : most_(most), rules_(rules), network_(network), random_(seed) {
-    nodes_.reserve(most);
+/// Length of the fleet's name, for the sizes of messages.
+constexpr std::size_t fleet_name_bytes = 5;
+
+std::uint64_t update_bytes(const membership::Message& message) {
+    std::uint64_t bytes = 0;
+    for (const auto& update : message.updates)
+        bytes += membership::max_encoded_size(update);
+    return bytes;
 }
 
-Duration Fleet::delay() {
-    const auto width = static_cast<double>((network_.most - network_.least).count());
-    return network_.least + Duration(static_cast<std::int64_t>(random_() * 0x1p-32 * width));
+}  // namespace
+
+Fleet::Fleet(std::size_t max_members, const membership::MembershipSettings& settings,
+             const NetworkModel& network, std::uint64_t seed)
+    : settings_(settings), network_(network), random_(seed) {
+    members_.reserve(max_members);
 }
 
-void Fleet::boot(std::size_t no, const std::vector<std::size_t>& seeds) {
-    Node& n = nodes_[no];
-    std::vector<membership::Endpoint> places;
-    for (const std::size_t s : seeds)
-        places.push_back(place(s));
-    ++n.life;
-    n.leaving = false;
-    n.scheduled = Timestamp::max();
-    const membership::LocalMember self{n.id, place(no), static_cast<std::uint64_t>(now_.count())};
-    n.view = std::make_unique<membership::MembershipTable>(names_, true, rules_, self, std::move(places),
-                                                           random_(), now_);
-    schedule(no);
+void Fleet::boot(std::size_t index, const std::vector<std::size_t>& seeds) {
+    Member& member = members_[index];
+    std::vector<membership::Endpoint> seed_endpoints;
+    for (const std::size_t seed : seeds)
+        seed_endpoints.push_back(endpoint_of(seed));
+    ++member.incarnation;
+    member.is_leaving = false;
+    member.next_tick_at = Timestamp::max();
+    const membership::LocalMember self{member.id, endpoint_of(index),
+                                       static_cast<std::uint64_t>(now_.count())};
+    member.table = std::make_unique<membership::MembershipTable>(member_indices_, true, settings_, self,
+                                                                 std::move(seed_endpoints), random_(), now_);
+    schedule_tick(index);
 }
 
 std::size_t Fleet::start(std::vector<std::size_t> seeds) {
-    const std::size_t no = nodes_.size();
-    nodes_.emplace_back().id = "n" + std::to_string(no);
-    boot(no, seeds);
-    return no;
+    const std::size_t index = members_.size();
+    members_.emplace_back().id = "n" + std::to_string(index);
+    boot(index, seeds);
+    return index;
 }
 
-void Fleet::restart(std::size_t no, std::vector<std::size_t> seeds) {
-    boot(no, seeds);
+void Fleet::restart(std::size_t index, std::vector<std::size_t> seeds) {
+    boot(index, seeds);
 }
 
-void Fleet::start_agreed(std::size_t n) {
-    const std::size_t first = nodes_.size();
-    for (std::size_t i = 0; i < n; ++i)
+void Fleet::start_converged(std::size_t count) {
+    const std::size_t first = members_.size();
+    for (std::size_t i = 0; i < count; ++i)
         start({});
-    membership::Message all;
-    all.type = membership::MessageType::exchange;
-    for (std::size_t i = 0; i < n; ++i) {
-        const membership::LocalMember& s = nodes_[first + i].view->local_member();
-        all.updates.push_back({s.id, s.endpoint, s.start_time_us, 0, membership::MemberState::alive, {}});
+    membership::Message full_state;
+    full_state.type = membership::MessageType::exchange;
+    for (std::size_t i = 0; i < count; ++i) {
+        const membership::LocalMember& local = members_[first + i].table->local_member();
+        full_state.updates.push_back(
+            {local.id, local.endpoint, local.start_time_us, 0, membership::MemberState::alive, {}});
     }
-    all.sender = all.updates.front();
-    membership::MembershipTable::Effects out;
-    for (std::size_t i = 0; i < n; ++i) {
-        nodes_[first + i].view->merge_full_state(now_, all, out);
-        nodes_[first + i].view->assume_converged();
-        schedule(first + i);
+    full_state.sender = full_state.updates.front();
+    Effects ignored;
+    for (std::size_t i = 0; i < count; ++i) {
+        members_[first + i].table->merge_full_state(now_, full_state, ignored);
+        members_[first + i].table->assume_converged();
+        schedule_tick(first + i);
     }
 }
 
-void Fleet::leave(std::size_t no) {
-    nodes_[no].view->leave(now_);
-    nodes_[no].leaving = true;
-    schedule(no);
+void Fleet::leave(std::size_t index) {
+    members_[index].table->leave(now_);
+    members_[index].is_leaving = true;
+    schedule_tick(index);
 }
 
-void Fleet::pause(std::size_t no, Timestamp until) {
-    nodes_[no].paused = until;
+void Fleet::pause(std::size_t index, Timestamp until) {
+    members_[index].paused_until = until;
 }
 
-void Fleet::put(Timestamp when, std::size_t from, std::size_t to,
-                std::shared_ptr<const membership::Message> m) {
-    events_.push({when, ++order_, to, from, 0, std::move(m)});
+void Fleet::deliver_later(std::size_t from, std::size_t to,
+                          std::shared_ptr<const membership::Message> message) {
+    const auto jitter_us = static_cast<double>((network_.max_delay - network_.min_delay).count());
+    const Duration delay =
+        network_.min_delay + Duration(static_cast<std::int64_t>(random_() * 0x1p-32 * jitter_us));
+    events_.push({now_ + delay, ++last_sequence_, to, from, 0, std::move(message)});
 }
 
-void Fleet::schedule(std::size_t no) {
-    Node& n = nodes_[no];
-    const Timestamp at = std::max(now_, n.view->next_deadline());
-    if (at >= n.scheduled)
+void Fleet::schedule_tick(std::size_t index) {
+    Member& member = members_[index];
+    const Timestamp at = std::max(now_, member.table->next_deadline());
+    if (at >= member.next_tick_at)
         return;
-    n.scheduled = at;
-    events_.push({at, ++order_, no, no, n.life, nullptr});
-}
-
-void Fleet::carry(std::size_t no, membership::MembershipTable::Effects& out) {
-    for (auto& s : out.messages) {
-        const std::size_t to = number(s.destination);
-        ++datagrams_;
-        bytes_ += membership::max_encoded_size(s.message, 5);
-        for (const auto& u : s.message.updates)
-            bytes_ += membership::max_encoded_size(u);
-        if (to >= nodes_.size() || cut(no, to) || random_() * 0x1p-32 < network_.loss)
+    member.next_tick_at = at;
+    events_.push({at, ++last_sequence_, index, index, member.incarnation, nullptr});
+}
+
+void Fleet::send_messages(std::size_t from, Effects& effects) {
+    for (auto& outgoing : effects.messages) {
+        const std::size_t to = index_of(outgoing.destination);
+        bytes_ +=
+            membership::max_encoded_size(outgoing.message, fleet_name_bytes) + update_bytes(outgoing.message);
+        if (to >= members_.size() || is_cut(from, to) || random_() * 0x1p-32 < network_.loss_probability)
             continue;
-        put(now_ + delay(), no, to, std::make_shared<const membership::Message>(std::move(s.message)));
+        deliver_later(from, to, std::make_shared<const membership::Message>(std::move(outgoing.message)));
     }
-    for (const auto& p : out.exchange_peers) {
-        const std::size_t to = number(p);
-        if (to >= nodes_.size() || to == no || cut(no, to) || cut(to, no))
+}
+
+void Fleet::start_exchanges(std::size_t from, const Effects& effects) {
+    for (const auto& peer : effects.exchange_peers) {
+        const std::size_t to = index_of(peer);
+        if (to >= members_.size() || to == from || is_cut(from, to) || is_cut(to, from))
             continue;
-        put(now_ + delay(), no, to,
-            std::make_shared<const membership::Message>(
-                nodes_[no].view->full_state(membership::MessageType::exchange)));
+        deliver_later(from, to,
+                      std::make_shared<const membership::Message>(
+                          members_[from].table->full_state(membership::MessageType::exchange)));
     }
-    for (const auto& c : out.changes) {
-        if (c.new_state != membership::MemberState::dead)
+}
+
+void Fleet::count_false_deaths(std::size_t observer, const Effects& effects) {
+    for (const auto& change : effects.changes) {
+        if (change.new_state != membership::MemberState::dead)
             continue;
-        const std::size_t of = number(c.endpoint);
-        false_deaths_ += of < nodes_.size() && nodes_[of].view != nullptr && !nodes_[of].leaving &&
-                         !cut(no, of) && !cut(of, no);
+        const std::size_t subject = index_of(change.endpoint);
+        false_deaths_ += subject < members_.size() && running(subject) && !members_[subject].is_leaving &&
+                         !is_cut(observer, subject) && !is_cut(subject, observer);
     }
-    if (nodes_[no].leaving && nodes_[no].view->departure_announced())
-        nodes_[no].view.reset();
+}
+
+void Fleet::apply(std::size_t index, Effects& effects) {
+    send_messages(index, effects);
+    start_exchanges(index, effects);
+    count_false_deaths(index, effects);
+    if (members_[index].is_leaving && members_[index].table->departure_announced())
+        members_[index].table.reset();
     else
-        schedule(no);
+        schedule_tick(index);
 }
 
-void Fleet::handle(const Event& e) {
-    Node& n = nodes_[e.to];
-    if (n.view == nullptr)
-        return;
-    if (n.paused > now_) {
-        Event later = e;
-        later.when = n.paused;
-        if (e.message == nullptr)
-            later.order = 0;  // timers go first when it goes on
-        if (e.message == nullptr)
-            n.scheduled = n.paused;
-        events_.push(std::move(later));
-        return;
+void Fleet::postpone(Event event) {
+    Member& member = members_[event.to];
+    event.at = member.paused_until;
+    if (event.message == nullptr) {
+        event.sequence = 0;  // timers go first when the member continues
+        member.next_tick_at = member.paused_until;
     }
-    membership::MembershipTable::Effects out;
-    if (e.message == nullptr) {
-        if (e.life != n.life || e.when != n.scheduled)
-            return;
-        n.scheduled = Timestamp::max();
-        n.view->tick(now_, out);
-    } else if (e.message->type == membership::MessageType::exchange) {
+    events_.push(std::move(event));
+}
+
+void Fleet::receive(Member& member, const Event& event, Effects& effects) {
+    const membership::Message& message = *event.message;
+    if (message.type == membership::MessageType::exchange) {
         auto reply = std::make_shared<const membership::Message>(
-            n.view->full_state(membership::MessageType::exchange_reply));
-        for (const auto& m : {e.message, reply})
-            for (const auto& u : m->updates)
-                bytes_ += membership::max_encoded_size(u);
-        n.view->merge_full_state(now_, *e.message, out);
-        put(now_ + delay(), e.to, e.from, std::move(reply));
-    } else if (e.message->type == membership::MessageType::exchange_reply) {
-        n.view->merge_full_state(now_, *e.message, out);
+            member.table->full_state(membership::MessageType::exchange_reply));
+        bytes_ += update_bytes(message) + update_bytes(*reply);
+        member.table->merge_full_state(now_, message, effects);
+        deliver_later(event.to, event.from, std::move(reply));
+    } else if (message.type == membership::MessageType::exchange_reply) {
+        member.table->merge_full_state(now_, message, effects);
+    } else {
+        member.table->on_message(now_, message, endpoint_of(event.from), effects);
+    }
+}
+
+void Fleet::handle(const Event& event) {
+    Member& member = members_[event.to];
+    if (member.table == nullptr)
+        return;
+    if (member.paused_until > now_)
+        return postpone(event);
+    Effects effects;
+    if (event.message == nullptr) {
+        if (event.incarnation != member.incarnation || event.at != member.next_tick_at)
+            return;
+        member.next_tick_at = Timestamp::max();
+        member.table->tick(now_, effects);
     } else {
-        n.view->on_message(now_, *e.message, place(e.from), out);
+        receive(member, event, effects);
     }
-    carry(e.to, out);
+    apply(event.to, effects);
 }
 
 void Fleet::run(Timestamp until) {
-    while (!events_.empty() && events_.top().when <= until) {
-        const Event e = events_.top();
+    while (!events_.empty() && events_.top().at <= until) {
+        const Event event = events_.top();
         events_.pop();
-        now_ = std::max(now_, e.when);
-        handle(e);
+        now_ = std::max(now_, event.at);
+        handle(event);
     }
     now_ = until;
 }
 
-bool Fleet::run(Timestamp until, Duration look_every, const std::function<bool()>& done) {
+bool Fleet::run(Timestamp until, Duration check_interval, const std::function<bool()>& is_done) {
     while (now_ < until) {
-        if (done())
+        if (is_done())
             return true;
-        run(std::min(until, now_ + look_every));
+        run(std::min(until, now_ + check_interval));
     }
-    return done();
+    return is_done();
 }
 
-bool Fleet::agreed() const {
-    std::size_t running = 0;
-    for (const Node& n : nodes_)
-        running += n.view != nullptr && !n.leaving;
-    std::uint64_t digest = 0;
-    bool first = true;
-    for (const Node& n : nodes_) {
-        if (n.view == nullptr || n.leaving)
+bool Fleet::has_converged() const {
+    std::size_t running_members = 0;
+    for (const Member& member : members_)
+        running_members += member.table != nullptr && !member.is_leaving;
+    std::optional<std::uint64_t> common_digest;
+    for (const Member& member : members_) {
+        if (member.table == nullptr || member.is_leaving)
             continue;
-        if (n.view->live_count() + 1 != running || n.view->suspect_count() != 0)
+        if (member.table->live_count() + 1 != running_members || member.table->suspect_count() != 0)
             return false;
-        const std::uint64_t d = n.view->digest();
-        if (!first && d != digest)
+        const std::uint64_t digest = member.table->digest();
+        if (common_digest && digest != *common_digest)
             return false;
-        digest = d;
-        first = false;
+        common_digest = digest;
     }
     return true;
 }
