--- a/bench/load_spread_sim.cpp
+++ b/bench/load_spread_sim.cpp
@@ -6,14 +6,14 @@
 #include <cstdio>
 #include <cxxopts.hpp>
 
-#include "emulator/spread.hpp"
+#include "emulator/load_spread.hpp"
 
 namespace {
 
 using namespace cressledge::emulator;
 
 // The hard cases, a quarter of the time in.
-std::vector<Trouble> troubles(const std::string& name, const Spread& s) {
+std::vector<ScenarioEvent> troubles(const std::string& name, const LoadSpreadScenario& s) {
     const double at = s.seconds / 4;
     std::vector<std::size_t> third;
     for (std::size_t i = 0; i < s.servers; i += 3)
@@ -21,19 +21,20 @@
     if (name == "none")
         return {};
     if (name == "slow")
-        return {{at, Trouble::slow, {2}, 10.0, 0.0}};
+        return {{at, ScenarioEvent::Type::slow_down, {2}, 10.0, 0.0}};
     if (name == "fails")
-        return {{at, Trouble::fail, {1}, 1.0, 0.0}};
+        return {{at, ScenarioEvent::Type::fail, {1}, 1.0, 0.0}};
     if (name == "burst")
-        return {{at, Trouble::burst, {}, 2.0, 5.0}};
+        return {{at, ScenarioEvent::Type::load_burst, {}, 2.0, 5.0}};
     if (name == "cold")
-        return {{at, Trouble::restart_servers, {2}, 1.0, 1.0}};
+        return {{at, ScenarioEvent::Type::restart_servers, {2}, 1.0, 1.0}};
     if (name == "restart")
-        return {{at, Trouble::restart_processes, {}, 1.0, 0.0}};
+        return {{at, ScenarioEvent::Type::restart_processes, {}, 1.0, 0.0}};
     if (name == "crowd")
-        return {{at, Trouble::processes, {}, 300.0, 0.0}, {3 * at, Trouble::processes, {}, 50.0, 0.0}};
+        return {{at, ScenarioEvent::Type::resize_fleet, {}, 300.0, 0.0},
+                {3 * at, ScenarioEvent::Type::resize_fleet, {}, 50.0, 0.0}};
     if (name == "dead")
-        return {{at, Trouble::restart_servers, third, 1.0, 2.0}};
+        return {{at, ScenarioEvent::Type::restart_servers, third, 1.0, 2.0}};
     throw std::invalid_argument(name + ": no such trouble");
 }
 
@@ -61,34 +62,36 @@
         std::printf("%5s  %-24s %9s %9s %7s %8s %8s %8s %8s %9s %9s %7s\n", "load", "choice", "worst p99",
                     "over 2 s", "cv", "idle", "p50 ms", "p99 ms", "x JSQ", "errors", "probes", "moved");
         for (const double load : given["load"].as<std::vector<double>>()) {
-            Spread s;
+            LoadSpreadScenario s;
             s.processes = given["processes"].as<std::size_t>();
             s.servers = given["servers"].as<std::size_t>();
-            s.nature.slots = given["slots"].as<unsigned>();
+            s.server_profile.slots = given["slots"].as<unsigned>();
             s.seconds = given["seconds"].as<double>();
             s.load = load / 100.0;
-            s.probes = given["probes"].as<unsigned>();
-            s.expected = given.count("unexpected") == 0;
-            s.pool.hot_quantile = given["hot"].as<double>();
-            s.subset = given["subset"].as<std::size_t>();
+            s.probes_per_call = given["probes"].as<unsigned>();
+            s.reports_expected_calls = given.count("unexpected") == 0;
+            s.probing.hot_quantile = given["hot"].as<double>();
+            s.subset_size = given["subset"].as<std::size_t>();
             s.seed = given["seed"].as<std::uint64_t>();
             const auto trouble = given["trouble"].as<std::string>();
             if (trouble == "crowd")
                 s.processes = 50;
-            s.troubles = troubles(trouble, s);
+            s.events = troubles(trouble, s);
             double best = 0.0;
-            for (const Choice c : {Choice::all_seen, Choice::random, Choice::round_robin, Choice::stale,
-                                   Choice::own_two, Choice::today, Choice::pool, Choice::probed}) {
+            for (const BalancingChoice c :
+                 {BalancingChoice::join_shortest_queue, BalancingChoice::random, BalancingChoice::round_robin,
+                  BalancingChoice::stale_reports, BalancingChoice::local_two_choices,
+                  BalancingChoice::two_choices, BalancingChoice::probe_pool, BalancingChoice::probe_first}) {
                 s.choice = c;
-                const Outcome o = run(s);
-                if (c == Choice::all_seen)
+                const LoadSpreadResult o = emulate_load_spread(s);
+                if (c == BalancingChoice::join_shortest_queue)
                     best = o.p99_ms;
                 std::printf(
                     "%4.0f%%  %-24s %9.3f %9.2f %7.3f %7.3f%% %8.1f %8.1f %8.2f %8.3f%% %9.2f %6.1f%%\n",
-                    load, word(c), o.even.peak_to_mean_p99, o.even.longest_time_above_s(2.0),
-                    o.even.variation, 100.0 * o.even.idle_fraction, o.p50_ms, o.p99_ms, o.p99_ms / best,
-                    100.0 * o.errors, static_cast<double>(o.probes) / static_cast<double>(o.calls),
-                    100.0 * o.moved);
+                    load, to_string(c), o.imbalance.peak_to_mean_p99, o.imbalance.longest_time_above_s(2.0),
+                    o.imbalance.variation, 100.0 * o.imbalance.idle_fraction, o.p50_ms, o.p99_ms,
+                    o.p99_ms / best, 100.0 * o.error_rate,
+                    static_cast<double>(o.probes) / static_cast<double>(o.calls), 100.0 * o.subset_churn);
                 std::fflush(stdout);
             }
         }
--- a/tests/cressledge/experiment_test.cpp
+++ b/tests/cressledge/experiment_test.cpp
@@ -185,7 +185,7 @@
     CHECK(bad("name: x\n").find("processes: missing") != std::string::npos);
     const auto e = experiment::load_experiment(small());
     CHECK(e.rate_s() == Approx(0.8 * 176 / 0.2));
-    CHECK(experiment::emulated(e).choice == emulator::Choice::probed);
+    CHECK(experiment::emulated(e).choice == emulator::BalancingChoice::probe_first);
 }
 
 TEST_CASE(
--- a/tests/cressledge/load_balancing_test.cpp
+++ b/tests/cressledge/load_balancing_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "emulator/spread.hpp"
+#include "emulator/load_spread.hpp"
 #include "load_balancing/balancer.hpp"
 #include "load_balancing/load_probes.hpp"
 #include "load_balancing/load_reports.hpp"
@@ -263,29 +263,29 @@
 TEST_CASE(
     "emulator: probe-first spreads load as evenly as perfect knowledge, and reports a second old make a "
     "herd") {
-    emulator::Spread experiment;
+    emulator::LoadSpreadScenario experiment;
     experiment.processes = 60;
     experiment.servers = 60;
-    experiment.nature.slots = 16;
+    experiment.server_profile.slots = 16;
     experiment.seconds = 1.0;
-    experiment.warm_up = 1.0;
+    experiment.warm_up_s = 1.0;
     experiment.load = 0.9;
-    const auto run_with = [&experiment](emulator::Choice choice) {
+    const auto run_with = [&experiment](emulator::BalancingChoice choice) {
         experiment.choice = choice;
-        return emulator::run(experiment);
+        return emulator::emulate_load_spread(experiment);
     };
-    const auto ideal = run_with(emulator::Choice::all_seen);
-    const auto probed = run_with(emulator::Choice::probed);
-    const auto stale = run_with(emulator::Choice::stale);
-    const auto two_choices = run_with(emulator::Choice::today);
-    const auto pool = run_with(emulator::Choice::pool);
-    CHECK(probed.even.peak_to_mean_p99 < 1.3);
+    const auto ideal = run_with(emulator::BalancingChoice::join_shortest_queue);
+    const auto probed = run_with(emulator::BalancingChoice::probe_first);
+    const auto stale = run_with(emulator::BalancingChoice::stale_reports);
+    const auto two_choices = run_with(emulator::BalancingChoice::two_choices);
+    const auto pool = run_with(emulator::BalancingChoice::probe_pool);
+    CHECK(probed.imbalance.peak_to_mean_p99 < 1.3);
     CHECK(probed.p99_ms < 1.5 * ideal.p99_ms);
-    CHECK(probed.even.idle_fraction < 0.01);
-    CHECK(stale.even.peak_to_mean_p99 > 10.0);
-    CHECK(two_choices.even.peak_to_mean_p99 > probed.even.peak_to_mean_p99);
-    CHECK(pool.even.peak_to_mean_p99 < two_choices.even.peak_to_mean_p99);
-    const auto again = run_with(emulator::Choice::pool);
-    CHECK((again.even.peak_to_mean_p99 == pool.even.peak_to_mean_p99 &&
+    CHECK(probed.imbalance.idle_fraction < 0.01);
+    CHECK(stale.imbalance.peak_to_mean_p99 > 10.0);
+    CHECK(two_choices.imbalance.peak_to_mean_p99 > probed.imbalance.peak_to_mean_p99);
+    CHECK(pool.imbalance.peak_to_mean_p99 < two_choices.imbalance.peak_to_mean_p99);
+    const auto again = run_with(emulator::BalancingChoice::probe_pool);
+    CHECK((again.imbalance.peak_to_mean_p99 == pool.imbalance.peak_to_mean_p99 &&
            again.p99_ms == pool.p99_ms));  // one seed, one run
 }
--- a/tools/experiment/experiment.cpp
+++ b/tools/experiment/experiment.cpp
@@ -13,9 +13,10 @@
 
 using config::YamlReader;
 
-const std::map<std::string, emulator::Choice> choices = {{"two-choices", emulator::Choice::today},
-                                                         {"probe-pool", emulator::Choice::pool},
-                                                         {"probe-first", emulator::Choice::probed}};
+const std::map<std::string, emulator::BalancingChoice> choices = {
+    {"two-choices", emulator::BalancingChoice::two_choices},
+    {"probe-pool", emulator::BalancingChoice::probe_pool},
+    {"probe-first", emulator::BalancingChoice::probe_first}};
 
 std::vector<std::size_t> numbers(const YamlReader& r, const YAML::Node& at, std::size_t below) {
     std::vector<std::size_t> all;
@@ -30,15 +31,15 @@
     return all;
 }
 
-emulator::Trouble trouble(const YamlReader& r, const YAML::Node& t, const Experiment& e) {
-    using T = emulator::Trouble;
-    static const std::map<std::string, T::What> words = {{"slow", T::slow},
-                                                         {"fail", T::fail},
-                                                         {"mend", T::mend},
-                                                         {"restart-servers", T::restart_servers},
-                                                         {"restart-processes", T::restart_processes},
-                                                         {"processes", T::processes},
-                                                         {"burst", T::burst}};
+emulator::ScenarioEvent trouble(const YamlReader& r, const YAML::Node& t, const Experiment& e) {
+    using T = emulator::ScenarioEvent;
+    static const std::map<std::string, T::Type> words = {{"slow", T::Type::slow_down},
+                                                         {"fail", T::Type::fail},
+                                                         {"mend", T::Type::recover},
+                                                         {"restart-servers", T::Type::restart_servers},
+                                                         {"restart-processes", T::Type::restart_processes},
+                                                         {"processes", T::Type::resize_fleet},
+                                                         {"burst", T::Type::load_burst}};
     r.require_known_keys(t, "events", {"at_s", "do", "servers", "by", "for_s"});
     T out;
     out.at_s = r.number(t, "at_s", 0.0, e.seconds, config::required);
@@ -46,16 +47,16 @@
     if (what == words.end())
         r.fail(t["do"], "do",
                "none of slow, fail, mend, restart-servers, restart-processes, processes, burst");
-    out.what = what->second;
-    const bool at_servers = out.what <= T::restart_servers;
+    out.type = what->second;
+    const bool at_servers = out.type <= T::Type::restart_servers;
     if (at_servers)
         out.servers = numbers(r, t["servers"], e.servers);
-    if (out.what == T::slow || out.what == T::burst)
-        out.by = r.number(t, "by", 0.01, 100.0, config::required);
-    if (out.what == T::processes)
-        out.by = r.integer(t, "by", 1.0, 1000.0, config::required);
-    if (out.what == T::restart_servers || out.what == T::burst)
-        out.for_s = r.number(t, "for_s", 0.0, 3600.0, 1.0);
+    if (out.type == T::Type::slow_down || out.type == T::Type::load_burst)
+        out.factor = r.number(t, "by", 0.01, 100.0, config::required);
+    if (out.type == T::Type::resize_fleet)
+        out.factor = r.integer(t, "by", 1.0, 1000.0, config::required);
+    if (out.type == T::Type::restart_servers || out.type == T::Type::load_burst)
+        out.duration_s = r.number(t, "for_s", 0.0, 3600.0, 1.0);
     return out;
 }
 
@@ -159,23 +160,23 @@
     return config::load_yaml(path, read);
 }
 
-emulator::Spread emulated(const Experiment& e) {
-    emulator::Spread s;
+emulator::LoadSpreadScenario emulated(const Experiment& e) {
+    emulator::LoadSpreadScenario s;
     s.choice = choices.at(e.policy);
     s.processes = e.processes;
     s.servers = e.servers;
     s.capacities = e.capacities;
-    s.nature = e.nature;
+    s.server_profile = e.nature;
     s.load = e.load;
     s.seconds = e.seconds;
-    s.warm_up = e.warm_up_s;
+    s.warm_up_s = e.warm_up_s;
     s.bursty = e.bursty;
     s.round_trip = e.round_trip;
-    s.probes = e.nature.probes_per_call;
-    s.pool = e.probing;
-    s.subset = e.subset;
+    s.probes_per_call = e.nature.probes_per_call;
+    s.probing = e.probing;
+    s.subset_size = e.subset;
     s.seed = e.seed;
-    s.troubles = e.troubles;
+    s.events = e.troubles;
     return s;
 }
 
--- a/tools/experiment/experiment.hpp
+++ b/tools/experiment/experiment.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "emulator/spread.hpp"
+#include "emulator/load_spread.hpp"
 #include "load_generator/arrival_process.hpp"
 
 namespace cressledge::experiment {
@@ -29,13 +29,13 @@
     Duration round_trip{1'000};  // emulated
     double gossip_loss = 0.0;  // share of the datagrams between processes that are lost
     std::vector<load_generator::RequestClass> kinds;
-    std::vector<emulator::Trouble> troubles;
+    std::vector<emulator::ScenarioEvent> troubles;
 
     unsigned places(std::size_t server) const;
     double rate_s() const;  // requests
 };
 
 Experiment load_experiment(const std::string& path);  // throws config::Invalid with file, line and field
-emulator::Spread emulated(const Experiment& e);
+emulator::LoadSpreadScenario emulated(const Experiment& e);
 
 }  // namespace cressledge::experiment
--- a/tools/experiment/trial.cpp
+++ b/tools/experiment/trial.cpp
@@ -79,7 +79,7 @@
         servers_.ask({{"do", "observe"}, {"on", true}});
         driver_.reset_counts();
         std::vector<base::TimerQueue::Handle> handles;
-        for (const emulator::Trouble& t : e_.troubles)
+        for (const emulator::ScenarioEvent& t : e_.troubles)
             handles.push_back(timers_.schedule(loop_.unix_now() + span(t.at_s), [this, &t] { meet(t); }));
         const auto probes_before = cluster_.metric_sum("upstream.load_probes");
         wait(e_.seconds, "measuring");
@@ -163,34 +163,34 @@
                             " open, p99 " + std::to_string(std::lround(all.quantile_ms(0.99))) + " ms");
         }
     }
-    void meet(const emulator::Trouble& t) {
-        using T = emulator::Trouble;
-        switch (t.what) {
-            case T::slow:
-                return servers_.tell({{"do", "slow"}, {"servers", t.servers}, {"by", t.by}});
-            case T::fail:
+    void meet(const emulator::ScenarioEvent& t) {
+        using T = emulator::ScenarioEvent;
+        switch (t.type) {
+            case T::Type::slow_down:
+                return servers_.tell({{"do", "slow"}, {"servers", t.servers}, {"by", t.factor}});
+            case T::Type::fail:
                 return servers_.tell({{"do", "fail"}, {"servers", t.servers}});
-            case T::mend:
+            case T::Type::recover:
                 return servers_.tell({{"do", "mend"}, {"servers", t.servers}});
-            case T::restart_servers:
-                return servers_.tell({{"do", "restart"}, {"servers", t.servers}, {"for_s", t.for_s}});
-            case T::restart_processes:
+            case T::Type::restart_servers:
+                return servers_.tell({{"do", "restart"}, {"servers", t.servers}, {"for_s", t.duration_s}});
+            case T::Type::restart_processes:
                 for (const std::size_t no : cluster_.running_processes())
                     cluster_.restart(no);
                 return;
-            case T::processes: {
+            case T::Type::resize_fleet: {
                 const auto running = cluster_.running_processes();
-                const auto want = static_cast<std::size_t>(t.by);
+                const auto want = static_cast<std::size_t>(t.factor);
                 for (std::size_t i = want; i < running.size(); ++i)
                     cluster_.send_signal(running[i], SIGTERM);
                 for (std::size_t i = running.size(); i < want; ++i)
                     add();
                 return doors();
             }
-            case T::burst:
-                driver_.set_rate_s(driver_.rate_s() * t.by);
-                timers_.schedule(loop_.unix_now() + span(t.for_s),
-                                 [this, by = t.by] { driver_.set_rate_s(driver_.rate_s() / by); });
+            case T::Type::load_burst:
+                driver_.set_rate_s(driver_.rate_s() * t.factor);
+                timers_.schedule(loop_.unix_now() + span(t.duration_s),
+                                 [this, by = t.factor] { driver_.set_rate_s(driver_.rate_s() / by); });
                 return;
         }
     }
@@ -226,14 +226,14 @@
 }
 
 ordered_json emulate(const Experiment& e) {
-    const emulator::Outcome o = emulator::run(emulated(e));
+    const emulator::LoadSpreadResult o = emulator::emulate_load_spread(emulated(e));
     ordered_json j = about(e, "emulated");
-    const ordered_json even = json_of(o.even);
-    j["figures"] = figures(even, o.p50_ms, o.p95_ms, o.p99_ms, o.p999_ms, brief(o.errors));
+    const ordered_json even = json_of(o.imbalance);
+    j["figures"] = figures(even, o.p50_ms, o.p95_ms, o.p99_ms, o.p999_ms, brief(o.error_rate));
     j["figures"]["probes_a_call"] =
         brief(static_cast<double>(o.probes) / static_cast<double>(std::max<std::uint64_t>(1, o.calls)));
-    if (o.moved > 0.0)
-        j["figures"]["moved"] = brief(o.moved);
+    if (o.subset_churn > 0.0)
+        j["figures"]["moved"] = brief(o.subset_churn);
     j["requests"] = {{"sent", o.calls}};
     j["evenness"] = even;
     return j;
