--- a/tests/cressledge/experiment_test.cpp
+++ b/tests/cressledge/experiment_test.cpp
@@ -184,18 +184,19 @@
           std::string::npos);
     CHECK(bad("name: x\n").find("processes: missing") != std::string::npos);
     const auto e = experiment::load_experiment(small());
-    CHECK(e.rate_s() == Approx(0.8 * 176 / 0.2));
-    CHECK(experiment::emulated(e).choice == emulator::BalancingChoice::probe_first);
+    CHECK(e.request_rate_s() == Approx(0.8 * 176 / 0.2));
+    CHECK(experiment::emulated_scenario(e).choice == emulator::BalancingChoice::probe_first);
 }
 
 TEST_CASE(
     "5 processes before 10 servers: the load lies evenly, as emulated, and no request is lost or doubled") {
     const auto e = experiment::load_experiment(small());
     TemporaryDirectory f;
-    experiment::Where where{CRESSLEDGE_PROGRAM, CRESSLEDGE_LAB, small(), f.path + "/run", {}};
-    std::filesystem::create_directory(where.folder);
-    const auto real = experiment::trial(e, where), emulated = experiment::emulate(e);
-    std::filesystem::remove_all(where.folder);
+    experiment::TrialEnvironment environment{
+        CRESSLEDGE_PROGRAM, CRESSLEDGE_LAB, small(), f.path + "/run", {}};
+    std::filesystem::create_directory(environment.directory);
+    const auto real = experiment::run_trial(e, environment), emulated = experiment::emulate(e);
+    std::filesystem::remove_all(environment.directory);
     INFO(real["figures"].dump() << real["requests"].dump() << real["servers_saw"].dump()
                                 << emulated["figures"].dump());
     CHECK(real["crashes"] == 0);
--- a/tests/cressledge/rollout_test.cpp
+++ b/tests/cressledge/rollout_test.cpp
@@ -45,31 +45,31 @@
 struct RolloutTestbedFixture {
     TestLoop test_loop;
     TemporaryDirectory directory;
-    experiment::Scene scene;
+    experiment::TestbedSpec spec;
     std::unique_ptr<experiment::RolloutTestbed> testbed;
     RolloutTestbedFixture() {
-        scene.program = CRESSLEDGE_PROGRAM;
-        scene.faulty = CRESSLEDGE_FAULTY;
-        scene.folder = directory.path + "/run";
-        scene.processes = 6;
-        scene.supervisors = 2;
-        scene.servers = 3;
-        scene.rate_s = 120.0;
-        scene.mean_s = 0.02;
-        scene.stages = "[1, 50%, 100%]";
-        scene.bake_s = 1.0;
-        scene.look_ms = 200;
-        scene.least = 10.0;
-        std::filesystem::create_directory(scene.folder);
-        testbed = std::make_unique<experiment::RolloutTestbed>(test_loop.loop, test_loop.timers, scene);
-        testbed->up();
+        spec.program = CRESSLEDGE_PROGRAM;
+        spec.faulty_program = CRESSLEDGE_FAULTY;
+        spec.directory = directory.path + "/run";
+        spec.processes = 6;
+        spec.supervisors = 2;
+        spec.servers = 3;
+        spec.request_rate_s = 120.0;
+        spec.mean_service_time_s = 0.02;
+        spec.stages = "[1, 50%, 100%]";
+        spec.bake_s = 1.0;
+        spec.observation_interval_ms = 200;
+        spec.min_requests = 10.0;
+        std::filesystem::create_directory(spec.directory);
+        testbed = std::make_unique<experiment::RolloutTestbed>(test_loop.loop, test_loop.timers, spec);
+        testbed->start_fleet();
     }
     ~RolloutTestbedFixture() {
         testbed.reset();
-        std::filesystem::remove_all(scene.folder);
+        std::filesystem::remove_all(spec.directory);
     }
     int run_rollout(const std::string& plan) {
-        const auto controller = testbed->start(plan);
+        const auto controller = testbed->start_controller(plan);
         return testbed->wait(*controller, 60.0);
     }
 };
@@ -80,32 +80,32 @@
     "rollout of real processes: settings and a program pass every stage, one that never starts is rolled "
     "back, and no request is lost") {
     RolloutTestbedFixture fixture;
-    std::ofstream(fixture.scene.folder + "/pool.yaml") << "routing: {policy: round-robin}\n";
-    const std::string settings = fixture.testbed->plan("settings", "{settings: pool.yaml}");
+    std::ofstream(fixture.spec.directory + "/pool.yaml") << "routing: {policy: round-robin}\n";
+    const std::string settings = fixture.testbed->write_plan("settings", "{settings: pool.yaml}");
     CHECK(fixture.run_rollout(settings) == 0);
-    CHECK(fixture.testbed->astray(settings, true).empty());
+    CHECK(fixture.testbed->find_inconsistency(settings, true).empty());
     for (const auto& p : fixture.testbed->processes())
         CHECK(p["overlay"] == "routing: {policy: round-robin}\n");
     // It has finished already.
     CHECK(fixture.run_rollout(settings) == 0);
     const std::string program =
-        fixture.testbed->plan("program", "{program: " + fixture.testbed->faulty("none") + '}');
+        fixture.testbed->write_plan("program", "{program: " + fixture.testbed->faulty_program("none") + '}');
     CHECK(fixture.run_rollout(program) == 0);
-    CHECK(fixture.testbed->astray(program, true).empty());
+    CHECK(fixture.testbed->find_inconsistency(program, true).empty());
     for (const auto& p : fixture.testbed->processes())
         CHECK(p["starts"] == 2);
-    const std::string never = fixture.testbed->plan("never", "{program: /nowhere/cressledge}");
+    const std::string never = fixture.testbed->write_plan("never", "{program: /nowhere/cressledge}");
     CHECK(fixture.run_rollout(never) == 1);
-    CHECK(fixture.testbed->astray(never, true).empty());
+    CHECK(fixture.testbed->find_inconsistency(never, true).empty());
     CHECK(fixture.testbed->report(never)["why"].get<std::string>().find("ended before it was ready") !=
           std::string::npos);
-    std::ofstream(fixture.scene.folder + "/bad.yaml") << "cores: many\n";
-    const std::string bad = fixture.testbed->plan("bad", "{settings: bad.yaml}");
+    std::ofstream(fixture.spec.directory + "/bad.yaml") << "cores: many\n";
+    const std::string bad = fixture.testbed->write_plan("bad", "{settings: bad.yaml}");
     CHECK(fixture.run_rollout(bad) == 1);
     INFO(fixture.testbed->report(bad)["why"].dump());
     CHECK(fixture.testbed->report(bad)["why"].get<std::string>().find("cores: not a number") !=
           std::string::npos);
-    CHECK(fixture.testbed->settle(20.0) == "");
+    CHECK(fixture.testbed->drain(20.0) == "");
     CHECK(fixture.testbed->driver().total_stats().count(load_generator::Outcome::failed) == 0);
 }
 
@@ -113,26 +113,26 @@
     "rollout of real processes: a killed controller continues, and another rollout is rejected meanwhile") {
     RolloutTestbedFixture fixture;
     const std::string plan =
-        fixture.testbed->plan("first", "{program: " + fixture.testbed->faulty("none") + '}');
-    const std::string second =
-        fixture.testbed->plan("second", "{program: " + fixture.testbed->faulty("also-none") + '}');
-    auto controller = fixture.testbed->start(plan);
+        fixture.testbed->write_plan("first", "{program: " + fixture.testbed->faulty_program("none") + '}');
+    const std::string second = fixture.testbed->write_plan(
+        "second", "{program: " + fixture.testbed->faulty_program("also-none") + '}');
+    auto controller = fixture.testbed->start_controller(plan);
     const auto updated_count = [&fixture] {
         const auto all = fixture.testbed->processes();
         return std::count_if(all.begin(), all.end(),
-                             [&](const auto& p) { return p["program"] != fixture.scene.program; });
+                             [&](const auto& p) { return p["program"] != fixture.spec.program; });
     };
     fixture.test_loop.run_until([&] { return updated_count() >= 1; });
     controller->send_signal(SIGKILL);
     CHECK(fixture.testbed->wait(*controller, 10.0) == -1);
-    CHECK(fixture.testbed->astray(plan, false).empty());
+    CHECK(fixture.testbed->find_inconsistency(plan, false).empty());
     CHECK(fixture.run_rollout(second) == 3);
     // Of the calls of the controller.
-    fixture.testbed->wire(0).set_connection_loss(0.3);
+    fixture.testbed->supervisor_link(0).set_connection_loss(0.3);
     CHECK(fixture.run_rollout(plan) == 0);
     CHECK(updated_count() == 6);
-    CHECK(fixture.testbed->astray(plan, true).empty());
-    fixture.testbed->wire(0).set_connection_loss(0.0);
+    CHECK(fixture.testbed->find_inconsistency(plan, true).empty());
+    fixture.testbed->supervisor_link(0).set_connection_loss(0.0);
     CHECK(fixture.run_rollout(second) == 0);
-    CHECK(fixture.testbed->settle(20.0) == "");
+    CHECK(fixture.testbed->drain(20.0) == "");
 }
--- /dev/null
+++ b/tools/experiment/fake_upstream_process.hpp
@@ -0,0 +1,53 @@
+/// The fake upstream service (experiment/fake_upstream_service.hpp) as a child process, and the commands to it.
+#pragma once
+
+#include <uv.h>
+
+#include <nlohmann/json.hpp>
+#include <string>
+#include <vector>
+
+#include "net/loop.hpp"
+
+namespace cressledge::experiment {
+
+/// A running service; the destructor kills it and waits for it.
+class FakeUpstreamProcess {
+public:
+    /// Starts `program` (cressledge_lab) as the service of the experiment in `experiment_file` and waits until its
+    /// servers listen. Throws std::runtime_error where it does not start.
+    FakeUpstreamProcess(net::Loop& loop, base::TimerQueue& timers, const std::string& program,
+                        const std::string& experiment_file);
+    ~FakeUpstreamProcess();
+    FakeUpstreamProcess(const FakeUpstreamProcess&) = delete;
+    FakeUpstreamProcess& operator=(const FakeUpstreamProcess&) = delete;
+
+    /// Sends a command and waits for its reply; null after ten seconds. Throws std::runtime_error where the service takes
+    /// no command.
+    nlohmann::json request(const nlohmann::json& command);
+    /// Sends a command whose reply is ignored. Throws as request() does.
+    void send(const nlohmann::json& command);
+    /// Of each server.
+    const std::vector<std::string>& addresses() const { return addresses_; }
+
+private:
+    void spawn(const std::string& program, const std::string& experiment_file);
+    void start_reading();
+    void write(const nlohmann::json& command);
+    nlohmann::json read_reply();
+
+    net::Loop& loop_;
+    base::TimerQueue& timers_;
+    uv_process_t process_{};
+    uv_pipe_t stdin_pipe_{}, stdout_pipe_{};
+    std::string received_;
+    std::vector<char> buffer_;
+    /// Replies to commands of send() that have not arrived yet.
+    std::size_t ignored_replies_ = 0;
+    /// 0: it has ended.
+    int pid_ = 0;
+    int open_handles_ = 0;
+    std::vector<std::string> addresses_;
+};
+
+}  // namespace cressledge::experiment
--- a/tools/experiment/main.cpp
+++ b/tools/experiment/main.cpp
@@ -1,9 +1,9 @@
-// cressledge_lab: experiments on the spread of load, from a YAML file, emulated or with real processes on loopback.
+// cressledge_lab: load balancing experiments from a YAML file, emulated or with real processes on loopback.
 //
 //   cressledge_lab run FILE [--program build/cressledge] [--out report.json] [--keep FOLDER]
 //   cressledge_lab emulate FILE [--out report.json]
 //   cressledge_lab compare REPORT REPORT        the figures of two reports side by side
-//   cressledge_lab stand-in FILE                the servers alone; commands on standard input
+//   cressledge_lab stand-in FILE                the fake upstreams alone; commands on standard input
 #include <unistd.h>
 
 #include <cstdio>
@@ -13,7 +13,7 @@
 #include <iostream>
 
 #include "config/node.hpp"
-#include "experiment/servers.hpp"
+#include "experiment/fake_upstream_service.hpp"
 #include "experiment/trial.hpp"
 
 namespace {
@@ -29,19 +29,23 @@
     }
 }
 
-int compare(const std::string& a, const std::string& b) {
-    const ordered_json x = read_report(a), y = read_report(b);
-    std::printf("%-18s %14s %14s %8s\n", "", x.value("how", "?").c_str(), y.value("how", "?").c_str(),
-                "ratio");
-    for (const auto& [name, value] : x.at("figures").items()) {
-        if (!y.at("figures").contains(name))
+/// Prints the figures that two reports have in common.
+int compare(const std::string& first_path, const std::string& second_path) {
+    const ordered_json first = read_report(first_path);
+    const ordered_json second = read_report(second_path);
+    std::printf("%-18s %14s %14s %8s\n", "", first.value("how", "?").c_str(),
+                second.value("how", "?").c_str(), "ratio");
+    for (const auto& [name, value] : first.at("figures").items()) {
+        if (!second.at("figures").contains(name))
             continue;
-        const double v = value.get<double>(), w = y["figures"][name].get<double>();
-        std::printf("%-18s %14.4f %14.4f %8.3f\n", name.c_str(), v, w, w == 0.0 ? 0.0 : v / w);
+        const double a = value.get<double>();
+        const double b = second["figures"][name].get<double>();
+        std::printf("%-18s %14.4f %14.4f %8.3f\n", name.c_str(), a, b, b == 0.0 ? 0.0 : a / b);
     }
     return 0;
 }
 
+/// Prints the figures of a report and writes the whole to `out`, if that is not empty.
 void write_report(const ordered_json& report, const std::string& out) {
     std::printf("%s\n", ordered_json{{"how", report["how"]}, {"figures", report["figures"]}}.dump(2).c_str());
     if (out.empty())
@@ -52,9 +56,7 @@
     std::ofstream(out) << report.dump(1) << '\n';
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
+cxxopts::Options command_line() {
     cxxopts::Options options("cressledge_lab", "experiments on the spread of load");
     options.positional_help("run|emulate|compare|stand-in FILE...");
     options.add_options()("command", "", cxxopts::value<std::string>()->default_value(""))(
@@ -65,42 +67,61 @@
         cxxopts::value<std::string>()->default_value(""))("quiet", "run: no lines of progress")("h,help",
                                                                                                 "print this");
     options.parse_positional({"command", "files"});
+    return options;
+}
+
+/// Runs an experiment with real processes, in a folder that is removed unless one was named.
+ordered_json run_with_processes(const experiment::Experiment& experiment, const std::string& file,
+                                const cxxopts::ParseResult& arguments) {
+    experiment::TrialEnvironment environment;
+    environment.program = std::filesystem::absolute(arguments["program"].as<std::string>());
+    environment.lab_program = std::filesystem::read_symlink("/proc/self/exe");
+    environment.experiment_file = file;
+    const auto named_directory = arguments["keep"].as<std::string>();
+    char temporary_directory[] = "/tmp/cressledge-lab-XXXXXX";
+    environment.directory =
+        named_directory.empty() ? std::string(mkdtemp(temporary_directory)) : named_directory;
+    std::filesystem::create_directories(environment.directory);
+    if (arguments.count("quiet") == 0)
+        environment.on_progress = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
+    ordered_json report = experiment::run_trial(experiment, environment);
+    if (named_directory.empty())
+        std::filesystem::remove_all(environment.directory);
+    return report;
+}
+
+/// Carries out the command; the exit status.
+int run_command(const cxxopts::ParseResult& arguments) {
+    const auto command = arguments["command"].as<std::string>(), out = arguments["out"].as<std::string>();
+    const auto files = arguments["files"].as<std::vector<std::string>>();
+    if (command == "compare" && files.size() == 2)
+        return compare(files[0], files[1]);
+    if (files.size() != 1 || files[0].empty())
+        throw config::ConfigError(command + ": names no file");
+    const experiment::Experiment experiment = experiment::load_experiment(files[0]);
+    if (command == "stand-in")
+        return experiment::run_fake_upstream_service(experiment);
+    if (command == "emulate") {
+        write_report(experiment::emulate(experiment), out);
+        return 0;
+    }
+    if (command != "run")
+        throw config::ConfigError("no such command: " + command);
+    write_report(run_with_processes(experiment, files[0], arguments), out);
+    return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    cxxopts::Options options = command_line();
     try {
-        const auto given = options.parse(argc, argv);
-        if (given.count("help") != 0) {
+        const auto arguments = options.parse(argc, argv);
+        if (arguments.count("help") != 0) {
             std::cout << options.help();
             return 0;
         }
-        const auto command = given["command"].as<std::string>(), out = given["out"].as<std::string>();
-        const auto files = given["files"].as<std::vector<std::string>>();
-        if (command == "compare" && files.size() == 2)
-            return compare(files[0], files[1]);
-        if (files.size() != 1 || files[0].empty())
-            throw config::ConfigError(command + ": names no file");
-        const experiment::Experiment e = experiment::load_experiment(files[0]);
-        if (command == "stand-in")
-            return experiment::serve_stand_ins(e);
-        if (command == "emulate") {
-            write_report(experiment::emulate(e), out);
-            return 0;
-        }
-        if (command != "run")
-            throw config::ConfigError("no such command: " + command);
-        experiment::Where where;
-        where.program = std::filesystem::absolute(given["program"].as<std::string>());
-        where.self = std::filesystem::read_symlink("/proc/self/exe");
-        where.file = files[0];
-        const auto keep = given["keep"].as<std::string>();
-        char name[] = "/tmp/cressledge-lab-XXXXXX";
-        where.folder = keep.empty() ? std::string(mkdtemp(name)) : keep;
-        std::filesystem::create_directories(where.folder);
-        if (given.count("quiet") == 0)
-            where.progress = [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); };
-        const ordered_json report = experiment::trial(e, where);
-        if (keep.empty())
-            std::filesystem::remove_all(where.folder);
-        write_report(report, out);
-        return 0;
+        return run_command(arguments);
     } catch (const std::exception& e) {
         std::fprintf(stderr, "cressledge_lab: %s\n", e.what());
         return 2;
--- a/tools/experiment/rollout_testbed.cpp
+++ b/tools/experiment/rollout_testbed.cpp
@@ -3,6 +3,7 @@
 #include <signal.h>
 #include <unistd.h>
 
+#include <cmath>
 #include <filesystem>
 #include <fstream>
 #include <stdexcept>
@@ -15,263 +16,296 @@
 
 using nlohmann::json;
 
-constexpr Duration answer_within{2'000'000}, watch_every{200'000};
+constexpr Duration request_timeout{2'000'000}, watch_interval{200'000};
+constexpr double ready_timeout_s = 30.0, stop_timeout_s = 15.0;
 constexpr int gossip_port = 7946;
+constexpr unsigned server_slots = 64;
+const std::string plan_suffix = ".roll.yaml";
 
-Duration span(double s) {
-    return Duration(std::llround(s * 1e6));
+Duration duration(double seconds) {
+    return Duration(std::llround(seconds * 1e6));
 }
 
 std::string free_address() {
     const int fd = net::open_listening_socket(*net::Address::parse("127.0.0.1:0"));
-    const std::string where = "127.0.0.1:" + std::to_string(net::local_port(fd));
+    std::string address = "127.0.0.1:" + std::to_string(net::local_port(fd));
     ::close(fd);
-    return where;
+    return address;
 }
 
-// One for each process, and others for rigs beside this one.
-std::string loopback(std::size_t no) {
-    return "127." + std::to_string(1 + ::getpid() % 240) + '.' + std::to_string(100 + no / 250) + '.' +
-           std::to_string(1 + no % 250);
+/// One for each process, and others for testbeds beside this one.
+std::string loopback_ip(std::size_t process) {
+    return "127." + std::to_string(1 + ::getpid() % 240) + '.' + std::to_string(100 + process / 250) + '.' +
+           std::to_string(1 + process % 250);
+}
+
+std::string gossip_address(std::size_t process) {
+    return loopback_ip(process) + ':' + std::to_string(gossip_port);
+}
+
+/// The path of a plan without its suffix.
+std::string plan_stem(const std::string& plan) {
+    return plan.substr(0, plan.size() - plan_suffix.size());
 }
 
 }  // namespace
 
-RolloutTestbed::RolloutTestbed(net::Loop& loop, base::TimerQueue& timers, const Scene& scene)
-    : loop_(loop), timers_(timers), scene_(scene), asks_(loop, timers) {
-    fake_upstream::FleetSpec servers;
-    fake_upstream::ServerProfile nature;
-    nature.slots = 64;
-    nature.mean_service_time_s = scene.mean_s;
-    servers.servers.assign(scene.servers, nature);
-    for (std::size_t i = 0; i < scene.servers; ++i)
-        servers.addresses.push_back("127.0.0." + std::to_string(10 + i) + ":0");
-    servers.at_most_once_classes = {"map-order"};
-    servers.seed = scene.seed;
-    servers_ = std::make_unique<fake_upstream::Fleet>(loop, timers, servers);
+RolloutTestbed::RolloutTestbed(net::Loop& loop, base::TimerQueue& timers, const TestbedSpec& spec)
+    : loop_(loop), timers_(timers), spec_(spec), http_client_(loop, timers) {
+    start_servers();
+    for (std::size_t supervisor = 0; supervisor < spec.supervisors; ++supervisor) {
+        supervisor_addresses_.push_back(free_address());
+        write_supervisor(supervisor);
+        supervisor_links_.push_back(std::make_unique<fault_injection::FaultyLink>(
+            loop, timers, *net::Address::parse(supervisor_addresses_[supervisor]), spec.seed + supervisor));
+    }
+    for (std::size_t process = 0; process < spec.processes; ++process)
+        write_process(process);
+}
+
+void RolloutTestbed::start_servers() {
+    fake_upstream::FleetSpec fleet;
+    fake_upstream::ServerProfile profile;
+    profile.slots = server_slots;
+    profile.mean_service_time_s = spec_.mean_service_time_s;
+    fleet.servers.assign(spec_.servers, profile);
+    for (std::size_t i = 0; i < spec_.servers; ++i)
+        fleet.addresses.push_back("127.0.0." + std::to_string(10 + i) + ":0");
+    fleet.at_most_once_classes = {"map-order"};
+    fleet.seed = spec_.seed;
+    servers_ = std::make_unique<fake_upstream::Fleet>(loop_, timers_, fleet);
     std::ofstream inventory(file("servers.csv"));
     inventory << "name,address,protocol,group\n";
-    for (std::size_t i = 0; i < scene.servers; ++i)
+    for (std::size_t i = 0; i < spec_.servers; ++i)
         inventory << 's' << i << ',' << servers_->address(i) << ",http,maps\n";
-    inventory.close();
-    for (std::size_t s = 0; s < scene.supervisors; ++s) {
-        controls_.push_back(free_address());
-        std::ofstream out(file("supervisor" + std::to_string(s) + ".yaml"));
-        out << "control: \"" << controls_[s] << "\"\nprogram: " << scene.program << "\nlogs: .\nprocesses:\n";
-        for (std::size_t i = s; i < scene.processes; i += scene.supervisors) {
-            const std::string id = "n" + std::to_string(i);
-            out << "  - {id: " << id << ", file: " << id << ".yaml}\n";
-            std::ofstream(file(id + ".yaml"))
-                << "listen: {http: \"" << loopback(i)
-                << ":0\"}\ninventory: servers.csv\ncores: 64\nmemory_kb: 1000000\nrequest_kb: 1\n"
-                << "stop_ms: 3000\nconnections: 500\nadmission: {descriptors: 1024}\nrouting: {probes: "
-                   "false, watch_ms: 0}\n"
-                << "fleet: {name: rehearsal, id: " << id << ", gossip: \"" << loopback(i) << ':'
-                << gossip_port << "\", seeds: [\"" << loopback(0) << ':' << gossip_port << "\", \""
-                << loopback(1) << ':' << gossip_port << "\"], probe_ms: 500}\nclasses:\n"
-                << "  - {name: trail-sheet, effect: safe, worth: 1, target_ms: 2900, deadline_ms: 8800}\n"
-                << "  - {name: route-profile, effect: safe, worth: 2, target_ms: 1500, deadline_ms: 3500}\n"
-                << "  - {name: map-order, effect: unsafe, worth: 5, target_ms: 3500, deadline_ms: 12000}\n";
-        }
-        wires_.push_back(std::make_unique<fault_injection::FaultyLink>(
-            loop, timers, *net::Address::parse(controls_[s]), scene.seed + s));
-    }
+}
+
+void RolloutTestbed::write_supervisor(std::size_t supervisor) const {
+    std::ofstream out(file("supervisor" + std::to_string(supervisor) + ".yaml"));
+    out << "control: \"" << supervisor_addresses_[supervisor] << "\"\nprogram: " << spec_.program
+        << "\nlogs: .\nprocesses:\n";
+    for (std::size_t process = supervisor; process < spec_.processes; process += spec_.supervisors)
+        out << "  - {id: n" << process << ", file: n" << process << ".yaml}\n";
+}
+
+void RolloutTestbed::write_process(std::size_t process) const {
+    const std::string id = "n" + std::to_string(process);
+    std::ofstream(file(id + ".yaml"))
+        << "listen: {http: \"" << loopback_ip(process)
+        << ":0\"}\ninventory: servers.csv\ncores: 64\nmemory_kb: 1000000\nrequest_kb: 1\n"
+        << "stop_ms: 3000\nconnections: 500\nadmission: {descriptors: 1024}\nrouting: {probes: "
+           "false, watch_ms: 0}\n"
+        << "fleet: {name: rehearsal, id: " << id << ", gossip: \"" << gossip_address(process)
+        << "\", seeds: [\"" << gossip_address(0) << "\", \"" << gossip_address(1) << "\"], probe_ms: 500}\n"
+        << "classes:\n"
+        << "  - {name: trail-sheet, effect: safe, worth: 1, target_ms: 2900, deadline_ms: 8800}\n"
+        << "  - {name: route-profile, effect: safe, worth: 2, target_ms: 1500, deadline_ms: 3500}\n"
+        << "  - {name: map-order, effect: unsafe, worth: 5, target_ms: 3500, deadline_ms: 12000}\n";
 }
 
 RolloutTestbed::~RolloutTestbed() {
-    timers_.cancel(watch_);
-    // The supervisors end their processes themselves, if they are told and not killed.
-    for (const auto& c : children_)
-        c->send_signal(SIGTERM);
-    const Timestamp end = loop_.unix_now() + span(15.0);
-    while (loop_.unix_now() < end &&
-           std::any_of(children_.begin(), children_.end(), [](const auto& c) { return c->is_running(); }))
+    timers_.cancel(watch_timer_);
+    // The supervisors stop their processes themselves, unless they are killed.
+    for (const auto& supervisor : supervisors_)
+        supervisor->send_signal(SIGTERM);
+    const Timestamp deadline = loop_.unix_now() + duration(stop_timeout_s);
+    while (loop_.unix_now() < deadline &&
+           std::any_of(supervisors_.begin(), supervisors_.end(),
+                       [](const auto& supervisor) { return supervisor->is_running(); }))
         run(0.05);
 }
 
 void RolloutTestbed::run(double seconds) {
-    const Timestamp until = loop_.unix_now() + span(seconds);
-    base::TimerQueue::Handle end = timers_.schedule(until, [] {});
+    const Timestamp until = loop_.unix_now() + duration(seconds);
+    base::TimerQueue::Handle wake_up = timers_.schedule(until, [] {});
     while (loop_.unix_now() < until)
         loop_.run_once(true);
-    timers_.cancel(end);
+    timers_.cancel(wake_up);
+}
+
+void RolloutTestbed::list_processes(const std::string& supervisor,
+                                    std::function<void(const json& process)> on_process) {
+    http_client_.get(*net::Address::parse(supervisor), "/v1/processes", loop_.unix_now() + request_timeout,
+                     [on_process = std::move(on_process)](const net::HttpClient::Response& response) {
+                         const json reply =
+                             response.status == 200 ? json::parse(response.body, nullptr, false) : json();
+                         if (!reply.is_object())
+                             return;
+                         for (const json& process : reply["processes"])
+                             on_process(process);
+                     });
 }
 
 std::vector<json> RolloutTestbed::processes() {
-    std::vector<json> all;
-    for (const std::string& control : controls_)
-        asks_.get(*net::Address::parse(control), "/v1/processes", loop_.unix_now() + answer_within,
-                  [&all](const net::HttpClient::Response& r) {
-                      const json j = r.status == 200 ? json::parse(r.body, nullptr, false) : json();
-                      if (j.is_object())
-                          for (const auto& p : j["processes"])
-                              all.push_back(p);
-                  });
-    while (asks_.requests_in_flight() > 0)
+    std::vector<json> processes;
+    for (const std::string& supervisor : supervisor_addresses_)
+        list_processes(supervisor, [&processes](const json& process) { processes.push_back(process); });
+    while (http_client_.requests_in_flight() > 0)
         loop_.run_once(true);
-    return all;
+    return processes;
 }
 
-void RolloutTestbed::up() {
-    for (std::size_t s = 0; s < scene_.supervisors; ++s)
-        children_.push_back(std::make_unique<fault_injection::ChildProcess>(
+void RolloutTestbed::start_fleet() {
+    for (std::size_t supervisor = 0; supervisor < spec_.supervisors; ++supervisor)
+        supervisors_.push_back(std::make_unique<fault_injection::ChildProcess>(
             loop_,
-            std::vector<std::string>{scene_.program, "supervise",
-                                     file("supervisor" + std::to_string(s) + ".yaml")},
+            std::vector<std::string>{spec_.program, "supervise",
+                                     file("supervisor" + std::to_string(supervisor) + ".yaml")},
             file("supervisors.log")));
-    const Timestamp end = loop_.unix_now() + span(30.0);
+    const Timestamp deadline = loop_.unix_now() + duration(ready_timeout_s);
     std::vector<json> all;
-    for (std::size_t ready = 0; ready < scene_.processes;) {
-        if (loop_.unix_now() > end)
+    for (std::size_t ready = 0; ready < spec_.processes;) {
+        if (loop_.unix_now() > deadline)
             throw std::runtime_error("the processes are not ready within 30 s");
         run(0.05);
         all = processes();
-        ready = static_cast<std::size_t>(
-            std::count_if(all.begin(), all.end(), [](const json& p) { return p["serving"] != 0; }));
+        ready = static_cast<std::size_t>(std::count_if(
+            all.begin(), all.end(), [](const json& process) { return process["serving"] != 0; }));
     }
-    std::vector<net::Address> doors;
-    for (const json& p : all) {
-        ids_.push_back(p["id"]);
-        doors.push_back(*net::Address::parse(p["http"].get<std::string>()));
+    start_load(all);
+    watch_programs();
+}
+
+void RolloutTestbed::start_load(const std::vector<json>& processes) {
+    std::vector<net::Address> targets;
+    for (const json& process : processes) {
+        target_ids_.push_back(process["id"]);
+        targets.push_back(*net::Address::parse(process["http"].get<std::string>()));
     }
     driver_ = std::make_unique<load_generator::Driver>(
         loop_, timers_,
         load_generator::ArrivalProcess(
-            scene_.rate_s, 1,
+            spec_.request_rate_s, 1,
             {{"trail-sheet", 0.46, false}, {"route-profile", 0.46, false}, {"map-order", 0.08, true}},
-            scene_.seed));
-    driver_->set_targets(std::move(doors));
-    driver_->on_request_finished = [this](std::size_t, std::size_t door, load_generator::Outcome, Duration) {
-        ++all_;
-        met_ += others_.count(ids_[door]);
+            spec_.seed));
+    driver_->set_targets(std::move(targets));
+    driver_->on_request_finished = [this](std::size_t, std::size_t target, load_generator::Outcome,
+                                          Duration) {
+        ++requests_;
+        changed_requests_ += changed_processes_.count(target_ids_[target]);
     };
     driver_->start();
-    watch();
 }
 
-// Who runs another program now, a few times a second.
-void RolloutTestbed::watch() {
-    for (const std::string& control : controls_)
-        asks_.get(*net::Address::parse(control), "/v1/processes", loop_.unix_now() + answer_within,
-                  [this](const net::HttpClient::Response& r) {
-                      const json j = r.status == 200 ? json::parse(r.body, nullptr, false) : json();
-                      if (!j.is_object())
-                          return;
-                      for (const auto& p : j["processes"]) {
-                          if (p["program"] == scene_.program)
-                              others_.erase(p["id"].get<std::string>());
-                          else
-                              others_.insert(p["id"].get<std::string>());
-                      }
-                  });
-    watch_ = timers_.schedule(loop_.unix_now() + watch_every, [this] { watch(); });
+void RolloutTestbed::watch_programs() {
+    for (const std::string& supervisor : supervisor_addresses_)
+        list_processes(supervisor, [this](const json& process) {
+            if (process["program"] == spec_.program)
+                changed_processes_.erase(process["id"].get<std::string>());
+            else
+                changed_processes_.insert(process["id"].get<std::string>());
+        });
+    watch_timer_ = timers_.schedule(loop_.unix_now() + watch_interval, [this] { watch_programs(); });
 }
 
-double RolloutTestbed::met() const {
-    return all_ == 0 ? 0.0 : static_cast<double>(met_) / static_cast<double>(all_);
+double RolloutTestbed::exposure() const {
+    return requests_ == 0 ? 0.0 : static_cast<double>(changed_requests_) / static_cast<double>(requests_);
 }
 
-std::string RolloutTestbed::faulty(const std::string& fault) {
-    const std::string path = file("cressledge-" + fault);
+std::string RolloutTestbed::faulty_program(const std::string& fault) {
+    std::string path = file("cressledge-" + fault);
     if (!std::filesystem::exists(path))
-        std::filesystem::create_symlink(scene_.faulty, path);
+        std::filesystem::create_symlink(spec_.faulty_program, path);
     return path;
 }
 
-std::string RolloutTestbed::plan(const std::string& name, const std::string& change) {
-    const std::string path = file(name + ".roll.yaml");
+std::string RolloutTestbed::write_plan(const std::string& name, const std::string& change) {
+    std::string path = file(name + plan_suffix);
     std::ofstream out(path);
     out << "name: " << name << "\nsupervisors: [";
-    for (std::size_t s = 0; s < wires_.size(); ++s)
-        out << (s == 0 ? "\"" : ", \"") << wires_[s]->address() << '"';
-    out << "]\nchange: " << change << "\nstages: " << scene_.stages << "\nbake_s: " << scene_.bake_s
-        << "\nhold_s: " << scene_.hold_s << "\nlook_ms: " << scene_.look_ms << "\nseed: " << scene_.seed
-        << "\nmargins: {least_requests: " << scene_.least << "}\n";
+    for (std::size_t i = 0; i < supervisor_links_.size(); ++i)
+        out << (i == 0 ? "\"" : ", \"") << supervisor_links_[i]->address() << '"';
+    out << "]\nchange: " << change << "\nstages: " << spec_.stages << "\nbake_s: " << spec_.bake_s
+        << "\nhold_s: " << spec_.hold_s << "\nlook_ms: " << spec_.observation_interval_ms
+        << "\nseed: " << spec_.seed << "\nmargins: {least_requests: " << spec_.min_requests << "}\n";
     std::filesystem::create_directories(file(name + ".state"));
     return path;
 }
 
-std::unique_ptr<fault_injection::ChildProcess> RolloutTestbed::start(const std::string& plan) {
-    const std::string stem = plan.substr(0, plan.size() - std::string(".roll.yaml").size());
+std::unique_ptr<fault_injection::ChildProcess> RolloutTestbed::start_controller(const std::string& plan) {
+    const std::string stem = plan_stem(plan);
     return std::make_unique<fault_injection::ChildProcess>(
         loop_,
-        std::vector<std::string>{scene_.program, "roll", plan, "--state", stem + ".state", "--report",
+        std::vector<std::string>{spec_.program, "roll", plan, "--state", stem + ".state", "--report",
                                  stem + ".json"},
         stem + ".log");
 }
 
-int RolloutTestbed::wait(fault_injection::ChildProcess& controller, double most_s) {
-    const Timestamp end = loop_.unix_now() + span(most_s);
-    while (controller.is_running() && loop_.unix_now() < end)
+int RolloutTestbed::wait(fault_injection::ChildProcess& controller, double timeout_s) {
+    const Timestamp deadline = loop_.unix_now() + duration(timeout_s);
+    while (controller.is_running() && loop_.unix_now() < deadline)
         run(0.02);
     return controller.is_running() ? -2 : controller.exit_status();
 }
 
 json RolloutTestbed::report(const std::string& plan) const {
-    std::ifstream in(plan.substr(0, plan.size() - std::string(".roll.yaml").size()) + ".json");
+    std::ifstream in(plan_stem(plan) + ".json");
     return json::parse(in, nullptr, false);
 }
 
-std::optional<rollout::RolloutState> RolloutTestbed::state(const std::string& plan) const {
-    store::PosixFileSystem files(plan.substr(0, plan.size() - std::string(".roll.yaml").size()) + ".state");
-    store::Store kept(files);
-    if (kept.open_read_only() != 0)
+std::optional<rollout::RolloutState> RolloutTestbed::saved_state(const std::string& plan) const {
+    store::PosixFileSystem files(plan_stem(plan) + ".state");
+    store::Store saved(files);
+    if (saved.open_read_only() != 0)
         return std::nullopt;
-    const auto it = kept.entries().find("state");
-    if (it == kept.entries().end())
+    const auto it = saved.entries().find("state");
+    if (it == saved.entries().end())
         return std::nullopt;
     return rollout::from_json(json::parse(it->second, nullptr, false));
 }
 
-std::string RolloutTestbed::astray(const std::string& plan, bool ended) {
-    const auto s = state(plan);
-    for (const json& p : processes()) {
-        const rollout::ProcessSpec spec{p["program"], p["overlay"]};
-        const std::string id = p["id"];
-        if (!s) {  // nothing may have been told yet
-            if (spec != rollout::ProcessSpec{scene_.program, ""} && ended)
+std::string RolloutTestbed::find_inconsistency(const std::string& plan, bool has_ended) {
+    const auto state = saved_state(plan);
+    for (const json& process : processes()) {
+        const rollout::ProcessSpec spec{process["program"], process["overlay"]};
+        const std::string id = process["id"];
+        if (!state) {  // the controller may have stopped before it changed anything
+            if (spec != rollout::ProcessSpec{spec_.program, ""} && has_ended)
                 return id + ": changed, and no state says so";
             continue;
         }
-        const auto m =
-            std::find_if(s->targets.begin(), s->targets.end(), [&id](const auto& x) { return x.id == id; });
-        if (m == s->targets.end())
+        const auto target = std::find_if(state->targets.begin(), state->targets.end(),
+                                         [&id](const auto& candidate) { return candidate.id == id; });
+        if (target == state->targets.end())
             return id + ": not in the state";
-        if (spec != m->original_spec && spec != m->updated_spec)
+        if (spec != target->original_spec && spec != target->updated_spec)
             return id + ": has what no state names";
-        if (spec == m->updated_spec && m->original_spec != m->updated_spec && !m->is_updated)
+        if (spec == target->updated_spec && target->original_spec != target->updated_spec &&
+            !target->is_updated)
             return id + ": changed, and the state does not say so";
-        const bool reverted = s->phase == rollout::Phase::rolled_back;
-        if (ended && (p["change"] == "under way" || spec != (reverted ? m->original_spec : m->updated_spec)))
+        const bool is_rolled_back = state->phase == rollout::Phase::rolled_back;
+        const rollout::ProcessSpec& final_spec =
+            is_rolled_back ? target->original_spec : target->updated_spec;
+        if (has_ended && (process["change"] == "under way" || spec != final_spec))
             return id + ": not as the roll's end says";
     }
-    if (ended && s && s->phase != rollout::Phase::completed && s->phase != rollout::Phase::rolled_back)
+    if (has_ended && state && state->phase != rollout::Phase::completed &&
+        state->phase != rollout::Phase::rolled_back)
         return "the roll is not over";
     return "";
 }
 
-std::string RolloutTestbed::settle(double most_s) {
+std::string RolloutTestbed::drain(double timeout_s) {
     driver_->stop();
-    const Timestamp end = loop_.unix_now() + span(most_s);
-    while (driver_->in_flight() > 0 && loop_.unix_now() < end)
+    const Timestamp deadline = loop_.unix_now() + duration(timeout_s);
+    while (driver_->in_flight() > 0 && loop_.unix_now() < deadline)
         run(0.02);
-    const load_generator::OutcomeStats all = driver_->total_stats();
-    std::string wrong;
-    const auto note = [&wrong](const char* what, std::uint64_t n) {
-        if (n > 0)
-            wrong += (wrong.empty() ? "" : ", ") + std::to_string(n) + ' ' + what;
+    std::string problems;
+    const auto note = [&problems](const char* problem, std::uint64_t count) {
+        if (count > 0)
+            problems += (problems.empty() ? "" : ", ") + std::to_string(count) + ' ' + problem;
     };
-    note("lost", all.count(load_generator::Outcome::connection_lost));
+    note("lost", driver_->total_stats().count(load_generator::Outcome::connection_lost));
     note("open", driver_->in_flight());
     note("unsent", driver_->unsent());
     note("doubled", servers_->counters().duplicates);
-    return wrong;
+    return problems;
 }
 
-void RolloutTestbed::kill(const std::string& id) {
-    for (const json& p : processes())
-        if (p["id"] == id && p["pid"] != 0)
-            ::kill(p["pid"].get<pid_t>(), SIGKILL);
+void RolloutTestbed::kill_process(const std::string& id) {
+    for (const json& process : processes())
+        if (process["id"] == id && process["pid"] != 0)
+            ::kill(process["pid"].get<pid_t>(), SIGKILL);
 }
 
 }  // namespace cressledge::experiment
--- a/tools/experiment/trial.cpp
+++ b/tools/experiment/trial.cpp
@@ -1,9 +1,11 @@
 #include "experiment/trial.hpp"
 
+#include <cmath>
 #include <csignal>
 #include <stdexcept>
 
-#include "experiment/servers.hpp"
+#include "experiment/fake_upstream_process.hpp"
+#include "experiment/report.hpp"
 #include "fault_injection/process_cluster.hpp"
 #include "gossip/transport.hpp"
 #include "load_generator/driver.hpp"
@@ -11,232 +13,226 @@
 namespace cressledge::experiment {
 namespace {
 
+using emulator::ScenarioEvent;
+using load_generator::OutcomeStats;
 using nlohmann::ordered_json;
 
-constexpr double say_every_s = 5.0, drain_s = 30.0;
-constexpr std::size_t seeds = 3;
+constexpr double progress_interval_s = 5.0, drain_timeout_s = 30.0, ready_timeout_s = 60.0;
+constexpr Duration poll_interval{50'000}, wait_step{250'000};
+constexpr std::size_t max_seeds = 3, max_connections = 20'000;
+constexpr unsigned burst_size = 10;
+constexpr int gossip_probe_ms = 500;
 
-Duration span(double s) {
-    return Duration(std::llround(s * 1e6));
-}
-double brief(double x) {
-    return std::round(x * 1e4) / 1e4;
+Duration duration(double seconds) {
+    return Duration(std::llround(seconds * 1e6));
 }
 
-ordered_json about(const Experiment& e, const char* how) {
-    std::vector<unsigned> places;
-    for (std::size_t i = 0; i < e.servers; ++i)
-        places.push_back(e.places(i));
-    return {{"experiment", e.name},
-            {"how", how},
-            {"seed", e.seed},
-            {"processes", e.processes},
-            {"servers", e.servers},
-            {"places", places},
-            {"policy", e.policy},
-            {"load", e.load},
-            {"rate_s", std::round(e.rate_s())},
-            {"arrivals", e.bursty ? "bursty" : "poisson"},
-            {"seconds", e.seconds}};
+/// The operator's settings of each process, without its addresses. Capacity is ample, so that the program rejects nothing
+/// for want of it.
+std::string operator_settings(const Experiment& experiment) {
+    std::string text =
+        "cores: 1024\nmemory_kb: 1000000\nrequest_kb: 1\nstop_ms: 3000\nconnections: 1000\nadmission: "
+        "{descriptors: 4096}\n"
+        "routing: " +
+        experiment.routing + "\nclasses:\n";
+    // No deadline is near: what is measured is the spread of load, not what is abandoned.
+    for (const load_generator::RequestClass& request_class : experiment.classes)
+        text += "  - {name: " + request_class.name +
+                ", effect: " + (request_class.at_most_once ? "unsafe" : "safe") +
+                ", target_ms: 30000, deadline_ms: 60000}\n";
+    return text;
 }
 
-ordered_json figures(const ordered_json& even, double p50, double p95, double p99, double p999,
-                     double errors) {
-    return {{"worst_p99", even["worst_p99"]},
-            {"worst_mean", even["worst_mean"]},
-            {"variation", even["variation"]},
-            {"idle", even["idle"]},
-            {"longest_over_2_s", even["longest_over_2_s"]},
-            {"p50_ms", brief(p50)},
-            {"p95_ms", brief(p95)},
-            {"p99_ms", brief(p99)},
-            {"p999_ms", brief(p999)},
-            {"errors", errors}};
+fault_injection::ClusterSpec cluster_spec(const Experiment& experiment, const TrialEnvironment& environment,
+                                          const std::vector<std::string>& server_addresses) {
+    fault_injection::ClusterSpec spec;
+    spec.program = environment.program;
+    spec.directory = environment.directory;
+    spec.fleet = "lab";
+    spec.probe_ms = gossip_probe_ms;
+    spec.seed = experiment.seed;
+    spec.has_relay = experiment.gossip_loss > 0.0;
+    spec.has_known_http_ports = true;
+    spec.operator_settings = operator_settings(experiment);
+    spec.inventory = "name,address,protocol,group,weight\n";
+    for (std::size_t i = 0; i < experiment.servers; ++i)
+        spec.inventory += "s" + std::to_string(i) + ',' + server_addresses[i] + ",http,maps," +
+                          std::to_string(experiment.capacities[i % experiment.capacities.size()]) + '\n';
+    return spec;
 }
 
+/// One run with real processes.
 class Trial {
 public:
-    Trial(const Experiment& e, const Where& where)
-        : e_(e),
-          where_(where),
-          servers_(loop_, timers_, where.self, where.file),
-          cluster_(loop_, timers_, plan()),
-          driver_(loop_, timers_,
-                  load_generator::ArrivalProcess(e.rate_s(), e.bursty ? 10 : 1, e.kinds, e.seed), 20'000) {}
+    Trial(const Experiment& experiment, const TrialEnvironment& environment)
+        : experiment_(experiment),
+          environment_(environment),
+          servers_(loop_, timers_, environment.lab_program, environment.experiment_file),
+          cluster_(loop_, timers_, cluster_spec(experiment, environment, servers_.addresses())),
+          driver_(
+              loop_, timers_,
+              load_generator::ArrivalProcess(experiment.request_rate_s(), experiment.bursty ? burst_size : 1,
+                                             experiment.classes, experiment.seed),
+              max_connections) {}
 
     ordered_json run() {
-        // Told to end, it takes the processes that it has started with it.
+        // On a signal it ends, and with it the processes that it has started.
         for (const int signal : {SIGINT, SIGTERM})
-            loop_.on_signal(signal, [this] { stopped_ = true; });
-        while (cluster_.size() < e_.processes)
-            add();
-        settle();
-        if (e_.gossip_loss > 0.0)
-            cluster_.relay().set_faults({e_.gossip_loss, 0.0, Duration(0), Duration(0)});
-        doors();
+            loop_.on_signal(signal, [this] { is_interrupted_ = true; });
+        start_cluster();
         driver_.start();
-        wait(e_.warm_up_s, "warming up");
-        servers_.ask({{"do", "observe"}, {"on", true}});
+        wait(experiment_.warm_up_s, "warming up");
+        servers_.request({{"do", "observe"}, {"on", true}});
         driver_.reset_counts();
-        std::vector<base::TimerQueue::Handle> handles;
-        for (const emulator::ScenarioEvent& t : e_.troubles)
-            handles.push_back(timers_.schedule(loop_.unix_now() + span(t.at_s), [this, &t] { meet(t); }));
+        schedule_events();
         const auto probes_before = cluster_.metric_sum("upstream.load_probes");
-        wait(e_.seconds, "measuring");
-        servers_.ask({{"do", "observe"}, {"on", false}});
+        wait(experiment_.seconds, "measuring");
+        servers_.request({{"do", "observe"}, {"on", false}});
         const auto probes = cluster_.metric_sum("upstream.load_probes") - probes_before;
-        driver_.stop();
-        const Timestamp end = loop_.unix_now() + span(drain_s);
-        while (driver_.in_flight() > 0 && loop_.unix_now() < end)
-            cluster_.run(loop_.unix_now() + Duration(50'000));
-        const auto seen = servers_.ask({{"do", "report"}});
-        if (!seen.is_object())
-            throw std::runtime_error("no report from the stand-in servers");
-        ordered_json j = about(e_, "real processes");
-        const load_generator::OutcomeStats all = driver_.total_stats();
-        const ordered_json even = seen["evenness"];
-        const double n = std::max(1.0, static_cast<double>(all.total()));
-        j["figures"] = figures(even, all.quantile_ms(0.5), all.quantile_ms(0.95), all.quantile_ms(0.99),
-                               all.quantile_ms(0.999),
-                               brief(1.0 - static_cast<double>(all.count(load_generator::Outcome::ok)) / n));
-        j["figures"]["probes_a_call"] = brief(static_cast<double>(probes) / n);
-        j["requests"] = {
-            {"sent", driver_.sent()}, {"unsent", driver_.unsent()}, {"open_at_end", driver_.in_flight()}};
-        for (std::size_t k = 0; k < driver_.classes().size(); ++k)
-            j["classes"][driver_.classes()[k].name] = driver_.stats_by_class()[k].to_json();
-        j["servers_saw"] = {{"calls", seen["calls"]},       {"answers", seen["answers"]},
-                            {"errors", seen["errors"]},     {"probes", seen["probes"]},
-                            {"given_up", seen["given_up"]}, {"bad", seen["bad"]},
-                            {"doubled", seen["doubled"]}};
-        j["calls_by_server"] = seen["calls_by_server"];
-        j["crashes"] = cluster_.crashes();
-        j["evenness"] = even;
-        return j;
+        drain();
+        return report(probes);
     }
 
 private:
-    fault_injection::ClusterSpec plan() {
-        fault_injection::ClusterSpec p;
-        p.program = where_.program;
-        p.directory = where_.folder;
-        p.fleet = "lab";
-        p.probe_ms = 500;
-        p.seed = e_.seed;
-        p.has_relay = e_.gossip_loss > 0.0;
-        p.has_known_http_ports = true;
-        p.operator_settings = general_settings(e_);
-        p.inventory = "name,address,protocol,group,weight\n";
-        for (std::size_t i = 0; i < e_.servers; ++i)
-            p.inventory += "s" + std::to_string(i) + ',' + servers_.addresses()[i] + ",http,maps," +
-                           std::to_string(e_.capacities[i % e_.capacities.size()]) + '\n';
-        return p;
+    void start_cluster() {
+        while (cluster_.size() < experiment_.processes)
+            add_process();
+        if (!cluster_.wait_for_agreement(duration(ready_timeout_s)))
+            throw std::runtime_error("the processes do not see each other within a minute");
+        if (experiment_.gossip_loss > 0.0)
+            cluster_.relay().set_faults({experiment_.gossip_loss, 0.0, Duration(0), Duration(0)});
+        update_targets();
     }
-    void add() {
-        std::vector<std::size_t> at;
-        for (std::size_t s = 0; s < std::min(seeds, cluster_.size()); ++s)
-            at.push_back(s);
-        cluster_.add(at);
+    void add_process() {
+        std::vector<std::size_t> seeds;
+        for (std::size_t seed = 0; seed < std::min(max_seeds, cluster_.size()); ++seed)
+            seeds.push_back(seed);
+        cluster_.add(seeds);
     }
-    void settle() {
-        if (!cluster_.wait_for_agreement(span(60.0)))
-            throw std::runtime_error("the processes do not see each other within a minute");
+    void update_targets() {
+        std::vector<net::Address> targets;
+        for (const std::size_t process : cluster_.running_processes())
+            targets.push_back(gossip::to_address(cluster_.http_endpoint(process)));
+        driver_.set_targets(std::move(targets));
+    }
+    void schedule_events() {
+        for (const ScenarioEvent& event : experiment_.events)
+            timers_.schedule(loop_.unix_now() + duration(event.at_s), [this, &event] { apply(event); });
     }
-    void doors() {
-        std::vector<net::Address> all;
-        for (const std::size_t no : cluster_.running_processes())
-            all.push_back(gossip::to_address(cluster_.http_endpoint(no)));
-        driver_.set_targets(std::move(all));
+    void drain() {
+        driver_.stop();
+        const Timestamp deadline = loop_.unix_now() + duration(drain_timeout_s);
+        while (driver_.in_flight() > 0 && loop_.unix_now() < deadline)
+            cluster_.run(loop_.unix_now() + poll_interval);
     }
-    void wait(double seconds, const char* what) {
-        const Timestamp end = loop_.unix_now() + span(seconds);
+    void wait(double seconds, const char* activity) {
+        const Timestamp end = loop_.unix_now() + duration(seconds);
         while (loop_.unix_now() < end) {
-            cluster_.run(std::min(end, loop_.unix_now() + span(0.25)));
-            if (stopped_)
+            cluster_.run(std::min(end, loop_.unix_now() + wait_step));
+            if (is_interrupted_)
                 throw std::runtime_error("told to end");
-            if (!where_.progress || (loop_.unix_now() < next_line_ && loop_.unix_now() < end))
+            if (!environment_.on_progress || (loop_.unix_now() < next_progress_at_ && loop_.unix_now() < end))
                 continue;
-            next_line_ = loop_.unix_now() + span(say_every_s);
-            const load_generator::OutcomeStats all = driver_.total_stats();
-            where_.progress(e_.name + ": " + what + ", " +
-                            std::to_string((end - loop_.unix_now()).count() / 1'000'000) + " s left, " +
-                            std::to_string(all.total()) + " ended, " + std::to_string(driver_.in_flight()) +
-                            " open, p99 " + std::to_string(std::lround(all.quantile_ms(0.99))) + " ms");
+            next_progress_at_ = loop_.unix_now() + duration(progress_interval_s);
+            print_progress(activity, end - loop_.unix_now());
         }
     }
-    void meet(const emulator::ScenarioEvent& t) {
-        using T = emulator::ScenarioEvent;
-        switch (t.type) {
-            case T::Type::slow_down:
-                return servers_.tell({{"do", "slow"}, {"servers", t.servers}, {"by", t.factor}});
-            case T::Type::fail:
-                return servers_.tell({{"do", "fail"}, {"servers", t.servers}});
-            case T::Type::recover:
-                return servers_.tell({{"do", "mend"}, {"servers", t.servers}});
-            case T::Type::restart_servers:
-                return servers_.tell({{"do", "restart"}, {"servers", t.servers}, {"for_s", t.duration_s}});
-            case T::Type::restart_processes:
-                for (const std::size_t no : cluster_.running_processes())
-                    cluster_.restart(no);
+    void print_progress(const char* activity, Duration remaining) {
+        const OutcomeStats stats = driver_.total_stats();
+        environment_.on_progress(
+            experiment_.name + ": " + activity + ", " + std::to_string(remaining.count() / 1'000'000) +
+            " s left, " + std::to_string(stats.total()) + " ended, " + std::to_string(driver_.in_flight()) +
+            " open, p99 " + std::to_string(std::lround(stats.quantile_ms(0.99))) + " ms");
+    }
+    void apply(const ScenarioEvent& event) {
+        using Type = ScenarioEvent::Type;
+        switch (event.type) {
+            case Type::slow_down:
+                return servers_.send({{"do", "slow"}, {"servers", event.servers}, {"by", event.factor}});
+            case Type::fail:
+                return servers_.send({{"do", "fail"}, {"servers", event.servers}});
+            case Type::recover:
+                return servers_.send({{"do", "mend"}, {"servers", event.servers}});
+            case Type::restart_servers:
+                return servers_.send(
+                    {{"do", "restart"}, {"servers", event.servers}, {"for_s", event.duration_s}});
+            case Type::restart_processes:
+                for (const std::size_t process : cluster_.running_processes())
+                    cluster_.restart(process);
                 return;
-            case T::Type::resize_fleet: {
-                const auto running = cluster_.running_processes();
-                const auto want = static_cast<std::size_t>(t.factor);
-                for (std::size_t i = want; i < running.size(); ++i)
-                    cluster_.send_signal(running[i], SIGTERM);
-                for (std::size_t i = running.size(); i < want; ++i)
-                    add();
-                return doors();
-            }
-            case T::Type::load_burst:
-                driver_.set_rate_s(driver_.rate_s() * t.factor);
-                timers_.schedule(loop_.unix_now() + span(t.duration_s),
-                                 [this, by = t.factor] { driver_.set_rate_s(driver_.rate_s() / by); });
+            case Type::resize_fleet:
+                return resize_fleet(static_cast<std::size_t>(event.factor));
+            case Type::load_burst:
+                driver_.set_rate_s(driver_.rate_s() * event.factor);
+                timers_.schedule(
+                    loop_.unix_now() + duration(event.duration_s),
+                    [this, factor = event.factor] { driver_.set_rate_s(driver_.rate_s() / factor); });
                 return;
         }
     }
+    void resize_fleet(std::size_t process_count) {
+        const auto running = cluster_.running_processes();
+        for (std::size_t i = process_count; i < running.size(); ++i)
+            cluster_.send_signal(running[i], SIGTERM);
+        for (std::size_t i = running.size(); i < process_count; ++i)
+            add_process();
+        update_targets();
+    }
+    ordered_json report(std::uint64_t probes) {
+        const auto service = servers_.request({{"do", "report"}});
+        if (!service.is_object())
+            throw std::runtime_error("no report from the stand-in servers");
+        ordered_json json = report_header(experiment_, "real processes");
+        const OutcomeStats stats = driver_.total_stats();
+        const ordered_json imbalance = service["evenness"];
+        const double requests = std::max(1.0, static_cast<double>(stats.total()));
+        const auto ok = static_cast<double>(stats.count(load_generator::Outcome::ok));
+        json["figures"] = report_figures(
+            imbalance, {stats.quantile_ms(0.5), stats.quantile_ms(0.95), stats.quantile_ms(0.99),
+                        stats.quantile_ms(0.999), rounded(1.0 - ok / requests)});
+        json["figures"]["probes_a_call"] = rounded(static_cast<double>(probes) / requests);
+        json["requests"] = {
+            {"sent", driver_.sent()}, {"unsent", driver_.unsent()}, {"open_at_end", driver_.in_flight()}};
+        for (std::size_t i = 0; i < driver_.classes().size(); ++i)
+            json["classes"][driver_.classes()[i].name] = driver_.stats_by_class()[i].to_json();
+        for (const char* key : {"calls", "answers", "errors", "probes", "given_up", "bad", "doubled"})
+            json["servers_saw"][key] = service[key];
+        json["calls_by_server"] = service["calls_by_server"];
+        json["crashes"] = cluster_.crashes();
+        json["evenness"] = imbalance;
+        return json;
+    }
 
-    const Experiment e_;
-    const Where where_;
+    const Experiment experiment_;
+    const TrialEnvironment environment_;
     base::TimerQueue timers_;
     net::Loop loop_{timers_};
-    Servers servers_;
+    FakeUpstreamProcess servers_;
     fault_injection::ProcessCluster cluster_;
     load_generator::Driver driver_;
-    bool stopped_ = false;
-    Timestamp next_line_{0};
+    bool is_interrupted_ = false;
+    Timestamp next_progress_at_{0};
 };
 
 }  // namespace
 
-std::string general_settings(const Experiment& e) {
-    std::string text =
-        "cores: 1024\nmemory_kb: 1000000\nrequest_kb: 1\nstop_ms: 3000\nconnections: 1000\nadmission: "
-        "{descriptors: 4096}\n"
-        "routing: " +
-        e.routing + "\nclasses:\n";
-    // As much time as it takes: what is looked at is the spread, not what is given up.
-    for (const load_generator::RequestClass& k : e.kinds)
-        text += "  - {name: " + k.name + ", effect: " + (k.at_most_once ? "unsafe" : "safe") +
-                ", target_ms: 30000, deadline_ms: 60000}\n";
-    return text;
-}
-
-ordered_json trial(const Experiment& e, const Where& where) {
-    return Trial(e, where).run();
+ordered_json run_trial(const Experiment& experiment, const TrialEnvironment& environment) {
+    return Trial(experiment, environment).run();
 }
 
-ordered_json emulate(const Experiment& e) {
-    const emulator::LoadSpreadResult o = emulator::emulate_load_spread(emulated(e));
-    ordered_json j = about(e, "emulated");
-    const ordered_json even = json_of(o.imbalance);
-    j["figures"] = figures(even, o.p50_ms, o.p95_ms, o.p99_ms, o.p999_ms, brief(o.error_rate));
-    j["figures"]["probes_a_call"] =
-        brief(static_cast<double>(o.probes) / static_cast<double>(std::max<std::uint64_t>(1, o.calls)));
-    if (o.subset_churn > 0.0)
-        j["figures"]["moved"] = brief(o.subset_churn);
-    j["requests"] = {{"sent", o.calls}};
-    j["evenness"] = even;
-    return j;
+ordered_json emulate(const Experiment& experiment) {
+    const emulator::LoadSpreadResult result = emulator::emulate_load_spread(emulated_scenario(experiment));
+    ordered_json json = report_header(experiment, "emulated");
+    const ordered_json imbalance = to_json(result.imbalance);
+    json["figures"] = report_figures(
+        imbalance, {result.p50_ms, result.p95_ms, result.p99_ms, result.p999_ms, rounded(result.error_rate)});
+    const auto calls = static_cast<double>(std::max<std::uint64_t>(1, result.calls));
+    json["figures"]["probes_a_call"] = rounded(static_cast<double>(result.probes) / calls);
+    if (result.subset_churn > 0.0)
+        json["figures"]["moved"] = rounded(result.subset_churn);
+    json["requests"] = {{"sent", result.calls}};
+    json["evenness"] = imbalance;
+    return json;
 }
 
 }  // namespace cressledge::experiment
--- a/tools/experiment/trial.hpp
+++ b/tools/experiment/trial.hpp
@@ -1,5 +1,5 @@
-// An experiment with real processes: the program many times over, the stand-in servers behind them, the load driver in
-// front, and the experiment's events at their times. Its report has the same figures as the emulator's.
+/// Runs of an experiment: with real processes (the program many times over, the fake upstreams behind them, the load
+/// driver in front, and the experiment's events at their times), or in the emulator. Both reports have the same figures.
 #pragma once
 
 #include <functional>
@@ -10,20 +10,24 @@
 
 namespace cressledge::experiment {
 
-struct Where {
-    std::string program;  // cressledge
-    std::string self;  // this tool, which serves the stand-in servers as its child
-    std::string file;  // of the experiment
-    std::string folder;  // for files and logs; it exists
-    std::function<void(const std::string&)> progress;  // a line every few seconds; empty: none
+/// The programs and files of a run with real processes.
+struct TrialEnvironment {
+    /// The path of cressledge.
+    std::string program;
+    /// The path of cressledge_lab, which serves the fake upstreams as a child process.
+    std::string lab_program;
+    std::string experiment_file;
+    /// An existing folder for files and logs.
+    std::string directory;
+    /// Called with a line of progress every few seconds; empty: none.
+    std::function<void(const std::string&)> on_progress;
 };
 
-// Throws std::runtime_error where something does not start, or is not ready within a minute.
-nlohmann::ordered_json trial(const Experiment& e, const Where& where);
-nlohmann::ordered_json emulate(const Experiment& e);
+/// Runs an experiment with real processes; its report. Throws std::runtime_error where something does not start or is
+/// not ready within a minute, and on SIGINT and SIGTERM.
+nlohmann::ordered_json run_trial(const Experiment& experiment, const TrialEnvironment& environment);
 
-// The operator's settings of a process of an experiment, without its addresses: room enough that the module refuses
-// nothing for want of it.
-std::string general_settings(const Experiment& e);
+/// Runs an experiment in the emulator; its report.
+nlohmann::ordered_json emulate(const Experiment& experiment);
 
 }  // namespace cressledge::experiment
