--- a/bench/gossip_sim.cpp
+++ b/bench/gossip_sim.cpp
@@ -87,7 +87,7 @@
     std::vector<double> join_all;
     std::vector<double> leave_all;
     Fleet fleet(members + 64, settings_with(probe_ms), {}, sizes_random_seed);
-    fleet.start_agreed(members);
+    fleet.start_converged(members);
     fleet.run(fleet.now() + milliseconds(2'000));
     for (int i = 0; i < repeats; ++i) {
         const auto crashed = static_cast<std::size_t>(i) * 4 + 3;
@@ -130,12 +130,12 @@
               RunTotals& totals) {
     Fleet fleet(members + 4, settings_with(probe_ms),
                 {loss_percent / 100.0, base::Duration(200), base::Duration(2'000)}, seed);
-    fleet.start_agreed(members);
+    fleet.start_converged(members);
     fleet.run(fleet.now() + milliseconds(10'000));
     fleet.crash(3);
     fleet.start({0});
-    const bool agreed =
-        fleet.run(fleet.now() + milliseconds(10'000), milliseconds(50), [&] { return fleet.agreed(); });
+    const bool agreed = fleet.run(fleet.now() + milliseconds(10'000), milliseconds(50),
+                                  [&] { return fleet.has_converged(); });
     totals.disagreements += agreed ? 0 : 1;
     totals.false_deaths += fleet.false_deaths();
     for (std::size_t i = 0; i < fleet.size(); ++i) {
@@ -180,7 +180,7 @@
     std::printf("%8s %12s %22s\n", "members", "gossip", "all-to-all heartbeat");
     for (const std::size_t members : {std::size_t{50}, std::size_t{200}, std::size_t{800}}) {
         Fleet fleet(members, settings_with(probe_ms), {}, bytes_random_seed);
-        fleet.start_agreed(members);
+        fleet.start_converged(members);
         fleet.run(fleet.now() + milliseconds(5'000));
         const auto bytes_before = fleet.bytes();
         fleet.run(fleet.now() + milliseconds(measured_seconds * 1000));
--- a/bench/load_spread_sim.cpp
+++ b/bench/load_spread_sim.cpp
@@ -12,7 +12,7 @@
 #include <cstdio>
 #include <cxxopts.hpp>
 
-#include "emulator/spread.hpp"
+#include "emulator/load_spread.hpp"
 
 namespace {
 
@@ -22,28 +22,32 @@
 constexpr double crowd_processes_during = 300.0;
 
 // The faults of a named scenario. They begin a quarter of the time in.
-std::vector<Trouble> faults_of(const std::string& scenario, const Spread& spread) {
+std::vector<ScenarioEvent> faults_of(const std::string& scenario, const LoadSpreadScenario& spread) {
     const double start_s = spread.seconds / 4;
     if (scenario == "none")
         return {};
     if (scenario == "slow")
-        return {{start_s, Trouble::slow, {2}, 10.0, 0.0}};
+        return {{start_s, ScenarioEvent::Type::slow_down, {2}, 10.0, 0.0}};
     if (scenario == "fails")
-        return {{start_s, Trouble::fail, {1}, 1.0, 0.0}};
+        return {{start_s, ScenarioEvent::Type::fail, {1}, 1.0, 0.0}};
     if (scenario == "burst")
-        return {{start_s, Trouble::burst, {}, 2.0, 5.0}};
+        return {{start_s, ScenarioEvent::Type::load_burst, {}, 2.0, 5.0}};
     if (scenario == "cold")
-        return {{start_s, Trouble::restart_servers, {2}, 1.0, 1.0}};
+        return {{start_s, ScenarioEvent::Type::restart_servers, {2}, 1.0, 1.0}};
     if (scenario == "restart")
-        return {{start_s, Trouble::restart_processes, {}, 1.0, 0.0}};
+        return {{start_s, ScenarioEvent::Type::restart_processes, {}, 1.0, 0.0}};
     if (scenario == "crowd")
-        return {{start_s, Trouble::processes, {}, crowd_processes_during, 0.0},
-                {3 * start_s, Trouble::processes, {}, static_cast<double>(crowd_processes_before), 0.0}};
+        return {{start_s, ScenarioEvent::Type::resize_fleet, {}, crowd_processes_during, 0.0},
+                {3 * start_s,
+                 ScenarioEvent::Type::resize_fleet,
+                 {},
+                 static_cast<double>(crowd_processes_before),
+                 0.0}};
     if (scenario == "dead") {
         std::vector<std::size_t> every_third;
         for (std::size_t i = 0; i < spread.servers; i += 3)
             every_third.push_back(i);
-        return {{start_s, Trouble::restart_servers, every_third, 1.0, 2.0}};
+        return {{start_s, ScenarioEvent::Type::restart_servers, every_third, 1.0, 2.0}};
     }
     throw std::invalid_argument(scenario + ": no such trouble");
 }
@@ -68,22 +72,22 @@
     return options;
 }
 
-Spread read_spread(const cxxopts::ParseResult& arguments, double load_percent) {
-    Spread spread;
+LoadSpreadScenario read_spread(const cxxopts::ParseResult& arguments, double load_percent) {
+    LoadSpreadScenario spread;
     spread.processes = arguments["processes"].as<std::size_t>();
     spread.servers = arguments["servers"].as<std::size_t>();
-    spread.nature.slots = arguments["slots"].as<unsigned>();
+    spread.server_profile.slots = arguments["slots"].as<unsigned>();
     spread.seconds = arguments["seconds"].as<double>();
     spread.load = load_percent / 100.0;
-    spread.probes = arguments["probes"].as<unsigned>();
-    spread.expected = arguments.count("unexpected") == 0;
-    spread.pool.hot_quantile = arguments["hot"].as<double>();
-    spread.subset = arguments["subset"].as<std::size_t>();
+    spread.probes_per_call = arguments["probes"].as<unsigned>();
+    spread.reports_expected_calls = arguments.count("unexpected") == 0;
+    spread.probing.hot_quantile = arguments["hot"].as<double>();
+    spread.subset_size = arguments["subset"].as<std::size_t>();
     spread.seed = arguments["seed"].as<std::uint64_t>();
     const auto scenario = arguments["trouble"].as<std::string>();
     if (scenario == "crowd")
         spread.processes = crowd_processes_before;
-    spread.troubles = faults_of(scenario, spread);
+    spread.events = faults_of(scenario, spread);
     return spread;
 }
 
@@ -93,20 +97,23 @@
 }
 
 // A row for each policy at one load; the first is join-the-shortest-queue, to which the others are compared.
-void print_rows(Spread spread, double load_percent) {
+void print_rows(LoadSpreadScenario spread, double load_percent) {
     double shortest_queue_p99_ms = 0.0;
-    for (const Choice choice : {Choice::all_seen, Choice::random, Choice::round_robin, Choice::stale,
-                                Choice::own_two, Choice::today, Choice::pool, Choice::probed}) {
+    for (const BalancingChoice choice :
+         {BalancingChoice::join_shortest_queue, BalancingChoice::random, BalancingChoice::round_robin,
+          BalancingChoice::stale_reports, BalancingChoice::local_two_choices, BalancingChoice::two_choices,
+          BalancingChoice::probe_pool, BalancingChoice::probe_first}) {
         spread.choice = choice;
-        const Outcome outcome = run(spread);
-        if (choice == Choice::all_seen)
+        const LoadSpreadResult outcome = emulate_load_spread(spread);
+        if (choice == BalancingChoice::join_shortest_queue)
             shortest_queue_p99_ms = outcome.p99_ms;
         std::printf("%4.0f%%  %-24s %9.3f %9.2f %7.3f %7.3f%% %8.1f %8.1f %8.2f %8.3f%% %9.2f %6.1f%%\n",
-                    load_percent, word(choice), outcome.even.worst_p99, outcome.even.longest_over(2.0),
-                    outcome.even.variation, 100.0 * outcome.even.idle, outcome.p50_ms, outcome.p99_ms,
-                    outcome.p99_ms / shortest_queue_p99_ms, 100.0 * outcome.errors,
+                    load_percent, to_string(choice), outcome.imbalance.peak_to_mean_p99,
+                    outcome.imbalance.longest_time_above_s(2.0), outcome.imbalance.variation,
+                    100.0 * outcome.imbalance.idle_fraction, outcome.p50_ms, outcome.p99_ms,
+                    outcome.p99_ms / shortest_queue_p99_ms, 100.0 * outcome.error_rate,
                     static_cast<double>(outcome.probes) / static_cast<double>(outcome.calls),
-                    100.0 * outcome.moved);
+                    100.0 * outcome.subset_churn);
         std::fflush(stdout);
     }
 }
--- a/bench/membership_rig.cpp
+++ b/bench/membership_rig.cpp
@@ -60,7 +60,7 @@
     for (int i = 0; i < count; ++i) {
         const std::size_t killed = seed_members + static_cast<std::size_t>(i);
         const Timestamp killed_at = testbed.now();
-        testbed.cluster.signal(killed, SIGKILL);
+        testbed.cluster.send_signal(killed, SIGKILL);
         auto result = testbed.measure_agreement(killed_at, agreement_timeout_s);
         worst_ms.push_back(result["not_agreed"] == 0 ? result["worst_ms"].get<long>() : not_agreed);
         result["what"] = "kill";
@@ -82,7 +82,7 @@
         if (departing >= testbed.cluster.size())
             break;
         const Timestamp signalled_at = testbed.now();
-        testbed.cluster.signal(departing, SIGTERM);
+        testbed.cluster.send_signal(departing, SIGTERM);
         const auto result = testbed.measure_agreement(signalled_at, agreement_timeout_s);
         worst_ms.push_back(result.value("worst_ms", -1L));
     }
@@ -96,7 +96,7 @@
 void run_loss(MembershipTestbed& testbed, double seconds, double loss_fraction) {
     const auto metrics = {"dead",        "suspicions",  "suspected", "refuted",
                           "refutations", "standstills", "probes",    "indirect_probes"};
-    testbed.cluster.relay().harm({loss_fraction, 0.0, Duration(0), Duration(0)});
+    testbed.cluster.relay().set_faults({loss_fraction, 0.0, Duration(0), Duration(0)});
     const Timestamp end = testbed.now() + to_duration(seconds);
     while (testbed.now() < end) {
         testbed.wait(std::min(progress_interval_s, to_seconds(end - testbed.now())));
@@ -108,14 +108,14 @@
     auto result = testbed.sum_metrics(metrics);
     result["what"] = "loss";
     result["share"] = loss_fraction;
-    result["lost"] = testbed.cluster.relay().counts().lost;
-    result["passed"] = testbed.cluster.relay().counts().passed;
+    result["lost"] = testbed.cluster.relay().counters().lost;
+    result["passed"] = testbed.cluster.relay().counters().forwarded;
     result["crashes"] = testbed.cluster.crashes();
     print_json_line(result);
 }
 
 void run_partition(MembershipTestbed& testbed, double seconds) {
-    const auto running = testbed.cluster.all_running();
+    const auto running = testbed.cluster.running_processes();
     std::set<std::string> first_half_ids;
     std::vector<std::size_t> halves[2];
     for (std::size_t i = 0; i < running.size(); ++i) {
@@ -124,7 +124,7 @@
             first_half_ids.insert(testbed.cluster.id(running[i]));
     }
     const Timestamp partitioned_at = testbed.now();
-    testbed.cluster.relay().part(first_half_ids);
+    testbed.cluster.relay().partition(first_half_ids);
     for (const auto& half : halves) {
         auto result = testbed.measure_agreement(half, half, partitioned_at, seconds);
         result["what"] = "partition, each half of itself";
@@ -141,16 +141,16 @@
 
 /// Suspends the last process and resumes it.
 void run_pause(MembershipTestbed& testbed) {
-    const std::size_t paused = testbed.cluster.all_running().back();
-    const std::uint64_t suspicions_before = testbed.cluster.figures(paused)["fleet.suspicions"];
-    testbed.cluster.signal(paused, SIGSTOP);
+    const std::size_t paused = testbed.cluster.running_processes().back();
+    const std::uint64_t suspicions_before = testbed.cluster.metrics(paused)["fleet.suspicions"];
+    testbed.cluster.send_signal(paused, SIGSTOP);
     testbed.wait(pause_s);
     const Timestamp resumed_at = testbed.now();
-    testbed.cluster.signal(paused, SIGCONT);
+    testbed.cluster.send_signal(paused, SIGCONT);
     auto result = testbed.measure_agreement(resumed_at, agreement_timeout_s);
     result["what"] = "pause";
     result["seconds"] = pause_s;
-    result["suspicions_by_it"] = testbed.cluster.figures(paused)["fleet.suspicions"] - suspicions_before;
+    result["suspicions_by_it"] = testbed.cluster.metrics(paused)["fleet.suspicions"] - suspicions_before;
     print_json_line(result);
 }
 
@@ -160,7 +160,7 @@
     const std::size_t replaced = processes * 6 / 10;
     const Timestamp start = testbed.now();
     for (std::size_t i = 0; i < replaced; ++i) {
-        testbed.cluster.signal(processes - 1 - i, i % 2 == 0 ? SIGTERM : SIGKILL);
+        testbed.cluster.send_signal(processes - 1 - i, i % 2 == 0 ? SIGTERM : SIGKILL);
         testbed.add_process();
         const double next_s = replacement_s * static_cast<double>(i + 1) / static_cast<double>(replaced);
         const Timestamp next_at = start + to_duration(next_s);
@@ -181,7 +181,7 @@
     const Timestamp start = testbed.now();
     testbed.wait(seconds);
     const auto after = testbed.sum_metrics({"bytes_sent", "bytes_received", "datagrams_sent"});
-    const std::size_t processes = testbed.cluster.all_running().size();
+    const std::size_t processes = testbed.cluster.running_processes().size();
     const double process_seconds = to_seconds(testbed.now() - start) * static_cast<double>(processes);
     const auto rate = [&](const char* name) {
         const std::uint64_t count = after[name].get<std::uint64_t>() - before[name].get<std::uint64_t>();
@@ -212,15 +212,15 @@
     return options;
 }
 
-fault_injection::Plan read_plan(const cxxopts::ParseResult& arguments) {
-    fault_injection::Plan plan;
+fault_injection::ClusterSpec read_plan(const cxxopts::ParseResult& arguments) {
+    fault_injection::ClusterSpec plan;
     plan.program = std::filesystem::absolute(arguments["program"].as<std::string>());
     plan.probe_ms = arguments["probe"].as<int>();
     plan.seed = arguments["seed"].as<std::uint64_t>();
     char temporary_folder[] = "/tmp/fleet-rig-XXXXXX";
-    plan.folder =
+    plan.directory =
         arguments.count("keep") != 0 ? arguments["keep"].as<std::string>() : mkdtemp(temporary_folder);
-    std::filesystem::create_directories(plan.folder);
+    std::filesystem::create_directories(plan.directory);
     return plan;
 }
 
@@ -247,7 +247,7 @@
 }
 
 /// The processes are ended when it returns or throws.
-void run_scenarios(const fault_injection::Plan& plan, const cxxopts::ParseResult& arguments) {
+void run_scenarios(const fault_injection::ClusterSpec& plan, const cxxopts::ParseResult& arguments) {
     MembershipTestbed testbed(plan);
     run_join(testbed, arguments["processes"].as<std::size_t>());
     for (const std::string& name : arguments["what"].as<std::vector<std::string>>())
@@ -262,10 +262,10 @@
     try {
         cxxopts::Options options = make_options();
         const auto arguments = options.parse(argc, argv);
-        const fault_injection::Plan plan = read_plan(arguments);
+        const fault_injection::ClusterSpec plan = read_plan(arguments);
         run_scenarios(plan, arguments);
         if (arguments.count("keep") == 0)
-            std::filesystem::remove_all(plan.folder);
+            std::filesystem::remove_all(plan.directory);
     } catch (const std::exception& e) {
         std::fprintf(stderr, "membership_rig: %s\n", e.what());
         return 2;
--- a/bench/membership_testbed.cpp
+++ b/bench/membership_testbed.cpp
@@ -25,7 +25,7 @@
                                                   double timeout_s) {
     std::vector<double> agreement_ms;
     std::size_t not_agreed = 0;
-    for (const auto& agreed_at : cluster.until_seen(observers, members, now() + to_duration(timeout_s))) {
+    for (const auto& agreed_at : cluster.wait_for_view(observers, members, now() + to_duration(timeout_s))) {
         if (agreed_at)
             agreement_ms.push_back(static_cast<double>((*agreed_at - start).count()) / 1000.0);
         else
@@ -43,14 +43,14 @@
 }
 
 ordered_json MembershipTestbed::measure_agreement(Timestamp start, double timeout_s) {
-    const auto running = cluster.all_running();
+    const auto running = cluster.running_processes();
     return measure_agreement(running, running, start, timeout_s);
 }
 
 ordered_json MembershipTestbed::sum_metrics(std::initializer_list<const char*> names) {
     ordered_json sums = ordered_json::object();
-    for (const std::size_t index : cluster.all_running()) {
-        const auto metrics = cluster.figures(index);
+    for (const std::size_t index : cluster.running_processes()) {
+        const auto metrics = cluster.metrics(index);
         for (const char* name : names) {
             const auto it = metrics.find(std::string("fleet.") + name);
             const std::uint64_t value = it == metrics.end() ? 0 : it->second;
--- a/bench/membership_testbed.hpp
+++ b/bench/membership_testbed.hpp
@@ -31,7 +31,7 @@
     net::Loop loop{timers};
     fault_injection::ProcessCluster cluster;
 
-    explicit MembershipTestbed(const fault_injection::Plan& plan) : cluster(loop, timers, plan) {}
+    explicit MembershipTestbed(const fault_injection::ClusterSpec& plan) : cluster(loop, timers, plan) {}
 
     Timestamp now() { return loop.unix_now(); }
 
--- a/bench/rollout_rig.cpp
+++ b/bench/rollout_rig.cpp
@@ -70,35 +70,35 @@
     constexpr std::size_t supervisors = 4;
     for (int i = 0; i < 3; ++i) {
         testbed.run(8.0);
-        testbed.wire(1).cut(true);
+        testbed.supervisor_link(1).set_cut(true);
         testbed.run(6.0);
-        testbed.wire(1).cut(false);
+        testbed.supervisor_link(1).set_cut(false);
         for (std::size_t supervisor = 0; supervisor < supervisors; ++supervisor)
-            testbed.wire(supervisor).loss(0.1);
+            testbed.supervisor_link(supervisor).set_connection_loss(0.1);
     }
 }
 
 void run_rollout(RolloutTestbed& testbed, const std::string& scenario, const std::string& change) {
-    const std::string plan = testbed.plan(scenario, change);
-    testbed.forget();
-    const auto requests_before = testbed.driver().total();
-    const auto controller = testbed.start(plan);
+    const std::string plan = testbed.write_plan(scenario, change);
+    testbed.reset_exposure();
+    const auto requests_before = testbed.driver().total_stats();
+    const auto controller = testbed.start_controller(plan);
     if (scenario == "noise") {  // a process dies for no fault of the new version
         testbed.run(6.0);
-        testbed.kill("n7");
+        testbed.kill_process("n7");
     }
     if (scenario == "cut")
         inject_network_faults(testbed);
     const int exit_code = testbed.wait(*controller, rollout_timeout_s);
     ordered_json result = {{"what", scenario}};
     result.update(outcome_of(testbed, plan, exit_code));
-    result["met"] = round_to(testbed.met(), 1e4);
-    result["astray"] = testbed.astray(plan, true);
-    const auto requests_after = testbed.driver().total();
-    result["requests"] = requests_after.all() - requests_before.all();
-    result["lost"] =
-        requests_after.count(load_generator::End::lost) - requests_before.count(load_generator::End::lost);
-    result["doubled"] = testbed.servers().counts().doubled;
+    result["met"] = round_to(testbed.exposure(), 1e4);
+    result["astray"] = testbed.find_inconsistency(plan, true);
+    const auto requests_after = testbed.driver().total_stats();
+    result["requests"] = requests_after.total() - requests_before.total();
+    result["lost"] = requests_after.count(load_generator::Outcome::connection_lost) -
+                     requests_before.count(load_generator::Outcome::connection_lost);
+    result["doubled"] = testbed.servers().counters().duplicates;
     print_json_line(result);
 }
 
@@ -116,30 +116,30 @@
     if (changes_program) {
         const bool is_faulty = index % 4 == 3;
         const std::string fault = is_faulty ? "never" : index % 8 == 2 ? "none" : "also-none";
-        return testbed.plan(name, "{program: " + testbed.faulty(fault) + '}');
+        return testbed.write_plan(name, "{program: " + testbed.faulty_program(fault) + '}');
     }
     const std::string settings_file = name + "-settings.yaml";
-    const std::string plan_path = testbed.plan(name, "{}");
+    const std::string plan_path = testbed.write_plan(name, "{}");
     const std::string folder = plan_path.substr(0, plan_path.rfind('/') + 1);
     std::ofstream(folder + settings_file)
         << "routing: {hedging: " << (index % 8 < 4 ? "true" : "false") << "}\n";
-    return testbed.plan(name, "{settings: " + settings_file + '}');
+    return testbed.write_plan(name, "{settings: " + settings_file + '}');
 }
 
 /// Kills the controller of one rollout and starts it again.
 void run_killed_rollout(RolloutTestbed& testbed, int index, pcg32& random, KillTotals& totals) {
     const std::string name = "kill" + std::to_string(index);
     const std::string plan = write_plan(testbed, index, name);
-    const auto controller = testbed.start(plan);
+    const auto controller = testbed.start_controller(plan);
     const double killed_at_s = first_kill_s + kill_interval_s * (random() / 4294967296.0);
     testbed.run(killed_at_s);
-    const bool was_running = controller->running();
-    controller->signal(SIGKILL);
+    const bool was_running = controller->is_running();
+    controller->send_signal(SIGKILL);
     testbed.wait(*controller, controller_exit_timeout_s);
-    const std::string mismatch_after_kill = testbed.astray(plan, false);
-    const auto resumed_controller = testbed.start(plan);
+    const std::string mismatch_after_kill = testbed.find_inconsistency(plan, false);
+    const auto resumed_controller = testbed.start_controller(plan);
     const int exit_code = testbed.wait(*resumed_controller, resumed_rollout_timeout_s);
-    const std::string mismatch_at_end = testbed.astray(plan, true);
+    const std::string mismatch_at_end = testbed.find_inconsistency(plan, true);
     totals.killed_while_running += was_running ? 1 : 0;
     totals.inconsistent += mismatch_after_kill.empty() && mismatch_at_end.empty() ? 0 : 1;
     totals.done += exit_code == exit_done ? 1 : 0;
@@ -172,11 +172,11 @@
     else if (name == "settings")
         run_rollout(testbed, name, "{settings: good-settings.yaml}");
     else if (name == "good")
-        run_rollout(testbed, name, "{program: " + testbed.faulty("none") + '}');
+        run_rollout(testbed, name, "{program: " + testbed.faulty_program("none") + '}');
     else if (name == "noise" || name == "cut")
-        run_rollout(testbed, name, "{program: " + testbed.faulty(name + "-none") + '}');
+        run_rollout(testbed, name, "{program: " + testbed.faulty_program(name + "-none") + '}');
     else
-        run_rollout(testbed, name, "{program: " + testbed.faulty(name) + '}');
+        run_rollout(testbed, name, "{program: " + testbed.faulty_program(name) + '}');
 }
 
 cxxopts::Options make_options() {
@@ -197,43 +197,43 @@
     return options;
 }
 
-experiment::Scene read_scene(const cxxopts::ParseResult& arguments) {
-    experiment::Scene scene;
+experiment::TestbedSpec read_scene(const cxxopts::ParseResult& arguments) {
+    experiment::TestbedSpec scene;
     scene.program = std::filesystem::canonical(arguments["program"].as<std::string>());
-    scene.faulty = std::filesystem::canonical(arguments["faulty"].as<std::string>());
+    scene.faulty_program = std::filesystem::canonical(arguments["faulty"].as<std::string>());
     scene.processes = arguments["processes"].as<std::size_t>();
-    scene.rate_s = arguments["rate"].as<double>();
+    scene.request_rate_s = arguments["rate"].as<double>();
     scene.bake_s = arguments["bake"].as<double>();
     scene.seed = arguments["seed"].as<std::uint64_t>();
     const auto scenarios = arguments["what"].as<std::vector<std::string>>();
     if (scenarios == std::vector<std::string>{"kills"}) {  // many short rollouts
         scene.stages = "[1, 50%, 100%]";
         scene.bake_s = 1.0;
-        scene.look_ms = 200;
-        scene.least = 20.0;
+        scene.observation_interval_ms = 200;
+        scene.min_requests = 20.0;
     }
     char temporary_folder[] = "/tmp/roll-rig-XXXXXX";
-    scene.folder =
+    scene.directory =
         arguments.count("keep") != 0 ? arguments["keep"].as<std::string>() : mkdtemp(temporary_folder);
-    std::filesystem::create_directories(scene.folder);
+    std::filesystem::create_directories(scene.directory);
     return scene;
 }
 
 /// The processes are ended when it returns or throws.
-void run_scenarios(const experiment::Scene& scene, const cxxopts::ParseResult& arguments) {
+void run_scenarios(const experiment::TestbedSpec& scene, const cxxopts::ParseResult& arguments) {
     base::TimerQueue timers;
     net::Loop loop(timers);
     RolloutTestbed testbed(loop, timers, scene);
-    testbed.up();
+    testbed.start_fleet();
     testbed.run(warm_up_s);
-    std::ofstream(scene.folder + "/good-settings.yaml") << "routing: {policy: probe-pool}\n";
+    std::ofstream(scene.directory + "/good-settings.yaml") << "routing: {policy: probe-pool}\n";
     for (const std::string& name : arguments["what"].as<std::vector<std::string>>())
         run_scenario(testbed, name, arguments);
-    const std::string wrong = testbed.settle(drain_timeout_s);
+    const std::string wrong = testbed.drain(drain_timeout_s);
     print_json_line({{"what", "all requests"},
                      {"sent", testbed.driver().sent()},
-                     {"ended", testbed.driver().total().all()},
-                     {"record", testbed.driver().total().json()},
+                     {"ended", testbed.driver().total_stats().total()},
+                     {"record", testbed.driver().total_stats().to_json()},
                      {"wrong", wrong}});
 }
 
@@ -243,10 +243,10 @@
     try {
         cxxopts::Options options = make_options();
         const auto arguments = options.parse(argc, argv);
-        const experiment::Scene scene = read_scene(arguments);
+        const experiment::TestbedSpec scene = read_scene(arguments);
         run_scenarios(scene, arguments);
         if (arguments.count("keep") == 0)
-            std::filesystem::remove_all(scene.folder);
+            std::filesystem::remove_all(scene.directory);
     } catch (const std::exception& e) {
         std::fprintf(stderr, "rollout_rig: %s\n", e.what());
         return 2;
--- a/bench/rollout_sim.cpp
+++ b/bench/rollout_sim.cpp
@@ -11,21 +11,21 @@
 #include <future>
 #include <map>
 
-#include "emulator/roll.hpp"
+#include "emulator/rollout_emulation.hpp"
 
 namespace {
 
 using namespace cressledge::emulator;
 
 // The faults of the new version, by case.
-const std::map<std::string, Version> versions = {
+const std::map<std::string, VersionDefects> versions = {
     {"good", {}},
     {"noisy", {}},  // the same, on machines twice as uneven, a fifth of the fleet cut off for a while
-    {"tail", {.slow_share = 0.03, .slow_ms = 3000.0}},
-    {"errors", {.errors = 0.02}},
+    {"tail", {.slow_rate = 0.03, .slow_extra_ms = 3000.0}},
+    {"errors", {.error_rate = 0.02}},
     {"crash", {.crash_after_s = 30.0}},
-    {"refusals", {.refusals = 0.05}},
-    {"slower", {.slower = 1.8}},
+    {"refusals", {.rejection_rate = 0.05}},
+    {"slower", {.latency_factor = 1.8}},
 };
 
 // Sums over the rollouts of a case.
@@ -37,48 +37,49 @@
     double exposed_fraction = 0.0;
     double seconds = 0.0;
 
-    void add(const RollOutcome& outcome) {
-        done += outcome.done ? 1 : 0;
-        reverted += outcome.reverted ? 1 : 0;
-        reverted_in_first_stage += outcome.reverted && outcome.stage == 0 ? 1 : 0;
-        exposed_fraction += outcome.met;
+    void add(const RolloutResult& outcome) {
+        done += outcome.completed ? 1 : 0;
+        reverted += outcome.rolled_back ? 1 : 0;
+        reverted_in_first_stage += outcome.rolled_back && outcome.stage == 0 ? 1 : 0;
+        exposed_fraction += outcome.exposure;
         seconds += outcome.seconds;
     }
 };
 
-RollCase make_case(const std::string& name, std::size_t processes, double bake_seconds) {
-    RollCase roll_case;
+RolloutScenario make_case(const std::string& name, std::size_t processes, double bake_seconds) {
+    RolloutScenario roll_case;
     roll_case.processes = processes;
-    roll_case.fresh = versions.at(name);
+    roll_case.new_version = versions.at(name);
     roll_case.plan.name = name;
     roll_case.plan.stages = {{0.0, 1}, {0.05, 0}, {0.25, 0}, {0.5, 0}, {1.0, 0}};
     roll_case.plan.bake_time = cressledge::base::Duration(static_cast<std::int64_t>(bake_seconds * 1e6));
     if (name == "noisy") {
-        roll_case.machines = 0.3;
-        roll_case.weather = 0.2;
-        roll_case.cut_off = true;
+        roll_case.machine_speed_sigma = 0.3;
+        roll_case.shared_slowdown_sigma = 0.2;
+        roll_case.has_partition = true;
     }
     return roll_case;
 }
 
-std::future<RollOutcome> start_rollout(RollCase roll_case, std::uint64_t seed) {
+std::future<RolloutResult> start_rollout(RolloutScenario roll_case, std::uint64_t seed) {
     roll_case.seed = seed;
-    return std::async(std::launch::async, [roll_case] { return run(roll_case); });
+    return std::async(std::launch::async, [roll_case] { return emulate_rollout(roll_case); });
 }
 
 // Runs seeds 1 to `rollouts`, at most `jobs` at a time; results are taken in the order of the seeds.
-CaseTotals run_case(const RollCase& roll_case, std::uint64_t rollouts, unsigned jobs, bool print_reasons) {
+CaseTotals run_case(const RolloutScenario& roll_case, std::uint64_t rollouts, unsigned jobs,
+                    bool print_reasons) {
     CaseTotals totals;
     std::uint64_t next_seed = 1;
-    std::deque<std::future<RollOutcome>> in_progress;
+    std::deque<std::future<RolloutResult>> in_progress;
     while (next_seed <= rollouts || !in_progress.empty()) {
         while (next_seed <= rollouts && in_progress.size() < jobs)
             in_progress.push_back(start_rollout(roll_case, next_seed++));
-        const RollOutcome outcome = in_progress.front().get();
+        const RolloutResult outcome = in_progress.front().get();
         in_progress.pop_front();
         totals.add(outcome);
-        if (print_reasons && !outcome.done)
-            std::printf("  stage %zu: %s\n", outcome.stage, outcome.why.c_str());
+        if (print_reasons && !outcome.completed)
+            std::printf("  stage %zu: %s\n", outcome.stage, outcome.rollback_reason.c_str());
     }
     return totals;
 }
@@ -119,7 +120,7 @@
         for (const auto& [name, version] : versions) {
             if (selected_case != "all" && selected_case != name)
                 continue;
-            const RollCase roll_case =
+            const RolloutScenario roll_case =
                 make_case(name, arguments["processes"].as<std::size_t>(), arguments["bake"].as<double>());
             const CaseTotals totals =
                 run_case(roll_case, rollouts, arguments["jobs"].as<unsigned>(), arguments.count("why") != 0);
