--- a/src/request/executor_queries.cpp
+++ b/src/request/executor_queries.cpp
@@ -26,10 +26,9 @@
     const auto it = gauge_queries_.find(query_id);
     if (it == gauge_queries_.end())
         return;
-    GaugeQuery query = std::move(it->second);
+    const GaugesHandler handler = std::move(it->second.handler);
     gauge_queries_.erase(it);
-    timers_.cancel(query.timeout_timer);
-    query.handler(gauges);
+    handler(gauges);
 }
 
 bool ExecutorQueries::health_checks_full() const {
@@ -50,10 +49,9 @@
     const auto it = health_checks_.find(query_id);
     if (it == health_checks_.end())
         return;
-    HealthCheck check = std::move(it->second);
+    const HealthHandler handler = std::move(it->second.handler);
     health_checks_.erase(it);
-    timers_.cancel(check.timeout_timer);
-    check.handler(passed);
+    handler(passed);
 }
 
 }  // namespace cressledge::request
--- a/src/request/executor_queries.hpp
+++ b/src/request/executor_queries.hpp
@@ -38,11 +38,11 @@
 private:
     struct GaugeQuery {
         GaugesHandler handler;
-        base::TimerQueue::Handle timeout_timer = 0;
+        base::TimerHandle timeout_timer;
     };
     struct HealthCheck {
         HealthHandler handler;
-        base::TimerQueue::Handle timeout_timer = 0;
+        base::TimerHandle timeout_timer;
     };
 
     base::TimerQueue& timers_;
--- a/src/request/idempotency_store.cpp
+++ b/src/request/idempotency_store.cpp
@@ -40,7 +40,6 @@
 void IdempotencyStore::retain(const std::string& key, RequestId owner_id, const PayloadDigest& payload_digest,
                               Timestamp now, Timestamp retained_until, Timestamp expires_at) {
     IdempotencyRecord& record = records_[key];
-    timers_.cancel(record.expiry_timer);
     const bool is_over = record.finished || now > record.retained_until;
     if (record.owner_id != owner_id && is_over)
         discard_result(record);
@@ -72,7 +71,6 @@
         return;
     IdempotencyRecord record = std::move(it->second);
     records_.erase(it);
-    timers_.cancel(record.expiry_timer);
     retained_bytes_ -= record.result.size();
     record.succeeded = false;
     for (const RequestId waiter_id : record.waiter_ids)
--- a/src/request/idempotency_store.hpp
+++ b/src/request/idempotency_store.hpp
@@ -46,7 +46,7 @@
     std::string result;
     /// Repeats that wait for the result.
     std::vector<RequestId> waiter_ids;
-    base::TimerQueue::Handle expiry_timer = 0;
+    base::TimerHandle expiry_timer;
 
     /// Whether a read's result may still be shared at `now`.
     bool is_fresh(Timestamp now, Duration result_ttl) const {
--- a/src/request/open_request.hpp
+++ b/src/request/open_request.hpp
@@ -51,7 +51,7 @@
     std::uint64_t call_id = 0;
     std::string call_body;
     Timestamp called_at{0};
-    base::TimerQueue::Handle call_timer = 0;
+    base::TimerHandle call_timer;
 
     /// Whether neither the executor nor the dependency is at work on it, so that it can be released at once.
     bool is_waiting() const {
--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -194,7 +194,6 @@
         return;
     // The run is over either way: a response that is still owed must not be lost with the request.
     respond(*request, Response{});
-    timers_.cancel(request->call_timer);
     if (request->state != RequestState::finished)
         finish_record(*request, request_id, false, {});
     executor_->release(request_id);
--- a/src/request/request_manager_actions.cpp
+++ b/src/request/request_manager_actions.cpp
@@ -104,8 +104,6 @@
 }
 
 void RequestManager::time_out_call(RequestId request_id) {
-    if (OpenRequest* request = open_requests_.find(request_id); request != nullptr)
-        request->call_timer = 0;
     dependency_client_->abandon(request_id);
     dependency_call_finished(request_id, Outcome::timeout, {});
 }
--- a/src/request/request_manager_runs.cpp
+++ b/src/request/request_manager_runs.cpp
@@ -15,7 +15,7 @@
         request->state == RequestState::queued)
         return;
     counters_.count_run_finished();
-    timers_.cancel(request->call_timer);
+    request->call_timer.cancel();
     if (request->state == RequestState::awaiting_call_reply)
         dependency_client_->abandon(request_id);
     const bool was_suspended = run_result == RunResult::killed && !request->answered &&
@@ -73,7 +73,7 @@
     OpenRequest* request = open_requests_.find(request_id);
     if (request == nullptr || request->state != RequestState::awaiting_call_reply)
         return;
-    timers_.cancel(request->call_timer);
+    request->call_timer.cancel();
     if (outcome == Outcome::ok) {
         request->state = RequestState::running;
         request->call_body.clear();
