--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -35,7 +35,6 @@
         };
     }
     ~PendingRequest() override {
-        client_.timers_.cancel(deadline_timer_);
         if (stream_ != nullptr)
             std::exchange(stream_, nullptr)->close();
     }
@@ -85,7 +84,7 @@
     ResponseHandler on_response_;
     base::SlotId id_ = 0;
     Stream* stream_ = nullptr;
-    base::TimerQueue::Handle deadline_timer_ = 0;
+    base::TimerHandle deadline_timer_;
     http_parser parser_{};
     http_parser_settings parser_settings_{};
     Response response_;
