--- a/src/admin/admin_connection.cpp
+++ b/src/admin/admin_connection.cpp
@@ -68,7 +68,6 @@
 }
 
 AdminConnection::~AdminConnection() {
-    timers_.cancel(deadline_);
     if (stream_ != nullptr)
         std::exchange(stream_, nullptr)->close();
 }
@@ -80,10 +79,7 @@
     stream_ = net::Stream::accept(listener, *this, std::move(lease), &error);
     if (stream_ == nullptr)
         return error;
-    deadline_ = timers_.schedule(clock_.unix_now() + request_timeout, [this] {
-        deadline_ = 0;
-        on_request_timeout();
-    });
+    deadline_ = timers_.schedule(clock_.unix_now() + request_timeout, [this] { on_request_timeout(); });
     return 0;
 }
 
@@ -127,11 +123,7 @@
     has_replied_ = true;
     stream_->write(format_message(status, body, content_type));
     stream_->shut_down_writes();
-    timers_.cancel(deadline_);
-    deadline_ = timers_.schedule(clock_.unix_now() + linger_timeout, [this] {
-        deadline_ = 0;
-        handler_.on_closed(id_);
-    });
+    deadline_ = timers_.schedule(clock_.unix_now() + linger_timeout, [this] { handler_.on_closed(id_); });
 }
 
 bool AdminConnection::read_pending() {
--- a/src/admin/admin_connection.hpp
+++ b/src/admin/admin_connection.hpp
@@ -78,7 +78,7 @@
     base::TimerQueue& timers_;
     base::SlotId id_ = 0;
     net::Stream* stream_ = nullptr;
-    base::TimerQueue::Handle deadline_ = 0;
+    base::TimerHandle deadline_;
     http_parser parser_{};
     std::string url_, body_;
     std::size_t head_bytes_ = 0;
