--- a/src/gossip/exchange_connection.cpp
+++ b/src/gossip/exchange_connection.cpp
@@ -8,7 +8,6 @@
 namespace cressledge::gossip {
 
 ExchangeConnection::~ExchangeConnection() {
-    timers_.cancel(deadline_);
     if (stream_ != nullptr)
         std::exchange(stream_, nullptr)->close();
 }
--- a/src/gossip/exchange_connection.hpp
+++ b/src/gossip/exchange_connection.hpp
@@ -79,7 +79,7 @@
     const ExchangeDirection direction_;
     base::SlotId id_ = 0;
     net::Stream* stream_ = nullptr;
-    base::TimerQueue::Handle deadline_ = 0;
+    base::TimerHandle deadline_;
     std::string received_;
     bool has_received_frame_ = false;
 };
--- a/src/gossip/exchange_manager.cpp
+++ b/src/gossip/exchange_manager.cpp
@@ -42,10 +42,6 @@
       on_effects_(std::move(on_effects)),
       random_(seed) {}
 
-ExchangeManager::~ExchangeManager() {
-    environment_.timers.cancel(accept_retry_timer_);
-}
-
 std::size_t& ExchangeManager::open_count(ExchangeDirection direction) {
     return direction == ExchangeDirection::outbound ? outbound_count_ : inbound_count_;
 }
@@ -98,12 +94,9 @@
 // The listener is paused meanwhile, so that the loop does not wake for its backlog again and again.
 void ExchangeManager::retry_accept_later() {
     environment_.listener.set_paused(true);
-    environment_.timers.cancel(accept_retry_timer_);
     const base::Timestamp retry_at = environment_.loop.unix_now() + accept_retry_delay;
-    accept_retry_timer_ = environment_.timers.schedule(retry_at, [this] {
-        accept_retry_timer_ = 0;
-        environment_.listener.set_paused(false);
-    });
+    accept_retry_timer_ =
+        environment_.timers.schedule(retry_at, [this] { environment_.listener.set_paused(false); });
 }
 
 std::string ExchangeManager::make_frame(MessageType type) {
--- a/src/gossip/exchange_manager.hpp
+++ b/src/gossip/exchange_manager.hpp
@@ -48,7 +48,6 @@
     /// `on_effects` carries out what a merged table wants done.
     ExchangeManager(const ExchangeEnvironment& environment, std::string fleet_name, std::uint64_t seed,
                     EffectsHandler on_effects);
-    ~ExchangeManager() override;
     ExchangeManager(const ExchangeManager&) = delete;
     ExchangeManager& operator=(const ExchangeManager&) = delete;
 
@@ -79,7 +78,7 @@
     const std::string fleet_name_;
     EffectsHandler on_effects_;
     pcg32 random_;
-    base::TimerQueue::Handle accept_retry_timer_ = 0;
+    base::TimerHandle accept_retry_timer_;
     std::size_t outbound_count_ = 0;
     std::size_t inbound_count_ = 0;
     base::SlotMap<ExchangeConnection> connections_;
--- a/src/gossip/gossip_node.cpp
+++ b/src/gossip/gossip_node.cpp
@@ -46,10 +46,6 @@
     arm_timer();
 }
 
-GossipNode::~GossipNode() {
-    timers_.cancel(membership_timer_);
-}
-
 void GossipNode::acquire_socket_leases(base::Timestamp now) {
     for (int i = 0; i < socket_count; ++i)
         socket_leases_.push_back(
@@ -73,9 +69,9 @@
 
 void GossipNode::arm_timer() {
     const base::Timestamp next = membership_->next_deadline();
-    if (membership_timer_ != 0 && next == armed_for_)
+    if (membership_timer_.is_scheduled() && next == armed_for_)
         return;
-    timers_.cancel(membership_timer_);
+    membership_timer_.cancel();
     armed_for_ = next;
     if (next == membership::never)
         return;
@@ -83,7 +79,6 @@
 }
 
 void GossipNode::on_timer() {
-    membership_timer_ = 0;
     membership::Effects effects;
     membership_->tick(loop_.unix_now(), effects);
     apply(effects);
--- a/src/gossip/gossip_node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -32,7 +32,6 @@
     GossipNode(net::Loop& loop, base::TimerQueue& timers,
                connection_admission::FileDescriptorBudget& descriptors, const Settings& settings,
                std::uint64_t seed);
-    ~GossipNode();
     GossipNode(const GossipNode&) = delete;
     GossipNode& operator=(const GossipNode&) = delete;
 
@@ -73,7 +72,7 @@
     GossipStatistics statistics_;
     MemberChangeLog change_log_;
     std::unique_ptr<ExchangeManager> exchanges_;
-    base::TimerQueue::Handle membership_timer_ = 0;
+    base::TimerHandle membership_timer_;
     base::Timestamp armed_for_{0};
 };
 
