--- a/src/frontend/connection_admitter.cpp
+++ b/src/frontend/connection_admitter.cpp
@@ -44,7 +44,6 @@
 }
 
 ConnectionAdmitter::~ConnectionAdmitter() {
-    timers_.cancel(backlog_retry_);
     descriptors_.on_exhausted({});
     descriptors_.on_released({});
 }
@@ -75,7 +74,7 @@
         return lease;
     // A release of one of our own descriptors wakes the backlog sooner.
     is_backlog_waiting_ = true;
-    if (backlog_retry_ == 0)
+    if (!backlog_retry_.is_scheduled())
         schedule_backlog_retry(now + backlog_retry_interval);
     std::uint64_t suppressed = 0;
     if (exhaustion_log_limiter_.try_acquire(now, suppressed))
@@ -85,9 +84,7 @@
 }
 
 void ConnectionAdmitter::schedule_backlog_retry(base::Timestamp due) {
-    timers_.cancel(backlog_retry_);
     backlog_retry_ = timers_.schedule(due, [this] {
-        backlog_retry_ = 0;
         is_backlog_waiting_ = false;
         for (Frontend* frontend : frontends_)
             if (frontend != nullptr)
--- a/src/frontend/connection_admitter.hpp
+++ b/src/frontend/connection_admitter.hpp
@@ -70,7 +70,7 @@
     connection_admission::FileDescriptorBudget& descriptors_;
     connection_admission::ConnectionLimiter limiter_;
     std::vector<Frontend*> frontends_;
-    base::TimerQueue::Handle backlog_retry_ = 0;
+    base::TimerHandle backlog_retry_;
     /// A connection waits in a backlog for a descriptor.
     bool is_backlog_waiting_ = false;
     std::uint64_t rejections_logged_ = 0;
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -34,7 +34,6 @@
     admitter_.unregister_frontend(listener_index_);
     for (const base::SlotId session_id : sessions_.ids()) {
         Session* session = sessions_.find(session_id);
-        timers_.cancel(session->deadline_);
         if (session->stream_ != nullptr)
             session->stream_->close();
     }
--- a/src/frontend/session.cpp
+++ b/src/frontend/session.cpp
@@ -53,17 +53,13 @@
 
 // Guards the connection table against peers that send nothing, or begin a request and never complete it.
 void Session::start_request_timer(base::Timestamp due) {
-    frontend_.timers_.cancel(deadline_);
     phase_ = RequestPhase::receiving;
-    deadline_ = frontend_.timers_.schedule(due, [this] {
-        deadline_ = 0;
-        on_request_timeout();
-    });
+    deadline_ = frontend_.timers_.schedule(due, [this] { on_request_timeout(); });
 }
 
 void Session::on_request_timeout() {
     // Its last bytes may lie in the socket, where this process has been too slow to read them.
-    if (read_pending() || deadline_ != 0)
+    if (read_pending() || deadline_.is_scheduled())
         return;
     ++frontend_.closed_connections_.request_timeouts;
     if (!expects_request())
@@ -73,7 +69,7 @@
 
 bool Session::try_admit_request() {
     phase_ = RequestPhase::in_flight;
-    frontend_.timers_.cancel(deadline_);
+    deadline_.cancel();
     auto& limiter = frontend_.admitter_.limiter();
     if (admission_ == AdmissionState::evicted) {
         retry_after_ = limiter.settings().max_retry_after;
@@ -125,7 +121,7 @@
 }
 
 void Session::respond_directly(const std::string& bytes, bool close) {
-    frontend_.timers_.cancel(deadline_);
+    deadline_.cancel();
     finish_request(bytes, close);
 }
 
--- a/src/frontend/session.hpp
+++ b/src/frontend/session.hpp
@@ -123,7 +123,7 @@
     AdmissionState admission_ = AdmissionState::admitted;
     bool is_processing_input_ = false;
     bool is_reading_paused_ = false;
-    base::TimerQueue::Handle deadline_ = 0;
+    base::TimerHandle deadline_;
     /// Bytes that came after the last response.
     std::size_t discarded_bytes_ = 0;
     connection_admission::ConnectionSlotId connection_slot_ = 0;
--- a/src/frontend/session_shutdown.cpp
+++ b/src/frontend/session_shutdown.cpp
@@ -36,16 +36,13 @@
 void Session::start_lingering() {
     if (!lifecycle_.linger())
         return;
-    frontend_.timers_.cancel(deadline_);
     phase_ = RequestPhase::none;
     std::string().swap(pending_input_);
     stream_->shut_down_writes();
     if (is_reading_paused_)
         stream_->set_reading_paused(false);
-    deadline_ = frontend_.timers_.schedule(frontend_.server_.now() + linger_timeout, [this] {
-        deadline_ = 0;
-        close_and_remove();
-    });
+    deadline_ =
+        frontend_.timers_.schedule(frontend_.server_.now() + linger_timeout, [this] { close_and_remove(); });
 }
 
 // The next response is the last one; a connection without a request ends now.
@@ -77,21 +74,18 @@
 }
 
 void Session::start_idle_timer() {
-    frontend_.timers_.cancel(deadline_);
+    deadline_.cancel();
     if (std::exchange(phase_, RequestPhase::idle) != RequestPhase::idle)
         idle_since_ = frontend_.server_.now();
     const base::Duration timeout = idle_timeout();
     if (timeout <= base::Duration(0))
         return;
-    deadline_ = frontend_.timers_.schedule(idle_since_ + timeout, [this] {
-        deadline_ = 0;
-        on_idle_timeout();
-    });
+    deadline_ = frontend_.timers_.schedule(idle_since_ + timeout, [this] { on_idle_timeout(); });
 }
 
 void Session::on_idle_timeout() {
     // A request may have arrived in this very instant: then the connection is not idle.
-    if (read_pending() || deadline_ != 0)
+    if (read_pending() || deadline_.is_scheduled())
         return;
     ++frontend_.closed_connections_.idle_timeouts;
     frontend_.admitter_.limiter().on_response_sent(frontend_.server_.now(), connection_slot_, false);
@@ -123,7 +117,6 @@
 
 void Session::close_and_remove() {
     frontend_.admitter_.limiter().release_connection(connection_slot_);
-    frontend_.timers_.cancel(deadline_);
     lifecycle_.close();
     if (stream_ != nullptr)
         std::exchange(stream_, nullptr)->close();
