--- a/src/supervisor/supervised_process.hpp
+++ b/src/supervisor/supervised_process.hpp
@@ -37,8 +37,8 @@
     ListeningSocket scgi_socket;
     ListeningSocket http_socket;
     std::map<Generation, std::unique_ptr<ChildProcess>> children;
-    base::TimerQueue::Handle lifecycle_timer = 0;
-    base::TimerQueue::Handle poll_timer = 0;
+    base::TimerHandle lifecycle_timer;
+    base::TimerHandle poll_timer;
     /// How the last process ended that had not been told to.
     std::string last_unrequested_exit;
     /// Whether the process has been told of the change of settings in progress.
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -67,8 +67,8 @@
 
 Supervisor::~Supervisor() {
     for (const auto& process : processes_) {
-        timers_.cancel(process->lifecycle_timer);
-        timers_.cancel(process->poll_timer);
+        process->lifecycle_timer.cancel();
+        process->poll_timer.cancel();
         for (auto& [generation, child] : process->children)
             child->send_signal(SIGKILL);
     }
@@ -102,7 +102,7 @@
     for (const LifecycleAction& action : actions)
         execute(process, action);
     schedule_lifecycle_timer(process);
-    if (process.poll_timer == 0)
+    if (!process.poll_timer.is_scheduled())
         poll(process);
 }
 
@@ -135,12 +135,11 @@
 }
 
 void Supervisor::schedule_lifecycle_timer(SupervisedProcess& process) {
-    timers_.cancel(process.lifecycle_timer);
+    process.lifecycle_timer.cancel();
     const Timestamp deadline = process.lifecycle.next_deadline();
     if (deadline == Timestamp::max())
         return;
     process.lifecycle_timer = timers_.schedule(deadline, [this, &process] {
-        process.lifecycle_timer = 0;
         ProcessLifecycle::Actions actions;
         process.lifecycle.on_timer(loop_.unix_now(), actions);
         execute(process, actions);
--- a/src/supervisor/supervisor_polls.cpp
+++ b/src/supervisor/supervisor_polls.cpp
@@ -35,11 +35,7 @@
 }  // namespace
 
 void Supervisor::schedule_poll(SupervisedProcess& process, Timestamp when) {
-    timers_.cancel(process.poll_timer);
-    process.poll_timer = timers_.schedule(when, [this, &process] {
-        process.poll_timer = 0;
-        poll(process);
-    });
+    process.poll_timer = timers_.schedule(when, [this, &process] { poll(process); });
 }
 
 void Supervisor::poll(SupervisedProcess& process) {
