--- a/src/platform/directory_reporter.cpp
+++ b/src/platform/directory_reporter.cpp
@@ -18,10 +18,6 @@
                                      std::string node_name)
     : ReconnectingLink(loop, timers, address, descriptors), node_name_(std::move(node_name)) {}
 
-DirectoryReporter::~DirectoryReporter() {
-    timers_.cancel(report_timer_);
-}
-
 void DirectoryReporter::report(Mode mode) {
     mode_ = mode;
     if (state_ == State::awaiting_response) {
@@ -45,9 +41,7 @@
 }
 
 void DirectoryReporter::schedule_report(base::Duration delay) {
-    timers_.cancel(report_timer_);
     report_timer_ = timers_.schedule(loop_.unix_now() + delay, [this] {
-        report_timer_ = 0;
         // The directory accepted the connection and does not answer.
         if (state_ == State::awaiting_response)
             reset_connection();
--- a/src/platform/directory_reporter.hpp
+++ b/src/platform/directory_reporter.hpp
@@ -18,7 +18,6 @@
     /// `address`: the directory's, from the node configuration; `node_name`: this server's entry there.
     DirectoryReporter(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
                       connection_admission::FileDescriptorBudget& descriptors, std::string node_name);
-    ~DirectoryReporter() override;
 
     /// Reports `mode` as soon as possible, and again and again from then on.
     void report(Mode mode);
@@ -51,7 +50,7 @@
     bool report_outdated_ = false;
     /// Kept to log changes only.
     bool last_report_accepted_ = true;
-    base::TimerQueue::Handle report_timer_ = 0;
+    base::TimerHandle report_timer_;
 };
 
 }  // namespace cressledge::platform
--- a/src/platform/reconnecting_link.cpp
+++ b/src/platform/reconnecting_link.cpp
@@ -15,13 +15,12 @@
     : loop_(loop), timers_(timers), address_(address), descriptors_(descriptors) {}
 
 ReconnectingLink::~ReconnectingLink() {
-    timers_.cancel(reconnect_timer_);
     if (stream_ != nullptr)
         stream_->close();
 }
 
 void ReconnectingLink::try_connect() {
-    timers_.cancel(reconnect_timer_);
+    reconnect_timer_.cancel();
     if (stream_ != nullptr)
         return;
     const base::Timestamp now = loop_.unix_now();
@@ -33,11 +32,10 @@
 }
 
 void ReconnectingLink::schedule_reconnect() {
-    if (reconnect_timer_ != 0)
+    if (reconnect_timer_.is_scheduled())
         return;
     backoff_ = std::clamp(backoff_ * 2, min_backoff, max_backoff);
     reconnect_timer_ = timers_.schedule(loop_.unix_now() + backoff_, [this] {
-        reconnect_timer_ = 0;
         try_connect();
         if (stream_ == nullptr)
             schedule_reconnect();
--- a/src/platform/reconnecting_link.hpp
+++ b/src/platform/reconnecting_link.hpp
@@ -39,7 +39,7 @@
 
 private:
     connection_admission::FileDescriptorBudget& descriptors_;
-    base::TimerQueue::Handle reconnect_timer_ = 0;
+    base::TimerHandle reconnect_timer_;
     base::Duration backoff_{0};
 };
 
--- a/src/platform/records_client.cpp
+++ b/src/platform/records_client.cpp
@@ -28,7 +28,6 @@
     explicit Connection(RecordsClient& records_client)
         : client(records_client), line_reader(records_protocol::max_body_bytes, records_protocol::has_body) {}
     ~Connection() override {
-        client.timers_.cancel(idle_timer);
         if (stream != nullptr)
             stream->close();
     }
@@ -71,7 +70,7 @@
     request::RequestId request_id = 0;
     /// Requests that it has served: duplicates of their replies may still be under way.
     std::vector<std::string> served_names;
-    base::TimerQueue::Handle idle_timer = 0;
+    base::TimerHandle idle_timer;
     State state = State::connecting;
     bool reusable = true;
 
@@ -134,7 +133,7 @@
         if (std::find(served.begin(), served.end(), request_name) != served.end())
             continue;
         idle_connections_.erase(idle_connections_.begin() + static_cast<std::ptrdiff_t>(i - 1));
-        timers_.cancel(connection.idle_timer);
+        connection.idle_timer.cancel();
         return &connection;
     }
     return nullptr;
@@ -188,13 +187,8 @@
 
 void RecordsClient::keep_idle(Connection& connection) {
     idle_connections_.push_back(connection.id);
-    connection.idle_timer = timers_.schedule(loop_.unix_now() + max_idle_time, [this, id = connection.id] {
-        Connection* idle = connections_.find(id);
-        if (idle == nullptr)
-            return;
-        idle->idle_timer = 0;
-        close_connection(*idle);
-    });
+    connection.idle_timer = timers_.schedule(loop_.unix_now() + max_idle_time,
+                                             [this, &connection] { close_connection(connection); });
 }
 
 // A refused connection proves that the call never ran; one that breaks under the call proves nothing.
@@ -260,7 +254,7 @@
 }
 
 void RecordsClient::close_connection(Connection& connection) {
-    timers_.cancel(connection.idle_timer);
+    connection.idle_timer.cancel();
     std::erase(idle_connections_, connection.id);
     if (connection.stream != nullptr)
         std::exchange(connection.stream, nullptr)->close();
