--- a/src/upstream/active_request.hpp
+++ b/src/upstream/active_request.hpp
@@ -25,10 +25,8 @@
 
 /// Copies what it needs of the work, and owns the attempts and timers of the request.
 struct ActiveRequest {
-    ActiveRequest(base::TimerQueue& timer_queue, const request::Work& work,
-                  const RequestTraits& request_traits)
-        : timers(timer_queue),
-          request_id(work.request_id),
+    ActiveRequest(const request::Work& work, const RequestTraits& request_traits)
+        : request_id(work.request_id),
           external_id(work.external_id),
           class_name(work.class_name),
           body(work.body),
@@ -36,14 +34,13 @@
           deadline(work.deadline),
           accepted_at(work.accepted_at),
           traits(request_traits) {}
-    ~ActiveRequest() { cancel_timers(); }
     ActiveRequest(const ActiveRequest&) = delete;
     ActiveRequest& operator=(const ActiveRequest&) = delete;
 
     void cancel_timers() {
-        timers.cancel(retry_timer);
-        timers.cancel(hedge_timer);
-        timers.cancel(probe_timer);
+        retry_timer.cancel();
+        hedge_timer.cancel();
+        probe_timer.cancel();
     }
 
     /// What goes to a host. The affinity key decides on the host only.
@@ -51,7 +48,6 @@
         return {request_id, external_id, class_name, body, reserved_kb, accepted_at, deadline, {}};
     }
 
-    base::TimerQueue& timers;
     const request::RequestId request_id;
     const std::string external_id;
     const std::string class_name;
@@ -65,11 +61,11 @@
     std::vector<std::unique_ptr<Attempt>> attempts;
     std::vector<upstream_health::HostId> tried_hosts;
     std::uint32_t attempt_count = 0;
-    base::TimerQueue::Handle retry_timer = 0;
-    base::TimerQueue::Handle hedge_timer = 0;
+    base::TimerHandle retry_timer;
+    base::TimerHandle hedge_timer;
 
     /// While it waits for load probes of its own: when it stops waiting, how many are out, and what came back.
-    base::TimerQueue::Handle probe_timer = 0;
+    base::TimerHandle probe_timer;
     std::size_t outstanding_probes = 0;
     std::vector<load_balancing::ProbeAnswer> probed_loads;
 
--- a/src/upstream/attempt.cpp
+++ b/src/upstream/attempt.cpp
@@ -18,7 +18,6 @@
     : observer_(observer), timers_(timers), request_(request), host_id_(host_id), started_at_(started_at) {}
 
 Attempt::~Attempt() {
-    timers_.cancel(deadline_timer_);
     close_connection();
     if (!finished_)
         observer_.on_attempt_abandoned(*this);
@@ -43,17 +42,15 @@
 }
 
 void Attempt::set_deadline(base::Timestamp deadline) {
-    deadline_timer_ = timers_.schedule(deadline, [this] {
-        deadline_timer_ = 0;
-        observer_.on_attempt_result(*this, CallResult::timeout);
-    });
+    deadline_timer_ =
+        timers_.schedule(deadline, [this] { observer_.on_attempt_result(*this, CallResult::timeout); });
 }
 
 bool Attempt::finish() {
     if (finished_)
         return false;
     finished_ = true;
-    timers_.cancel(deadline_timer_);
+    deadline_timer_.cancel();
     return true;
 }
 
--- a/src/upstream/attempt.hpp
+++ b/src/upstream/attempt.hpp
@@ -88,7 +88,7 @@
     const base::Timestamp started_at_;
     HostConnection connection_;
     std::unique_ptr<ResponseDecoder> decoder_;
-    base::TimerQueue::Handle deadline_timer_ = 0;
+    base::TimerHandle deadline_timer_;
     Progress progress_ = Progress::not_sent;
     bool connection_reused_ = false;
     /// The host has sent its last byte, as opposed to a connection that broke.
--- a/src/upstream/executor.cpp
+++ b/src/upstream/executor.cpp
@@ -61,8 +61,6 @@
       probe_runner_(loop, timers, clock, descriptors, hosts_, idle_connections_, *this) {}
 
 UpstreamExecutor::~UpstreamExecutor() {
-    timers_.cancel(descriptor_retry_timer_);
-    timers_.cancel(periodic_timer_);
     // Their ends are reported to this object, which must be whole then.
     active_requests_.clear();
     probe_runner_.clear();
@@ -159,7 +157,7 @@
 // ---- requests ----
 
 void UpstreamExecutor::run(const request::Work& work) {
-    auto created = std::make_unique<ActiveRequest>(timers_, work, traits_of(work));
+    auto created = std::make_unique<ActiveRequest>(work, traits_of(work));
     ActiveRequest& request = *created;
     active_requests_[work.request_id] = std::move(created);
     retry_budget_.on_first_attempt();
--- a/src/upstream/executor.hpp
+++ b/src/upstream/executor.hpp
@@ -170,8 +170,8 @@
     std::unordered_map<request::RequestId, std::unique_ptr<ActiveRequest>> active_requests_;
     /// Requests whose next attempt found no descriptor: nothing of that attempt has been sent.
     std::deque<request::RequestId> postponed_requests_;
-    base::TimerQueue::Handle descriptor_retry_timer_ = 0;
-    base::TimerQueue::Handle periodic_timer_ = 0;
+    base::TimerHandle descriptor_retry_timer_;
+    base::TimerHandle periodic_timer_;
     Counters counters_;
     base::LogRateLimiter failure_log_limiter_;
     base::LogRateLimiter change_log_limiter_;
--- a/src/upstream/executor_attempts.cpp
+++ b/src/upstream/executor_attempts.cpp
@@ -45,10 +45,8 @@
     if (request.outstanding_probes == 0)
         return false;
     const base::Timestamp give_up_at = std::min(request.deadline, clock_.unix_now() + routing_.probe_timeout);
-    request.probe_timer = timers_.schedule(give_up_at, [this, &request] {
-        request.probe_timer = 0;
-        dispatch_to_best_probed(request);
-    });
+    request.probe_timer =
+        timers_.schedule(give_up_at, [this, &request] { dispatch_to_best_probed(request); });
     return true;
 }
 
@@ -56,7 +54,7 @@
                                             const Response* response) {
     const auto it = active_requests_.find(request_id);
     // Dispatched already.
-    if (it == active_requests_.end() || it->second->probe_timer == 0)
+    if (it == active_requests_.end() || !it->second->probe_timer.is_scheduled())
         return;
     ActiveRequest& request = *it->second;
     --request.outstanding_probes;
@@ -70,7 +68,7 @@
 }
 
 void UpstreamExecutor::dispatch_to_best_probed(ActiveRequest& request) {
-    timers_.cancel(request.probe_timer);
+    request.probe_timer.cancel();
     if (request.completed)
         return;
     const HostId least_loaded = load_balancing::least_loaded(request.probed_loads);
@@ -134,10 +132,7 @@
     const base::Duration delay = hedge_policies_[request.traits.class_index].delay();
     if (delay == base::Duration::max())
         return;
-    request.hedge_timer = timers_.schedule(now + delay, [this, &request] {
-        request.hedge_timer = 0;
-        start_hedge(request);
-    });
+    request.hedge_timer = timers_.schedule(now + delay, [this, &request] { start_hedge(request); });
 }
 
 void UpstreamExecutor::start_hedge(ActiveRequest& request) {
@@ -207,12 +202,10 @@
     if (!is_only_attempt)
         return;
     postponed_requests_.push_back(request.request_id);
-    if (descriptor_retry_timer_ != 0)
+    if (descriptor_retry_timer_.is_scheduled())
         return;
-    descriptor_retry_timer_ = timers_.schedule(clock_.unix_now() + descriptor_retry_delay, [this] {
-        descriptor_retry_timer_ = 0;
-        retry_postponed_requests();
-    });
+    descriptor_retry_timer_ =
+        timers_.schedule(clock_.unix_now() + descriptor_retry_delay, [this] { retry_postponed_requests(); });
 }
 
 void UpstreamExecutor::retry_postponed_requests() {
--- a/src/upstream/executor_results.cpp
+++ b/src/upstream/executor_results.cpp
@@ -151,10 +151,8 @@
 }
 
 void UpstreamExecutor::schedule_retry(ActiveRequest& request, base::Timestamp retry_at) {
-    timers_.cancel(request.hedge_timer);
-    timers_.cancel(request.retry_timer);
+    request.hedge_timer.cancel();
     request.retry_timer = timers_.schedule(retry_at, [this, &request] {
-        request.retry_timer = 0;
         std::erase_if(request.attempts, [](const auto& attempt) { return attempt->is_finished(); });
         if (!request.completed)
             start_attempt(request);
--- a/src/upstream/gateway.cpp
+++ b/src/upstream/gateway.cpp
@@ -54,12 +54,6 @@
     watch_inventory();
 }
 
-UpstreamGateway::~UpstreamGateway() {
-    timers_.cancel(inventory_recheck_timer_);
-    timers_.cancel(peer_refresh_timer_);
-    timers_.cancel(gossip_join_timer_);
-}
-
 // Returns the port; 0 where the configuration has no such listener.
 int UpstreamGateway::add_frontend(Protocol protocol) {
     const bool is_scgi = protocol == Protocol::scgi;
@@ -110,7 +104,6 @@
 
 // A process that takes over from another under its id finds the gossip port in use until the other has released it.
 void UpstreamGateway::join_gossip(std::uint64_t seed) {
-    gossip_join_timer_ = 0;
     if (!config_.gossip || request_manager_.draining())
         return;
     try {
@@ -129,7 +122,7 @@
 // Subsets, and the calls to hosts in slow start, are divided evenly among the live processes as this one sees them. A
 // member that comes and goes within the interval moves nothing. Slow start asks who lives even if nobody came or went.
 void UpstreamGateway::refresh_peers() {
-    timers_.cancel(peer_refresh_timer_);
+    peer_refresh_timer_.cancel();
     const bool has_slow_start = config_.routing.slow_start.calls_per_s > 0.0;
     const bool has_subsets = config_.routing.subset_size != 0;
     if (!gossip_node_ || (!has_subsets && !has_slow_start))
@@ -166,7 +159,7 @@
 
 void UpstreamGateway::hand_over() {
     shutdown_coordinator_.start_graceful_shutdown();
-    timers_.cancel(peer_refresh_timer_);
+    peer_refresh_timer_.cancel();
     gossip_node_.reset();
 }
 
--- a/src/upstream/gateway.hpp
+++ b/src/upstream/gateway.hpp
@@ -41,7 +41,8 @@
     UpstreamGateway(net::Loop& loop, base::TimerQueue& timers, base::Clock& clock,
                     const config::OperatorConfig& config, std::uint64_t seed,
                     const ExecutorDecorator& decorate_executor = {});
-    ~UpstreamGateway() override;
+    UpstreamGateway(const UpstreamGateway&) = delete;
+    UpstreamGateway& operator=(const UpstreamGateway&) = delete;
 
     /// Installs the signal handlers.
     void start();
@@ -123,9 +124,6 @@
     std::unique_ptr<net::FileWatcher> inventory_watcher_;
     /// Of the membership that the executor was last told of.
     std::uint64_t last_peer_digest_ = 0;
-    base::TimerQueue::Handle inventory_recheck_timer_ = 0;
-    base::TimerQueue::Handle peer_refresh_timer_ = 0;
-    base::TimerQueue::Handle gossip_join_timer_ = 0;
     std::vector<connection_admission::FileDescriptorBudget::Lease> store_file_leases_;
     std::unique_ptr<learned_state::LearnedStateSaver> learned_state_saver_;
     std::unique_ptr<gossip::GossipNode> gossip_node_;
@@ -134,6 +132,10 @@
     std::uint64_t configurations_rejected_ = 0;
     int scgi_port_ = 0;
     int http_port_ = 0;
+    // Last, to be cancelled first: the saver runs the loop until its last commit has ended.
+    base::TimerHandle inventory_recheck_timer_;
+    base::TimerHandle peer_refresh_timer_;
+    base::TimerHandle gossip_join_timer_;
 };
 
 /// The servers of the inventory that the configuration asks for. Throws config::ConfigError if there is none.
--- a/src/upstream/gateway_reload.cpp
+++ b/src/upstream/gateway_reload.cpp
@@ -46,11 +46,8 @@
         std::make_unique<net::FileWatcher>(loop_.uv(), config_.inventory_path, interval_ms,
                                            [this] { reload_files(ReloadScope::inventory_only); });
     // A change between the last reading and the watcher's own first look would go unnoticed.
-    timers_.cancel(inventory_recheck_timer_);
-    inventory_recheck_timer_ = timers_.schedule(request_manager_.now() + interval, [this] {
-        inventory_recheck_timer_ = 0;
-        reload_files(ReloadScope::inventory_only);
-    });
+    inventory_recheck_timer_ = timers_.schedule(request_manager_.now() + interval,
+                                                [this] { reload_files(ReloadScope::inventory_only); });
 }
 
 void UpstreamGateway::reload_files(ReloadScope scope) {
--- a/src/upstream/idle_connection_pool.cpp
+++ b/src/upstream/idle_connection_pool.cpp
@@ -12,7 +12,6 @@
     IdleConnection(IdleConnectionPool& idle_pool, HostId host, HostConnection idle_connection)
         : pool(idle_pool), host_id(host), connection(idle_connection) {}
     ~IdleConnection() override {
-        pool.timers_.cancel(timer);
         if (connection.stream != nullptr)
             connection.stream->close();
     }
@@ -27,7 +26,7 @@
     const HostId host_id;
     HostConnection connection;
     /// Its expiry; once it is closed, the end of this object.
-    base::TimerQueue::Handle timer = 0;
+    base::TimerHandle timer;
 };
 
 IdleConnectionPool::IdleConnectionPool(base::TimerQueue& timers, const Limits& limits)
@@ -49,10 +48,8 @@
     ++size_;
     IdleConnection& idle = *of_host.back();
     connection.stream->set_owner(idle);
-    idle.timer = timers_.schedule(std::min(expires_at, now + limits_.idle_timeout), [this, &idle] {
-        idle.timer = 0;
-        close(idle);
-    });
+    idle.timer =
+        timers_.schedule(std::min(expires_at, now + limits_.idle_timeout), [this, &idle] { close(idle); });
 }
 
 // The connection used last is the least likely to have been closed by the host.
@@ -93,9 +90,7 @@
     if (idle.connection.stream != nullptr)
         std::exchange(idle.connection.stream, nullptr)->close();
     // One of its own functions may be running: it is freed on the loop's next turn.
-    timers_.cancel(idle.timer);
     idle.timer = timers_.schedule(base::Timestamp(0), [this, &idle] {
-        idle.timer = 0;
         size_ -= std::erase_if(connections_[idle.host_id],
                                [&idle](const auto& candidate) { return candidate.get() == &idle; });
     });
--- a/src/upstream/probe.cpp
+++ b/src/upstream/probe.cpp
@@ -19,17 +19,13 @@
     : observer_(observer), timers_(timers), host_id_(host_id), address_(std::move(address)) {}
 
 Probe::~Probe() {
-    timers_.cancel(timer_);
     if (connection_.stream != nullptr)
         connection_.stream->close();
 }
 
 void Probe::start(HostConnection connection, base::Timestamp deadline) {
     connection_ = connection;
-    timer_ = timers_.schedule(deadline, [this] {
-        timer_ = 0;
-        finish(CallResult::timeout);
-    });
+    timer_ = timers_.schedule(deadline, [this] { finish(CallResult::timeout); });
 }
 
 void Probe::send(std::string_view request) {
@@ -43,11 +39,7 @@
     if (connection_.stream != nullptr)
         std::exchange(connection_.stream, nullptr)->close();
     // One of its own functions is running: it is reported, and may be destroyed, on the loop's next turn.
-    timers_.cancel(timer_);
-    timer_ = timers_.schedule(base::Timestamp(0), [this, result] {
-        timer_ = 0;
-        notify_finished(result);
-    });
+    timer_ = timers_.schedule(base::Timestamp(0), [this, result] { notify_finished(result); });
 }
 
 void Probe::on_end(bool refused) {
--- a/src/upstream/probe.hpp
+++ b/src/upstream/probe.hpp
@@ -70,7 +70,7 @@
     const std::string address_;
     bool finished_ = false;
     /// Its deadline; once it has finished, the last notification.
-    base::TimerQueue::Handle timer_ = 0;
+    base::TimerHandle timer_;
 };
 
 /// Passes if the host answers at all, unless it answers with a server error.
