--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -115,10 +115,9 @@
 }
 
 void RolloutController::sleep_until(base::Timestamp end) {
-    base::TimerQueue::Handle timer = timers_.schedule(end, [] {});
+    const base::TimerHandle wake_up = timers_.schedule(end, [] {});
     while (loop_.unix_now() < end && !is_interrupted_)
         loop_.run_once(true);
-    timers_.cancel(timer);
 }
 
 ordered_json RolloutController::report() const {
