--- a/src/learned_state/learned_state_saver.cpp
+++ b/src/learned_state/learned_state_saver.cpp
@@ -25,10 +25,6 @@
       store_(files_),
       planner_(settings_.identity, settings_.confidence_policy) {}
 
-LearnedStateSaver::~LearnedStateSaver() {
-    timers_.cancel(next_save_);
-}
-
 RestoreResult LearnedStateSaver::load(Timestamp now) {
     if (const int error = store_.open(); error != 0) {
         spdlog::error("learned_state: saving disabled directory={} error=\"{}\"", settings_.directory,
@@ -79,7 +75,6 @@
     if (!writer_)
         return;
     next_save_ = timers_.schedule(request_manager_.now() + settings_.save_interval, [this] {
-        next_save_ = 0;
         save(request_manager_.now());
         start_saving();
     });
@@ -93,7 +88,7 @@
 }
 
 void LearnedStateSaver::flush() {
-    timers_.cancel(next_save_);
+    next_save_.cancel();
     if (!writer_)
         return;
     save(request_manager_.now());
--- a/src/learned_state/learned_state_saver.hpp
+++ b/src/learned_state/learned_state_saver.hpp
@@ -32,7 +32,6 @@
     /// save.
     LearnedStateSaver(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& request_manager,
                       Settings settings, std::function<UpstreamStatsByName()> collect_upstream_stats);
-    ~LearnedStateSaver();
     LearnedStateSaver(const LearnedStateSaver&) = delete;
     LearnedStateSaver& operator=(const LearnedStateSaver&) = delete;
 
@@ -66,12 +65,13 @@
     const std::function<UpstreamStatsByName()> collect_upstream_stats_;
     store::PosixFileSystem files_;
     store::Store store_;
-    /// Null if nothing can be saved.
-    std::unique_ptr<store::BackgroundWriter> writer_;
     SavePlanner planner_;
-    base::TimerQueue::Handle next_save_ = 0;
     std::uint64_t failed_saves_ = 0;
     base::LogRateLimiter log_limiter_;
+    /// Null if nothing can be saved. It runs the loop on destruction, which may call on_commit(): what that uses stands
+    /// above, and the next save, to be cancelled before, below.
+    std::unique_ptr<store::BackgroundWriter> writer_;
+    base::TimerHandle next_save_;
 };
 
 }  // namespace cressledge::learned_state
