--- a/tests/cressledge/support.hpp
+++ b/tests/cressledge/support.hpp
@@ -42,13 +42,12 @@
     /// bound ends only a test that has failed.
     void run_until(const std::function<bool()>& is_done, bool wait_for_events = true) {
         const Timestamp end = wall_clock_now() + Duration(10'000'000);
-        base::TimerQueue::Handle bound = timers.schedule(end, [] {});
+        const base::TimerHandle wake_up = timers.schedule(end, [] {});
         bool reached = is_done();
         while (!reached && wall_clock_now() < end) {
             loop.run_once(wait_for_events);
             reached = is_done();
         }
-        timers.cancel(bound);
         REQUIRE(reached);
     }
 };
--- a/tools/experiment/rollout_testbed.cpp
+++ b/tools/experiment/rollout_testbed.cpp
@@ -79,7 +79,7 @@
 }
 
 RolloutTestbed::~RolloutTestbed() {
-    timers_.cancel(watch_);
+    watch_.cancel();
     // The supervisors end their processes themselves, if they are told and not killed.
     for (const auto& c : children_)
         c->signal(SIGTERM);
@@ -91,10 +91,9 @@
 
 void RolloutTestbed::run(double seconds) {
     const Timestamp until = loop_.unix_now() + span(seconds);
-    base::TimerQueue::Handle end = timers_.schedule(until, [] {});
+    const base::TimerHandle wake_up = timers_.schedule(until, [] {});
     while (loop_.unix_now() < until)
         loop_.run_once(true);
-    timers_.cancel(end);
 }
 
 std::vector<json> RolloutTestbed::processes() {
--- a/tools/experiment/rollout_testbed.hpp
+++ b/tools/experiment/rollout_testbed.hpp
@@ -80,7 +80,7 @@
     std::unique_ptr<load_generator::Driver> driver_;
     std::vector<std::string> ids_;  // by door
     std::set<std::string> others_;  // processes of another program, as last seen
-    base::TimerQueue::Handle watch_ = 0;
+    base::TimerHandle watch_;
     std::uint64_t met_ = 0, all_ = 0;
 };
 
--- a/tools/experiment/servers.cpp
+++ b/tools/experiment/servers.cpp
@@ -196,7 +196,7 @@
 
 json Servers::next() {
     const Timestamp end = loop_.unix_now() + Duration(10'000'000);
-    base::TimerQueue::Handle bound = timers_.schedule(end, [] {});
+    const base::TimerHandle wake_up = timers_.schedule(end, [] {});
     for (;;) {
         const std::size_t line = got_.find('\n');
         if (line != std::string::npos) {
@@ -206,14 +206,12 @@
                 --owed_;
                 continue;
             }
-            timers_.cancel(bound);
             return j;
         }
         if (pid_ == 0 || loop_.unix_now() >= end)
             break;
         loop_.run_once(true);
     }
-    timers_.cancel(bound);
     return {};
 }
 
--- a/tools/experiment/trial.cpp
+++ b/tools/experiment/trial.cpp
@@ -78,9 +78,9 @@
         wait(e_.warm_up_s, "warming up");
         servers_.ask({{"do", "observe"}, {"on", true}});
         driver_.forget();
-        std::vector<base::TimerQueue::Handle> handles;
+        std::vector<base::TimerHandle> troubles;
         for (const emulator::Trouble& t : e_.troubles)
-            handles.push_back(timers_.schedule(loop_.unix_now() + span(t.at_s), [this, &t] { meet(t); }));
+            troubles.push_back(timers_.schedule(loop_.unix_now() + span(t.at_s), [this, &t] { meet(t); }));
         const auto probes_before = cluster_.sum("upstream.load_probes");
         wait(e_.seconds, "measuring");
         servers_.ask({{"do", "observe"}, {"on", false}});
--- a/tools/fake_upstream/fleet.cpp
+++ b/tools/fake_upstream/fleet.cpp
@@ -101,14 +101,7 @@
         listen(i);
 }
 
-Fleet::~Fleet() {
-    for (auto& [call, handle] : ends_)
-        timers_.cancel(handle);
-    for (auto& [server, handle] : back_)
-        timers_.cancel(handle);
-    timers_.cancel(look_);
-    timers_.cancel(sweep_);
-}
+Fleet::~Fleet() = default;
 
 void Fleet::listen(std::size_t server) {
     const std::string& where = plan_.addresses.at(server);
@@ -172,10 +165,7 @@
 
 void Fleet::leave(std::size_t server, CallNo call) {
     open_.erase(call);
-    if (const auto it = ends_.find(call); it != ends_.end()) {
-        timers_.cancel(it->second);
-        ends_.erase(it);
-    }
+    ends_.erase(call);
     follow(server, queues_[server].leave(loop_.unix_now(), call, random_));
 }
 
@@ -191,10 +181,9 @@
     if (c->stream != nullptr)
         std::exchange(c->stream, nullptr)->close();
     over_.push_back(no);
-    if (sweep_ != 0)
+    if (sweep_.is_scheduled())
         return;
     sweep_ = timers_.schedule(Timestamp(0), [this] {
-        sweep_ = 0;
         for (const base::SlotId over : std::exchange(over_, {}))
             connections_.erase(over);
     });
@@ -205,9 +194,7 @@
     for (const base::SlotId no : connections_.ids())
         if (Connection* c = connections_.find(no); c->server == server)
             gone(no);
-    auto& back = back_[server];
-    timers_.cancel(back);
-    back = timers_.schedule(loop_.unix_now() + gone_for, [this, server] {
+    back_[server] = timers_.schedule(loop_.unix_now() + gone_for, [this, server] {
         back_.erase(server);
         queues_[server].restart(loop_.unix_now());
         listen(server);
@@ -215,8 +202,7 @@
 }
 
 void Fleet::observe(bool on) {
-    timers_.cancel(look_);
-    look_ = 0;
+    look_.cancel();
     if (!on)
         return;
     observer_ = Observer();
--- a/tools/fake_upstream/fleet.hpp
+++ b/tools/fake_upstream/fleet.hpp
@@ -66,11 +66,11 @@
     std::vector<int> ports_;
     base::SlotMap<Connection> connections_;
     std::map<CallNo, base::SlotId> open_;  // calls that a connection waits for
-    std::map<CallNo, base::TimerQueue::Handle> ends_;
-    std::map<std::size_t, base::TimerQueue::Handle> back_;
+    std::map<CallNo, base::TimerHandle> ends_;
+    std::map<std::size_t, base::TimerHandle> back_;
     std::set<std::string> seen_;
     CallNo last_ = 0;
-    base::TimerQueue::Handle look_ = 0, sweep_ = 0;
+    base::TimerHandle look_, sweep_;
     std::vector<base::SlotId> over_;  // freed on the next turn: their own code may be on the stack
     Timestamp next_look_{0};
     Observer observer_;
--- a/tools/fault_injection/faulty_main.cpp
+++ b/tools/fault_injection/faulty_main.cpp
@@ -76,21 +76,14 @@
     }
 
 private:
-    bool forget(request::RequestId no) {
-        const auto it = waiting_.find(no);
-        if (it == waiting_.end())
-            return false;
-        timers_.cancel(it->second);
-        waiting_.erase(it);
-        return true;
-    }
+    bool forget(request::RequestId no) { return waiting_.erase(no) != 0; }
     const std::string what_;
     net::Loop& loop_;
     base::TimerQueue& timers_;
     request::RequestManager& server_;
     request::Executor& inner_;
     pcg32 random_;
-    std::map<request::RequestId, base::TimerQueue::Handle> waiting_;
+    std::map<request::RequestId, base::TimerHandle> waiting_;
 };
 
 }  // namespace
--- a/tools/fault_injection/process_cluster.cpp
+++ b/tools/fault_injection/process_cluster.cpp
@@ -176,10 +176,9 @@
 }
 
 void ProcessCluster::run(Timestamp until) {
-    base::TimerQueue::Handle end = timers_.schedule(until, [] {});
+    const base::TimerHandle wake_up = timers_.schedule(until, [] {});
     while (loop_.unix_now() < until)
         loop_.run_once(true);
-    timers_.cancel(end);
 }
 
 std::vector<std::optional<Timestamp>> ProcessCluster::until_seen(const std::vector<std::size_t>& whom,
--- a/tools/fault_injection/relay.cpp
+++ b/tools/fault_injection/relay.cpp
@@ -74,10 +74,7 @@
 Relay::Relay(net::Loop& loop, base::TimerQueue& timers, std::string fleet, std::uint64_t seed)
     : loop_(loop), timers_(timers), fleet_(std::move(fleet)), random_(seed) {}
 
-Relay::~Relay() {
-    for (base::TimerQueue::Handle h : delayed_)
-        timers_.cancel(h);
-}
+Relay::~Relay() = default;
 
 membership::Endpoint Relay::add(const std::string& id, const membership::Endpoint& own, std::uint32_t ip) {
     const std::size_t no = processes_.size();
@@ -143,12 +140,11 @@
         const Duration delay =
             h.least +
             Duration(static_cast<std::int64_t>(chance() * static_cast<double>((h.most - h.least).count())));
-        auto handle = std::make_shared<base::TimerQueue::Handle>(0);
-        *handle = timers_.schedule(loop_.unix_now() + delay, [this, link, handle, b = std::string(bytes)] {
-            delayed_.erase(*handle);
+        const std::uint64_t no = ++last_delayed_;
+        delayed_[no] = timers_.schedule(loop_.unix_now() + delay, [this, link, no, b = std::string(bytes)] {
+            delayed_.erase(no);
             pass(link.first, link.second, b);
         });
-        delayed_.insert(*handle);
     }
 }
 
--- a/tools/fault_injection/relay.hpp
+++ b/tools/fault_injection/relay.hpp
@@ -71,7 +71,8 @@
     Harm all_;
     std::map<Link, Harm> harms_;
     std::set<Link> cuts_;
-    std::set<base::TimerQueue::Handle> delayed_;
+    std::uint64_t last_delayed_ = 0;
+    std::map<std::uint64_t, base::TimerHandle> delayed_;  // datagrams, by number
     base::SlotMap<Pipe> pipes_;
     Counts counts_;
 };
--- a/tools/fault_injection/wire.cpp
+++ b/tools/fault_injection/wire.cpp
@@ -44,10 +44,9 @@
         if (std::exchange(over, true))
             return;
         wire.over_.push_back(no);
-        if (wire.sweep_ != 0)
+        if (wire.sweep_.is_scheduled())
             return;
         wire.sweep_ = wire.timers_.schedule(base::Timestamp(0), [w = &wire] {
-            w->sweep_ = 0;
             for (const base::SlotId gone : std::exchange(w->over_, {}))
                 w->pairs_.erase(gone);
         });
@@ -65,9 +64,7 @@
       random_(seed, 29),
       listener_(loop.uv(), *net::Address::parse("127.0.0.1:0"), [this] { take(); }) {}
 
-Wire::~Wire() {
-    timers_.cancel(sweep_);
-}
+Wire::~Wire() = default;
 
 void Wire::take() {
     auto made = std::make_unique<Pair>(*this);
--- a/tools/fault_injection/wire.hpp
+++ b/tools/fault_injection/wire.hpp
@@ -33,7 +33,7 @@
     pcg32 random_;
     base::SlotMap<Pair> pairs_;
     std::vector<base::SlotId> over_;
-    base::TimerQueue::Handle sweep_ = 0;
+    base::TimerHandle sweep_;
     double loss_ = 0.0;
     bool cut_ = false;
     std::uint64_t passed_ = 0, harmed_ = 0;
--- a/tools/load_generator/driver.cpp
+++ b/tools/load_generator/driver.cpp
@@ -39,7 +39,6 @@
         };
     }
     ~Connection() override {
-        driver_.timers_.cancel(rest);
         if (stream != nullptr)
             std::exchange(stream, nullptr)->close();
     }
@@ -88,7 +87,7 @@
     std::string request;
     std::size_t kind = 0;
     Timestamp due{0};
-    base::TimerQueue::Handle rest = 0;
+    base::TimerHandle rest;
     bool open = false, busy = false, whole = false, stays = false;
 };
 
@@ -99,10 +98,7 @@
       most_(most),
       records_(arrivals_.kinds().size()) {}
 
-Driver::~Driver() {
-    timers_.cancel(next_);
-    timers_.cancel(sweep_);
-}
+Driver::~Driver() = default;
 
 void Driver::start() {
     on_ = true;
@@ -111,7 +107,7 @@
 }
 void Driver::stop() {
     on_ = false;
-    timers_.cancel(next_);
+    next_.cancel();
 }
 void Driver::forget() {
     counted_from_ = loop_.unix_now();
@@ -144,7 +140,7 @@
     if (auto& idle = idle_[key(door)]; !idle.empty()) {
         c = connections_.find(idle.back());
         idle.pop_back();
-        timers_.cancel(c->rest);
+        c->rest.cancel();
     }
     if (c == nullptr && connections_.size() >= most_) {
         ++unsent_;
@@ -196,10 +192,9 @@
     if (Connection* c = connections_.find(no); c != nullptr)
         std::erase(idle_[key(c->door)], no);
     over_.push_back(no);
-    if (sweep_ != 0)
+    if (sweep_.is_scheduled())
         return;
     sweep_ = timers_.schedule(Timestamp(0), [this] {
-        sweep_ = 0;
         for (const base::SlotId over : std::exchange(over_, {}))
             connections_.erase(over);
     });
--- a/tools/load_generator/driver.hpp
+++ b/tools/load_generator/driver.hpp
@@ -54,9 +54,9 @@
     base::SlotMap<Connection> connections_;
     std::unordered_map<std::uint64_t, std::vector<base::SlotId>> idle_;  // by door; used last comes last
     std::vector<base::SlotId> over_;  // freed on the next turn: their own code may be on the stack
-    base::TimerQueue::Handle sweep_ = 0;
+    base::TimerHandle sweep_;
     std::vector<Record> records_;
-    base::TimerQueue::Handle next_ = 0;
+    base::TimerHandle next_;
     Timestamp due_{0}, counted_from_{0};
     std::uint64_t sent_ = 0, unsent_ = 0, serial_ = 0;
     std::size_t waiting_ = 0;
