--- a/src/base/timer_queue.hpp
+++ b/src/base/timer_queue.hpp
@@ -44,12 +44,6 @@
     /// Whether the callback is still to run.
     bool is_scheduled() const;
 
-    /// Gives the callback up to an owner that cancels it by its number.
-    operator std::uint64_t() && {
-        queue_ = nullptr;
-        return id_;
-    }
-
 private:
     friend class TimerQueue;
     TimerHandle(TimerQueue& queue, std::uint64_t id) : queue_(&queue), id_(id) {}
@@ -62,9 +56,6 @@
 /// Callbacks in the order of their due times; those due at the same time run in the order of scheduling.
 class TimerQueue {
 public:
-    /// Names a scheduled callback. Handles are never used again; 0 names none.
-    using Handle = std::uint64_t;
-
     TimerQueue() = default;
     /// Destroys callbacks one at a time: one may own the handle of another.
     ~TimerQueue() {
@@ -80,20 +71,10 @@
         return {*this, add(due, std::move(callback))};
     }
 
-    /// As `schedule`, for a callback that is never cancelled: whatever it uses outlives the queue, or is looked up when
+    /// As `schedule`, for a callback that nobody cancels: what it uses outlives the last `run_due`, or is looked up when
     /// it runs.
     void schedule_detached(Timestamp due, std::function<void()> callback) { add(due, std::move(callback)); }
 
-    /// Cancels a callback and sets `handle` to 0. Does nothing where it has run already.
-    void cancel(Handle& handle) {
-        if (const auto it = due_times_.find(handle); it != due_times_.end()) {
-            // Taken out before it is destroyed: it may own another handle.
-            const auto cancelled = callbacks_.extract(Key{it->second, handle});
-            due_times_.erase(it);
-        }
-        handle = 0;
-    }
-
     /// The earliest due time, if anything is scheduled.
     std::optional<Timestamp> next_due() const {
         if (callbacks_.empty())
@@ -104,14 +85,14 @@
     /// Runs what is due at `now`. What a callback schedules waits for the next call even if it is due already, so that
     /// a callback that schedules itself again cannot keep the event loop from its other work.
     void run_due(Timestamp now) {
-        const Handle newest_handle = last_handle_;
+        const std::uint64_t newest_id = last_id_;
         for (auto it = callbacks_.begin(); it != callbacks_.end() && it->first.due <= now;) {
-            if (it->first.handle > newest_handle) {
+            if (it->first.id > newest_id) {
                 ++it;
                 continue;
             }
             const auto callback = std::move(it->second);
-            due_times_.erase(it->first.handle);
+            due_times_.erase(it->first.id);
             callbacks_.erase(it);
             callback();
             // The callback may have changed the queue anywhere.
@@ -124,21 +105,31 @@
 
     struct Key {
         Timestamp due;
-        Handle handle;
+        std::uint64_t id;
 
         auto operator<=>(const Key&) const = default;
     };
 
-    Handle add(Timestamp due, std::function<void()> callback) {
-        const Handle handle = ++last_handle_;
-        callbacks_.emplace(Key{due, handle}, std::move(callback));
-        due_times_[handle] = due;
-        return handle;
+    std::uint64_t add(Timestamp due, std::function<void()> callback) {
+        const std::uint64_t id = ++last_id_;
+        callbacks_.emplace(Key{due, id}, std::move(callback));
+        due_times_[id] = due;
+        return id;
+    }
+
+    void cancel(std::uint64_t id) {
+        const auto it = due_times_.find(id);
+        if (it == due_times_.end())
+            return;
+        // Taken out before it is destroyed: it may own another handle.
+        const auto cancelled = callbacks_.extract(Key{it->second, id});
+        due_times_.erase(it);
     }
 
     std::map<Key, std::function<void()>> callbacks_;
-    std::unordered_map<Handle, Timestamp> due_times_;
-    Handle last_handle_ = 0;
+    std::unordered_map<std::uint64_t, Timestamp> due_times_;
+    /// Ids are never used again.
+    std::uint64_t last_id_ = 0;
 };
 
 inline void TimerHandle::cancel() noexcept {
