--- a/src/learned_state/learned_state_saver.cpp
+++ b/src/learned_state/learned_state_saver.cpp
@@ -13,20 +13,20 @@
 
 }  // namespace
 
-LearnedStateSaver::LearnedStateSaver(net::Loop& loop, base::TimerQueue& timers,
-                                     request::RequestManager& request_manager, Settings settings,
+LearnedStateSaver::LearnedStateSaver(store::Store& store, store::AsyncWriterFactory make_writer,
+                                     base::TimerQueue& timers, request::RequestManager& request_manager,
+                                     Settings settings,
                                      std::function<UpstreamStatsByName()> collect_upstream_stats)
-    : loop_(loop),
+    : store_(store),
+      make_writer_(std::move(make_writer)),
       timers_(timers),
       request_manager_(request_manager),
       settings_(std::move(settings)),
       collect_upstream_stats_(std::move(collect_upstream_stats)),
-      files_(settings_.directory),
-      store_(files_),
       planner_(settings_.identity, settings_.confidence_policy) {}
 
 RestoreResult LearnedStateSaver::load(Timestamp now) {
-    if (const int error = store_.open(); error != 0) {
+    if (const store::ErrorNumber error = store_.open(); error != store::no_error) {
         spdlog::error("learned_state: saving disabled directory={} error=\"{}\"", settings_.directory,
                       error == EWOULDBLOCK ? "locked by another process" : std::strerror(error));
         RestoreResult nothing;
@@ -39,8 +39,7 @@
     if (result.restored)
         planner_.set_restored(store_.entries(), result.state, now);
     log_restored(result, now);
-    writer_ = std::make_unique<store::BackgroundWriter>(loop_.uv(), store_,
-                                                        [this](int error) { on_commit(error); });
+    writer_ = make_writer_(store_, [this](store::ErrorNumber error) { on_commit(error); });
     return result;
 }
 
@@ -60,8 +59,8 @@
         spdlog::warn("learned_state: entry skipped detail=\"{}\"", to_string(skipped_entry));
 }
 
-void LearnedStateSaver::on_commit(int error) {
-    if (error == 0)
+void LearnedStateSaver::on_commit(store::ErrorNumber error) {
+    if (error == store::no_error)
         return;
     ++failed_saves_;
     planner_.on_save_failed();
--- a/src/store/background_writer.cpp
+++ b/src/store/background_writer.cpp
@@ -4,7 +4,7 @@
 
 namespace cressledge::store {
 
-BackgroundWriter::BackgroundWriter(uv_loop_t* loop, Store& store, std::function<void(ErrorNumber)> on_commit)
+BackgroundWriter::BackgroundWriter(uv_loop_t* loop, Store& store, CommitHandler on_commit)
     : loop_(loop), store_(store), on_commit_(std::move(on_commit)) {
     work_.data = this;
 }
--- a/src/store/background_writer.hpp
+++ b/src/store/background_writer.hpp
@@ -1,36 +1,31 @@
-// Commits to a store on libuv's thread pool, so that the event loop never waits for a disk. One commit runs
-// at a time; changes that arrive meanwhile are merged, the later value of a key winning, and follow it as one
-// commit.
+// Commits to a store on libuv's thread pool, so that the event loop never waits for a disk.
 #pragma once
 
 #include <uv.h>
 
 #include <cstdint>
-#include <functional>
 
-#include "store/store.hpp"
+#include "store/async_writer.hpp"
 
 namespace cressledge::store {
 
-class BackgroundWriter {
+/// Runs each commit on another thread; all its functions, and `on_commit`, run on that of the loop.
+class BackgroundWriter final : public AsyncWriter {
 public:
-    /// `on_commit` runs on the loop after each commit. Until the writer is destroyed nobody else may use the
-    /// store.
-    BackgroundWriter(uv_loop_t* loop, Store& store, std::function<void(ErrorNumber)> on_commit);
+    /// Both `loop` and `store` must outlive the writer.
+    BackgroundWriter(uv_loop_t* loop, Store& store, CommitHandler on_commit);
     /// Flushes: guards the thread that is still at work against a store that is gone.
-    ~BackgroundWriter();
+    ~BackgroundWriter() override;
     BackgroundWriter(const BackgroundWriter&) = delete;
     BackgroundWriter& operator=(const BackgroundWriter&) = delete;
 
-    void commit(Changes changes);
+    void commit(Changes changes) override;
 
-    /// Blocks until all changes are durable or have failed. Runs the loop itself: only for the end, when it
-    /// is stopped.
-    void flush();
+    /// Runs the loop itself: only for the end, when it is stopped.
+    void flush() override;
 
     bool is_busy() const { return is_busy_; }
-    /// Finished commits, failed ones included.
-    std::uint64_t commits() const { return commits_; }
+    std::uint64_t commits() const override { return commits_; }
     std::uint64_t failures() const { return failures_; }
 
 private:
@@ -39,7 +34,7 @@
 
     uv_loop_t* const loop_;
     Store& store_;
-    const std::function<void(ErrorNumber)> on_commit_;
+    const CommitHandler on_commit_;
     Changes pending_;
     /// Of the commit that runs. The other thread reads it and writes commit_error_; the loop touches neither
     /// meanwhile.
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -1,5 +1,5 @@
 // A durable key-value store: snapshots in generations, and a log of changes to the newest. It knows nothing
-// of what it holds. Blocking, and for one thread at a time; BackgroundWriter runs it on another thread.
+// of what it holds. Blocking, and for one thread at a time; AsyncWriter has it run on another thread.
 //
 // Invariants:
 // - from the first commit on the directory holds at least one whole generation; an older one is removed only
@@ -18,6 +18,7 @@
 
 namespace cressledge::store {
 
+/// Bounds of the files that a store keeps.
 struct Limits {
     /// A log of this size is followed by a new generation.
     std::size_t max_log_bytes = 1U << 20U;
@@ -25,6 +26,7 @@
     std::size_t max_generations = 3;
 };
 
+/// The entries of one directory, and the files that hold them.
 class Store {
 public:
     /// `files` must outlive the store.
--- a/src/upstream/gateway.cpp
+++ b/src/upstream/gateway.cpp
@@ -9,6 +9,7 @@
 
 #include "frontend/http/http_session.hpp"
 #include "frontend/scgi/scgi_session.hpp"
+#include "store/background_writer.hpp"
 #include "upstream/gateway_descriptors.hpp"
 
 namespace cressledge::upstream {
@@ -93,8 +94,14 @@
     settings.identity = learned_state::identity_of(config.node_name, config_.policy_settings);
     settings.save_interval = config.save_interval;
     settings.confidence_policy = {config.half_life, config.max_age};
+    learned_state_files_ = std::make_unique<store::PosixFileSystem>(config.directory);
+    learned_state_store_ = std::make_unique<store::Store>(*learned_state_files_);
+    const auto make_writer = [this](store::Store& store, store::CommitHandler on_commit) {
+        return std::make_unique<store::BackgroundWriter>(loop_.uv(), store, std::move(on_commit));
+    };
     learned_state_saver_ = std::make_unique<learned_state::LearnedStateSaver>(
-        loop_, timers_, request_manager_, settings, [this] { return executor_.learned(); });
+        *learned_state_store_, make_writer, timers_, request_manager_, settings,
+        [this] { return executor_.learned(); });
     const learned_state::RestoreResult restored = learned_state_saver_->load(now);
     if (!restored.restored)
         return;
--- a/src/upstream/gateway.hpp
+++ b/src/upstream/gateway.hpp
@@ -18,6 +18,8 @@
 #include "learned_state/learned_state_saver.hpp"
 #include "net/file_watcher.hpp"
 #include "request/request_manager.hpp"
+#include "store/posix_file_system.hpp"
+#include "store/store.hpp"
 #include "upstream/executor.hpp"
 
 namespace cressledge::upstream {
@@ -125,6 +127,9 @@
     /// Of the membership that the executor was last told of.
     std::uint64_t last_peer_digest_ = 0;
     std::vector<connection_admission::FileDescriptorBudget::Lease> store_file_leases_;
+    /// What the saver keeps the learned state in; null where nothing is saved.
+    std::unique_ptr<store::PosixFileSystem> learned_state_files_;
+    std::unique_ptr<store::Store> learned_state_store_;
     std::unique_ptr<learned_state::LearnedStateSaver> learned_state_saver_;
     std::unique_ptr<gossip::GossipNode> gossip_node_;
     std::optional<admin::AdminServer> admin_server_;
