--- a/src/learned_state/confidence_policy.hpp
+++ b/src/learned_state/confidence_policy.hpp
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-#include "base/timer_queue.hpp"
+#include "base/clock.hpp"
 
 namespace cressledge::learned_state {
 
@@ -13,6 +13,7 @@
 /// The clocks of two processes may differ by this much: what is not further in the future counts as new.
 constexpr Duration max_clock_skew{300'000'000};
 
+/// How the confidence in a saved estimate falls with its age and grows with its evidence.
 struct ConfidencePolicy {
     /// The confidence halves each time this has passed.
     Duration half_life{std::int64_t{24} * 3'600'000'000};
--- a/src/learned_state/learned_state.hpp
+++ b/src/learned_state/learned_state.hpp
@@ -25,6 +25,7 @@
 };
 Identity identity_of(const std::string& node, const policy::Settings& settings);
 
+/// The estimates of one process at a time, as they are saved and restored.
 struct LearnedState {
     Timestamp saved_at{0};
     policy::Estimates controller_state;
--- a/src/store/format_error.hpp
+++ b/src/store/format_error.hpp
@@ -5,6 +5,7 @@
 
 namespace cressledge::store {
 
+/// Why a snapshot, a log or one of its records is refused.
 enum class FormatError : std::uint8_t {
     not_a_snapshot,
     truncated,
--- a/src/store/generation_file.hpp
+++ b/src/store/generation_file.hpp
@@ -7,6 +7,7 @@
 
 namespace cressledge::store {
 
+/// What a file of a store holds.
 enum class FileKind : std::uint8_t {
     snapshot,
     log,
@@ -14,6 +15,7 @@
     unfinished_snapshot
 };
 
+/// What the name of a file says.
 struct GenerationFile {
     FileKind kind = FileKind::snapshot;
     std::uint64_t generation = 0;
--- a/src/store/log_format.hpp
+++ b/src/store/log_format.hpp
@@ -30,6 +30,7 @@
 /// Moves `position` behind the record. Nothing, with `position` unchanged, if the changes are too large.
 std::optional<std::string> encode_log_record(const Changes& changes, LogPosition& position);
 
+/// How far a log could be read.
 struct LogReplay {
     /// Whole records, whose changes have been applied.
     std::size_t replayed_records = 0;
--- a/src/store/snapshot_format.hpp
+++ b/src/store/snapshot_format.hpp
@@ -14,6 +14,7 @@
 /// Of snapshots and logs.
 constexpr std::uint32_t format_version = 1;
 
+/// All entries of a generation.
 struct Snapshot {
     /// Counts the snapshots of a store.
     std::uint64_t generation = 0;
