--- a/src/base/timer_queue.hpp
+++ b/src/base/timer_queue.hpp
@@ -9,7 +9,6 @@
 #include <functional>
 #include <map>
 #include <optional>
-#include <unordered_map>
 #include <utility>
 
 #include "base/clock.hpp"
@@ -18,6 +17,15 @@
 
 class TimerQueue;
 
+/// Where a callback stands in a queue: by its due time, then in the order of scheduling.
+struct TimerPosition {
+    Timestamp due{0};
+    /// Never used again in the same queue.
+    std::uint64_t sequence = 0;
+
+    auto operator<=>(const TimerPosition&) const = default;
+};
+
 /// Owns a scheduled callback: cancels it when it is destroyed, or when another handle is assigned to it. A callback that
 /// has run is no longer owned, and may destroy or assign its own handle while it runs.
 ///
@@ -28,11 +36,11 @@
     TimerHandle() = default;
     ~TimerHandle() { cancel(); }
     TimerHandle(TimerHandle&& other) noexcept
-        : queue_(std::exchange(other.queue_, nullptr)), id_(other.id_) {}
+        : queue_(std::exchange(other.queue_, nullptr)), position_(other.position_) {}
     TimerHandle& operator=(TimerHandle&& other) noexcept {
         TimerHandle former(std::move(other));
         std::swap(queue_, former.queue_);
-        std::swap(id_, former.id_);
+        std::swap(position_, former.position_);
         return *this;
     }
     TimerHandle(const TimerHandle&) = delete;
@@ -46,11 +54,11 @@
 
 private:
     friend class TimerQueue;
-    TimerHandle(TimerQueue& queue, std::uint64_t id) : queue_(&queue), id_(id) {}
+    TimerHandle(TimerQueue& queue, TimerPosition position) : queue_(&queue), position_(position) {}
 
     /// Null where nothing is owned.
     TimerQueue* queue_ = nullptr;
-    std::uint64_t id_ = 0;
+    TimerPosition position_;
 };
 
 /// Callbacks in the order of their due times; those due at the same time run in the order of scheduling.
@@ -85,14 +93,13 @@
     /// Runs what is due at `now`. What a callback schedules waits for the next call even if it is due already, so that
     /// a callback that schedules itself again cannot keep the event loop from its other work.
     void run_due(Timestamp now) {
-        const std::uint64_t newest_id = last_id_;
+        const std::uint64_t newest_sequence = last_sequence_;
         for (auto it = callbacks_.begin(); it != callbacks_.end() && it->first.due <= now;) {
-            if (it->first.id > newest_id) {
+            if (it->first.sequence > newest_sequence) {
                 ++it;
                 continue;
             }
             const auto callback = std::move(it->second);
-            due_times_.erase(it->first.id);
             callbacks_.erase(it);
             callback();
             // The callback may have changed the queue anywhere.
@@ -103,43 +110,25 @@
 private:
     friend class TimerHandle;
 
-    struct Key {
-        Timestamp due;
-        std::uint64_t id;
-
-        auto operator<=>(const Key&) const = default;
-    };
-
-    std::uint64_t add(Timestamp due, std::function<void()> callback) {
-        const std::uint64_t id = ++last_id_;
-        callbacks_.emplace(Key{due, id}, std::move(callback));
-        due_times_[id] = due;
-        return id;
-    }
-
-    void cancel(std::uint64_t id) {
-        const auto it = due_times_.find(id);
-        if (it == due_times_.end())
-            return;
-        // Taken out before it is destroyed: it may own another handle.
-        const auto cancelled = callbacks_.extract(Key{it->second, id});
-        due_times_.erase(it);
+    TimerPosition add(Timestamp due, std::function<void()> callback) {
+        const TimerPosition position{due, ++last_sequence_};
+        callbacks_.emplace(position, std::move(callback));
+        return position;
     }
 
-    std::map<Key, std::function<void()>> callbacks_;
-    std::unordered_map<std::uint64_t, Timestamp> due_times_;
-    /// Ids are never used again.
-    std::uint64_t last_id_ = 0;
+    std::map<TimerPosition, std::function<void()>> callbacks_;
+    std::uint64_t last_sequence_ = 0;
 };
 
 inline void TimerHandle::cancel() noexcept {
     if (queue_ == nullptr)
         return;
-    std::exchange(queue_, nullptr)->cancel(id_);
+    // Taken out before it is destroyed: it may own another handle, or this one.
+    const auto cancelled = std::exchange(queue_, nullptr)->callbacks_.extract(position_);
 }
 
 inline bool TimerHandle::is_scheduled() const {
-    return queue_ != nullptr && queue_->due_times_.contains(id_);
+    return queue_ != nullptr && queue_->callbacks_.contains(position_);
 }
 
 }  // namespace cressledge::base
