--- a/src/base/timer_queue.hpp
+++ b/src/base/timer_queue.hpp
@@ -9,7 +9,6 @@
 #include <functional>
 #include <map>
 #include <optional>
-#include <unordered_map>
 #include <utility>
 
 #include "base/clock.hpp"
@@ -18,6 +17,15 @@
 
 class TimerQueue;
 
+/// Where a callback stands in a queue: by its due time, then in the order of scheduling.
+struct TimerPosition {
+    Timestamp due{0};
+    /// Never used again in the same queue.
+    std::uint64_t sequence = 0;
+
+    auto operator<=>(const TimerPosition&) const = default;
+};
+
 /// Owns a scheduled callback: cancels it when it is destroyed, or when another handle is assigned to it. A callback that
 /// has run is no longer owned, and may destroy or assign its own handle while it runs.
 ///
@@ -28,11 +36,11 @@
     TimerHandle() = default;
     ~TimerHandle() { cancel(); }
     TimerHandle(TimerHandle&& other) noexcept
-        : queue_(std::exchange(other.queue_, nullptr)), id_(other.id_) {}
+        : queue_(std::exchange(other.queue_, nullptr)), position_(other.position_) {}
     TimerHandle& operator=(TimerHandle&& other) noexcept {
         TimerHandle former(std::move(other));
         std::swap(queue_, former.queue_);
-        std::swap(id_, former.id_);
+        std::swap(position_, former.position_);
         return *this;
     }
     TimerHandle(const TimerHandle&) = delete;
@@ -44,27 +52,18 @@
     /// Whether the callback is still to run.
     bool is_scheduled() const;
 
-    /// Gives the callback up to an owner that cancels it by its number.
-    operator std::uint64_t() && {
-        queue_ = nullptr;
-        return id_;
-    }
-
 private:
     friend class TimerQueue;
-    TimerHandle(TimerQueue& queue, std::uint64_t id) : queue_(&queue), id_(id) {}
+    TimerHandle(TimerQueue& queue, TimerPosition position) : queue_(&queue), position_(position) {}
 
     /// Null where nothing is owned.
     TimerQueue* queue_ = nullptr;
-    std::uint64_t id_ = 0;
+    TimerPosition position_;
 };
 
 /// Callbacks in the order of their due times; those due at the same time run in the order of scheduling.
 class TimerQueue {
 public:
-    /// Names a scheduled callback. Handles are never used again; 0 names none.
-    using Handle = std::uint64_t;
-
     TimerQueue() = default;
     /// Destroys callbacks one at a time: one may own the handle of another.
     ~TimerQueue() {
@@ -80,20 +79,10 @@
         return {*this, add(due, std::move(callback))};
     }
 
-    /// As `schedule`, for a callback that is never cancelled: whatever it uses outlives the queue, or is looked up when
+    /// As `schedule`, for a callback that nobody cancels: what it uses outlives the last `run_due`, or is looked up when
     /// it runs.
     void schedule_detached(Timestamp due, std::function<void()> callback) { add(due, std::move(callback)); }
 
-    /// Cancels a callback and sets `handle` to 0. Does nothing where it has run already.
-    void cancel(Handle& handle) {
-        if (const auto it = due_times_.find(handle); it != due_times_.end()) {
-            // Taken out before it is destroyed: it may own another handle.
-            const auto cancelled = callbacks_.extract(Key{it->second, handle});
-            due_times_.erase(it);
-        }
-        handle = 0;
-    }
-
     /// The earliest due time, if anything is scheduled.
     std::optional<Timestamp> next_due() const {
         if (callbacks_.empty())
@@ -104,14 +93,13 @@
     /// Runs what is due at `now`. What a callback schedules waits for the next call even if it is due already, so that
     /// a callback that schedules itself again cannot keep the event loop from its other work.
     void run_due(Timestamp now) {
-        const Handle newest_handle = last_handle_;
+        const std::uint64_t newest_sequence = last_sequence_;
         for (auto it = callbacks_.begin(); it != callbacks_.end() && it->first.due <= now;) {
-            if (it->first.handle > newest_handle) {
+            if (it->first.sequence > newest_sequence) {
                 ++it;
                 continue;
             }
             const auto callback = std::move(it->second);
-            due_times_.erase(it->first.handle);
             callbacks_.erase(it);
             callback();
             // The callback may have changed the queue anywhere.
@@ -122,33 +110,25 @@
 private:
     friend class TimerHandle;
 
-    struct Key {
-        Timestamp due;
-        Handle handle;
-
-        auto operator<=>(const Key&) const = default;
-    };
-
-    Handle add(Timestamp due, std::function<void()> callback) {
-        const Handle handle = ++last_handle_;
-        callbacks_.emplace(Key{due, handle}, std::move(callback));
-        due_times_[handle] = due;
-        return handle;
+    TimerPosition add(Timestamp due, std::function<void()> callback) {
+        const TimerPosition position{due, ++last_sequence_};
+        callbacks_.emplace(position, std::move(callback));
+        return position;
     }
 
-    std::map<Key, std::function<void()>> callbacks_;
-    std::unordered_map<Handle, Timestamp> due_times_;
-    Handle last_handle_ = 0;
+    std::map<TimerPosition, std::function<void()>> callbacks_;
+    std::uint64_t last_sequence_ = 0;
 };
 
 inline void TimerHandle::cancel() noexcept {
     if (queue_ == nullptr)
         return;
-    std::exchange(queue_, nullptr)->cancel(id_);
+    // Taken out before it is destroyed: it may own another handle, or this one.
+    const auto cancelled = std::exchange(queue_, nullptr)->callbacks_.extract(position_);
 }
 
 inline bool TimerHandle::is_scheduled() const {
-    return queue_ != nullptr && queue_->due_times_.contains(id_);
+    return queue_ != nullptr && queue_->callbacks_.contains(position_);
 }
 
 }  // namespace cressledge::base
--- a/src/upstream/gateway.cpp
+++ b/src/upstream/gateway.cpp
@@ -8,6 +8,7 @@
 #include "base/log.hpp"
 #include "frontend/http/http_session.hpp"
 #include "frontend/scgi/scgi_session.hpp"
+#include "store/background_writer.hpp"
 #include "upstream/gateway_descriptors.hpp"
 
 namespace cressledge::upstream {
@@ -53,12 +54,6 @@
     watch_inventory();
 }
 
-UpstreamGateway::~UpstreamGateway() {
-    timers_.cancel(inventory_recheck_timer_);
-    timers_.cancel(peer_refresh_timer_);
-    timers_.cancel(gossip_join_timer_);
-}
-
 // Returns the port; 0 where the configuration has no such listener.
 int UpstreamGateway::add_frontend(Protocol protocol) {
     const bool is_scgi = protocol == Protocol::scgi;
@@ -98,8 +93,14 @@
     settings.identity = learned_state::identity_of(config.node_name, config_.policy_settings);
     settings.save_interval = config.save_interval;
     settings.confidence_policy = {config.half_life, config.max_age};
+    learned_state_files_ = std::make_unique<store::PosixFileSystem>(config.directory);
+    learned_state_store_ = std::make_unique<store::Store>(*learned_state_files_);
+    const auto make_writer = [this](store::Store& store, store::CommitHandler on_commit) {
+        return std::make_unique<store::BackgroundWriter>(loop_.uv(), store, std::move(on_commit));
+    };
     learned_state_saver_ = std::make_unique<learned_state::LearnedStateSaver>(
-        loop_, timers_, request_manager_, settings, [this] { return executor_.learned(); });
+        *learned_state_store_, make_writer, timers_, request_manager_, settings,
+        [this] { return executor_.learned(); });
     const learned_state::RestoreResult restored = learned_state_saver_->load(now);
     if (!restored.restored)
         return;
@@ -109,7 +110,6 @@
 
 // A process that takes over from another under its id finds the gossip port in use until the other has released it.
 void UpstreamGateway::join_gossip(std::uint64_t seed) {
-    gossip_join_timer_ = 0;
     if (!config_.gossip || request_manager_.draining())
         return;
     try {
@@ -128,7 +128,7 @@
 // Subsets, and the calls to hosts in slow start, are divided evenly among the live processes as this one sees them. A
 // member that comes and goes within the interval moves nothing. Slow start asks who lives even if nobody came or went.
 void UpstreamGateway::refresh_peers() {
-    timers_.cancel(peer_refresh_timer_);
+    peer_refresh_timer_.cancel();
     const bool has_slow_start = config_.routing.slow_start.calls_per_s > 0.0;
     const bool has_subsets = config_.routing.subset_size != 0;
     if (!gossip_node_ || (!has_subsets && !has_slow_start))
@@ -165,7 +165,7 @@
 
 void UpstreamGateway::hand_over() {
     shutdown_coordinator_.start_graceful_shutdown();
-    timers_.cancel(peer_refresh_timer_);
+    peer_refresh_timer_.cancel();
     gossip_node_.reset();
 }
 
--- a/tools/common/deferred_eraser.hpp
+++ b/tools/common/deferred_eraser.hpp
@@ -15,17 +15,15 @@
 class DeferredEraser {
 public:
     DeferredEraser(base::TimerQueue& timers, base::SlotMap<T>& values) : timers_(timers), values_(values) {}
-    ~DeferredEraser() { timers_.cancel(timer_); }
     DeferredEraser(const DeferredEraser&) = delete;
     DeferredEraser& operator=(const DeferredEraser&) = delete;
 
     /// Erases the value of that id on the next turn. The same id may be given twice.
     void erase(base::SlotId id) {
         ids_.push_back(id);
-        if (timer_ != 0)
+        if (timer_.is_scheduled())
             return;
         timer_ = timers_.schedule(base::Timestamp(0), [this] {
-            timer_ = 0;
             for (const base::SlotId waiting : std::exchange(ids_, {}))
                 values_.erase(waiting);
         });
@@ -35,7 +33,7 @@
     base::TimerQueue& timers_;
     base::SlotMap<T>& values_;
     std::vector<base::SlotId> ids_;
-    base::TimerQueue::Handle timer_ = 0;
+    base::TimerHandle timer_;
 };
 
 }  // namespace cressledge::tools
--- a/tools/experiment/fake_upstream_process.cpp
+++ b/tools/experiment/fake_upstream_process.cpp
@@ -96,7 +96,7 @@
 
 json FakeUpstreamProcess::read_reply() {
     const Timestamp deadline = loop_.unix_now() + reply_timeout;
-    base::TimerQueue::Handle wake_up = timers_.schedule(deadline, [] {});
+    const base::TimerHandle wake_up = timers_.schedule(deadline, [] {});
     for (;;) {
         const std::size_t end = received_.find('\n');
         if (end != std::string::npos) {
@@ -106,14 +106,12 @@
                 --ignored_replies_;
                 continue;
             }
-            timers_.cancel(wake_up);
             return reply;
         }
         if (pid_ == 0 || loop_.unix_now() >= deadline)
             break;
         loop_.run_once(true);
     }
-    timers_.cancel(wake_up);
     return {};
 }
 
--- a/tools/experiment/rollout_testbed.cpp
+++ b/tools/experiment/rollout_testbed.cpp
@@ -104,7 +104,7 @@
 }
 
 RolloutTestbed::~RolloutTestbed() {
-    timers_.cancel(watch_timer_);
+    watch_timer_.cancel();
     // The supervisors stop their processes themselves, unless they are killed.
     for (const auto& supervisor : supervisors_)
         supervisor->send_signal(SIGTERM);
@@ -117,10 +117,9 @@
 
 void RolloutTestbed::run(double seconds) {
     const Timestamp until = loop_.unix_now() + duration(seconds);
-    base::TimerQueue::Handle wake_up = timers_.schedule(until, [] {});
+    const base::TimerHandle wake_up = timers_.schedule(until, [] {});
     while (loop_.unix_now() < until)
         loop_.run_once(true);
-    timers_.cancel(wake_up);
 }
 
 void RolloutTestbed::list_processes(const std::string& supervisor,
--- a/tools/experiment/rollout_testbed.hpp
+++ b/tools/experiment/rollout_testbed.hpp
@@ -111,7 +111,7 @@
     std::vector<std::string> target_ids_;
     /// Processes that ran another program than the first one when last seen.
     std::set<std::string> changed_processes_;
-    base::TimerQueue::Handle watch_timer_ = 0;
+    base::TimerHandle watch_timer_;
     std::uint64_t changed_requests_ = 0, requests_ = 0;
 };
 
--- a/tools/experiment/trial.cpp
+++ b/tools/experiment/trial.cpp
@@ -117,7 +117,8 @@
     }
     void schedule_events() {
         for (const ScenarioEvent& event : experiment_.events)
-            timers_.schedule(loop_.unix_now() + duration(event.at_s), [this, &event] { apply(event); });
+            timers_.schedule_detached(loop_.unix_now() + duration(event.at_s),
+                                      [this, &event] { apply(event); });
     }
     void drain() {
         driver_.stop();
@@ -164,7 +165,7 @@
                 return resize_fleet(static_cast<std::size_t>(event.factor));
             case Type::load_burst:
                 driver_.set_rate_s(driver_.rate_s() * event.factor);
-                timers_.schedule(
+                timers_.schedule_detached(
                     loop_.unix_now() + duration(event.duration_s),
                     [this, factor = event.factor] { driver_.set_rate_s(driver_.rate_s() / factor); });
                 return;
--- a/tools/fake_upstream/fleet.cpp
+++ b/tools/fake_upstream/fleet.cpp
@@ -75,13 +75,7 @@
         listen(i);
 }
 
-Fleet::~Fleet() {
-    for (auto& [call, timer] : finish_timers_)
-        timers_.cancel(timer);
-    for (auto& [server, timer] : restart_timers_)
-        timers_.cancel(timer);
-    timers_.cancel(sample_timer_);
-}
+Fleet::~Fleet() = default;
 
 void Fleet::listen(std::size_t server) {
     // After a restart it listens at the port that the kernel chose the first time.
@@ -150,10 +144,7 @@
 
 void Fleet::depart(std::size_t server, CallId call) {
     connection_by_call_.erase(call);
-    if (const auto it = finish_timers_.find(call); it != finish_timers_.end()) {
-        timers_.cancel(it->second);
-        finish_timers_.erase(it);
-    }
+    finish_timers_.erase(call);
     schedule_finish(server, models_[server].depart(loop_.unix_now(), call, random_));
 }
 
@@ -175,9 +166,7 @@
     for (const base::SlotId id : connections_.ids())
         if (connections_.find(id)->server == server)
             close(id);
-    auto& timer = restart_timers_[server];
-    timers_.cancel(timer);
-    timer = timers_.schedule(loop_.unix_now() + downtime, [this, server] {
+    restart_timers_[server] = timers_.schedule(loop_.unix_now() + downtime, [this, server] {
         restart_timers_.erase(server);
         models_[server].restart(loop_.unix_now());
         listen(server);
@@ -185,8 +174,7 @@
 }
 
 void Fleet::set_monitoring(bool enabled) {
-    timers_.cancel(sample_timer_);
-    sample_timer_ = 0;
+    sample_timer_.cancel();
     if (!enabled)
         return;
     monitor_ = LoadImbalanceMonitor();
--- a/tools/fake_upstream/fleet.hpp
+++ b/tools/fake_upstream/fleet.hpp
@@ -84,11 +84,11 @@
     tools::DeferredEraser<Connection> closed_connections_{timers_, connections_};
     /// The connection that waits for each call.
     std::map<CallId, base::SlotId> connection_by_call_;
-    std::map<CallId, base::TimerQueue::Handle> finish_timers_;
-    std::map<std::size_t, base::TimerQueue::Handle> restart_timers_;
+    std::map<CallId, base::TimerHandle> finish_timers_;
+    std::map<std::size_t, base::TimerHandle> restart_timers_;
     std::set<std::string> seen_bodies_;
     CallId last_call_ = 0;
-    base::TimerQueue::Handle sample_timer_ = 0;
+    base::TimerHandle sample_timer_;
     Timestamp next_sample_at_{0};
     LoadImbalanceMonitor monitor_;
     Counters counters_;
--- a/tools/fault_injection/faulty_main.cpp
+++ b/tools/fault_injection/faulty_main.cpp
@@ -84,19 +84,12 @@
         delayed.body = strings->body;
         delayed.affinity_key = strings->affinity_key;
         delay_timers_[work.request_id] =
-            timers_.schedule_detached(loop_.unix_now() + tail_delay, [this, strings, delayed] {
+            timers_.schedule(loop_.unix_now() + tail_delay, [this, strings, delayed] {
                 delay_timers_.erase(delayed.request_id);
                 inner_.run(delayed);
             });
     }
-    bool cancel_delayed(request::RequestId id) {
-        const auto it = delay_timers_.find(id);
-        if (it == delay_timers_.end())
-            return false;
-        timers_.cancel(it->second);
-        delay_timers_.erase(it);
-        return true;
-    }
+    bool cancel_delayed(request::RequestId id) { return delay_timers_.erase(id) != 0; }
 
     const std::string fault_;
     net::Loop& loop_;
@@ -104,7 +97,7 @@
     request::RequestManager& request_manager_;
     request::Executor& inner_;
     pcg32 random_;
-    std::map<request::RequestId, base::TimerQueue::Handle> delay_timers_;
+    std::map<request::RequestId, base::TimerHandle> delay_timers_;
 };
 
 /// The part of the program's name after the last "-".
--- a/tools/fault_injection/process_cluster.cpp
+++ b/tools/fault_injection/process_cluster.cpp
@@ -182,10 +182,9 @@
 }
 
 void ProcessCluster::run(Timestamp until) {
-    base::TimerQueue::Handle wake_up = timers_.schedule(until, [] {});
+    const base::TimerHandle wake_up = timers_.schedule(until, [] {});
     while (loop_.unix_now() < until)
         loop_.run_once(true);
-    timers_.cancel(wake_up);
 }
 
 std::vector<std::optional<Timestamp>> ProcessCluster::wait_for_view(const std::vector<std::size_t>& observers,
--- a/tools/fault_injection/relay.cpp
+++ b/tools/fault_injection/relay.cpp
@@ -84,10 +84,7 @@
 Relay::Relay(net::Loop& loop, base::TimerQueue& timers, std::string fleet, std::uint64_t seed)
     : loop_(loop), timers_(timers), fleet_(std::move(fleet)), random_(seed) {}
 
-Relay::~Relay() {
-    for (base::TimerQueue::Handle timer : delay_timers_)
-        timers_.cancel(timer);
-}
+Relay::~Relay() = default;
 
 membership::Endpoint Relay::add(const std::string& id, const membership::Endpoint& bound_endpoint,
                                 std::uint32_t ip) {
@@ -162,12 +159,12 @@
 }
 
 void Relay::forward_delayed(const Link& link, std::string_view bytes, Duration delay) {
-    auto timer = std::make_shared<base::TimerQueue::Handle>(0);
-    *timer = timers_.schedule(loop_.unix_now() + delay, [this, link, timer, copy = std::string(bytes)] {
-        delay_timers_.erase(*timer);
-        forward(link, copy);
-    });
-    delay_timers_.insert(*timer);
+    const std::uint64_t number = ++last_delayed_;
+    delay_timers_[number] =
+        timers_.schedule(loop_.unix_now() + delay, [this, link, number, copy = std::string(bytes)] {
+            delay_timers_.erase(number);
+            forward(link, copy);
+        });
 }
 
 void Relay::forward(const Link& link, std::string_view bytes) {
--- a/tools/fault_injection/relay.hpp
+++ b/tools/fault_injection/relay.hpp
@@ -94,7 +94,9 @@
     LinkFaults default_faults_;
     std::map<Link, LinkFaults> faults_by_link_;
     std::set<Link> cut_links_;
-    std::set<base::TimerQueue::Handle> delay_timers_;
+    std::uint64_t last_delayed_ = 0;
+    /// Delayed datagrams by their number.
+    std::map<std::uint64_t, base::TimerHandle> delay_timers_;
     base::SlotMap<ProxiedConnection> connections_;
     Counters counters_;
 };
--- a/tools/load_generator/driver.cpp
+++ b/tools/load_generator/driver.cpp
@@ -29,7 +29,6 @@
 public:
     Connection(Driver& driver, net::Address address) : target(address), driver_(driver) {}
     ~Connection() override {
-        driver_.timers_.cancel(idle_timer);
         if (stream != nullptr)
             std::exchange(stream, nullptr)->close();
     }
@@ -75,7 +74,7 @@
     const net::Address target;
     base::SlotId id = 0;
     net::Stream* stream = nullptr;
-    base::TimerQueue::Handle idle_timer = 0;
+    base::TimerHandle idle_timer;
     /// Of the request in flight.
     bool has_request = false;
     std::size_t class_index = 0, target_index = 0;
@@ -98,9 +97,7 @@
       max_connections_(max_connections),
       stats_(arrivals_.classes().size()) {}
 
-Driver::~Driver() {
-    timers_.cancel(arrival_timer_);
-}
+Driver::~Driver() = default;
 
 void Driver::start() {
     is_started_ = true;
@@ -110,7 +107,7 @@
 
 void Driver::stop() {
     is_started_ = false;
-    timers_.cancel(arrival_timer_);
+    arrival_timer_.cancel();
 }
 
 void Driver::reset_counts() {
@@ -140,7 +137,7 @@
     if (auto& idle = idle_connections_[address_key(target)]; !idle.empty()) {
         Connection* connection = connections_.find(idle.back());
         idle.pop_back();
-        timers_.cancel(connection->idle_timer);
+        connection->idle_timer.cancel();
         return connection;
     }
     if (connections_.size() >= max_connections_)
--- a/tools/load_generator/driver.hpp
+++ b/tools/load_generator/driver.hpp
@@ -68,7 +68,7 @@
     /// By target; the one used last comes last.
     std::unordered_map<std::uint64_t, std::vector<base::SlotId>> idle_connections_;
     std::vector<OutcomeStats> stats_;
-    base::TimerQueue::Handle arrival_timer_ = 0;
+    base::TimerHandle arrival_timer_;
     Timestamp next_due_at_{0}, counted_since_{0};
     std::uint64_t sent_ = 0, unsent_ = 0, last_body_number_ = 0;
     std::size_t in_flight_ = 0;
