--- a/tools/emulator/fleet.cpp
+++ b/tools/emulator/fleet.cpp
@@ -24,6 +24,7 @@
 void Fleet::boot(std::size_t index, const std::vector<std::size_t>& seeds) {
     Member& member = members_[index];
     std::vector<membership::Endpoint> seed_endpoints;
+    seed_endpoints.reserve(seeds.size());
     for (const std::size_t seed : seeds)
         seed_endpoints.push_back(endpoint_of(seed));
     ++member.incarnation;
@@ -36,14 +37,14 @@
     schedule_tick(index);
 }
 
-std::size_t Fleet::start(std::vector<std::size_t> seeds) {
+std::size_t Fleet::start(const std::vector<std::size_t>& seeds) {
     const std::size_t index = members_.size();
     members_.emplace_back().id = "n" + std::to_string(index);
     boot(index, seeds);
     return index;
 }
 
-void Fleet::restart(std::size_t index, std::vector<std::size_t> seeds) {
+void Fleet::restart(std::size_t index, const std::vector<std::size_t>& seeds) {
     boot(index, seeds);
 }
 
--- a/tools/emulator/fleet.hpp
+++ b/tools/emulator/fleet.hpp
@@ -31,13 +31,13 @@
           const NetworkModel& network, std::uint64_t seed);
 
     /// Starts a new member that joins through `seeds`; its index.
-    std::size_t start(std::vector<std::size_t> seeds);
+    std::size_t start(const std::vector<std::size_t>& seeds);
     /// Starts `count` members that know each other already.
     void start_converged(std::size_t count);
     /// Stops a member without notice.
     void crash(std::size_t index) { members_[index].table.reset(); }
     /// Starts a crashed member again: the same id, a later start time.
-    void restart(std::size_t index, std::vector<std::size_t> seeds);
+    void restart(std::size_t index, const std::vector<std::size_t>& seeds);
     /// Makes a member announce its departure and stop.
     void leave(std::size_t index);
     /// Suspends a member until then: messages and timers wait.
--- a/tools/experiment/rollout_testbed.cpp
+++ b/tools/experiment/rollout_testbed.cpp
@@ -1,9 +1,9 @@
 #include "experiment/rollout_testbed.hpp"
 
-#include <signal.h>
 #include <unistd.h>
 
 #include <cmath>
+#include <csignal>
 #include <filesystem>
 #include <fstream>
 #include <stdexcept>
--- a/tools/fault_injection/child_process.cpp
+++ b/tools/fault_injection/child_process.cpp
@@ -1,9 +1,9 @@
 #include "fault_injection/child_process.hpp"
 
 #include <fcntl.h>
-#include <signal.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <stdexcept>
 
 namespace cressledge::fault_injection {
@@ -11,6 +11,7 @@
 int spawn_with_log(uv_loop_t* loop, uv_process_t& handle, const std::vector<std::string>& command,
                    const std::string& log_file, uv_exit_cb on_exit) {
     std::vector<char*> argv;
+    argv.reserve(command.size() + 1);
     for (const std::string& argument : command)
         argv.push_back(const_cast<char*>(argument.c_str()));
     argv.push_back(nullptr);
