--- a/tools/common/deferred_eraser.hpp
+++ b/tools/common/deferred_eraser.hpp
@@ -14,6 +14,7 @@
 template <class T>
 class DeferredEraser {
 public:
+    /// `timers` and `values` must outlive it.
     DeferredEraser(base::TimerQueue& timers, base::SlotMap<T>& values) : timers_(timers), values_(values) {}
     ~DeferredEraser() { timers_.cancel(timer_); }
     DeferredEraser(const DeferredEraser&) = delete;
--- a/tools/common/http_message_parser.hpp
+++ b/tools/common/http_message_parser.hpp
@@ -29,6 +29,7 @@
 
     /// Of the last request.
     const std::string& url() const { return url_; }
+    /// Of the last request.
     const std::string& body() const { return body_; }
     /// Of the last response.
     unsigned status() const { return parser_.status_code; }
--- a/tools/emulator/balancing_process.hpp
+++ b/tools/emulator/balancing_process.hpp
@@ -28,13 +28,16 @@
     /// Begins a new incarnation that knows nothing. `fleet_size`: processes in the fleet, this one included.
     void start(const LoadSpreadScenario& scenario, const std::vector<upstream_health::HostSpec>& servers,
                std::size_t index, std::size_t fleet_size, std::int64_t now, upstream_health::Random& random);
+    /// Calls of start() so far.
     std::uint32_t incarnation() const { return incarnation_; }
     /// Only where uses_balancer().
     load_balancing::Balancer& balancer() { return *balancer_; }
 
     /// Moves the health of the servers on in time. Only where uses_balancer().
     void tick(std::int64_t now);
+    /// A call has been sent to a server.
     void on_call_started(std::int64_t now, upstream_health::HostId server);
+    /// A call of this incarnation has ended.
     void on_call_finished(std::int64_t now, upstream_health::HostId server,
                           upstream_health::CallResult result, Duration latency);
     /// A connection was refused before a call was sent. Only where uses_balancer().
--- a/tools/emulator/call_table.hpp
+++ b/tools/emulator/call_table.hpp
@@ -49,6 +49,7 @@
     Call& at(CallId id) { return calls_[static_cast<std::uint32_t>(id)]; }
     /// Null where the call has been erased.
     Call* find(CallId id) { return at(id).version == id >> 32U ? &at(id) : nullptr; }
+    /// Removes a call that has not been erased; its id finds nothing any more.
     void erase(CallId id) {
         ++at(id).version;
         at(id).is_at_server = false;
--- a/tools/emulator/fleet.hpp
+++ b/tools/emulator/fleet.hpp
@@ -51,12 +51,16 @@
     void run(Timestamp until);
     /// Moves time on until `is_done`, which is asked every `check_interval`; false: not by `until`.
     bool run(Timestamp until, Duration check_interval, const std::function<bool()>& is_done);
+    /// Emulated time.
     Timestamp now() const { return now_; }
 
+    /// Whether it has been started and has not crashed or left.
     bool running(std::size_t index) const { return members_[index].table != nullptr; }
     /// The table of a running member.
     const membership::MembershipTable& view(std::size_t index) const { return *members_[index].table; }
+    /// The id by which other members know it.
     const std::string& id(std::size_t index) const { return members_[index].id; }
+    /// Members that were ever started.
     std::size_t size() const { return members_.size(); }
     /// Whether every running member's table has all running members alive and no other.
     bool has_converged() const;
--- a/tools/emulator/load_spread_simulation.hpp
+++ b/tools/emulator/load_spread_simulation.hpp
@@ -43,6 +43,7 @@
 /// One run of a scenario: an event loop on simulated time.
 class LoadSpreadSimulation {
 public:
+    /// Starts the processes of the scenario.
     explicit LoadSpreadSimulation(const LoadSpreadScenario& scenario);
     /// Runs until the time is over and every call has finished; to be called once.
     LoadSpreadResult run();
--- a/tools/experiment/rollout_testbed.hpp
+++ b/tools/experiment/rollout_testbed.hpp
@@ -73,7 +73,9 @@
     /// Kills a process, for no fault of its own.
     void kill_process(const std::string& id);
 
+    /// The load; after start_fleet() only.
     load_generator::Driver& driver() { return *driver_; }
+    /// The fake upstreams.
     fake_upstream::Fleet& servers() { return *servers_; }
     /// The link between controllers and a supervisor.
     fault_injection::FaultyLink& supervisor_link(std::size_t supervisor) {
--- a/tools/fake_upstream/fleet.hpp
+++ b/tools/fake_upstream/fleet.hpp
@@ -35,6 +35,7 @@
     Fleet(const Fleet&) = delete;
     Fleet& operator=(const Fleet&) = delete;
 
+    /// How many servers there are.
     std::size_t size() const { return models_.size(); }
     /// The address of a server with the port it is bound to.
     std::string address(std::size_t server) const;
@@ -57,9 +58,11 @@
         /// Bodies of a class of `at_most_once_classes` that arrived again.
         std::uint64_t duplicates = 0;
     };
+    /// Counts since the start.
     const Counters& counters() const { return counters_; }
     /// Calls that each server has received.
     const std::vector<std::uint64_t>& calls_by_server() const { return calls_by_server_; }
+    /// The imbalance since monitoring was enabled last.
     LoadImbalance load_imbalance() const { return monitor_.result(); }
 
 private:
--- a/tools/fake_upstream/server_model.hpp
+++ b/tools/fake_upstream/server_model.hpp
@@ -42,6 +42,7 @@
 /// One server: the calls it serves, the calls that wait, and the load it reports.
 class ServerModel {
 public:
+    /// An idle, warm server.
     explicit ServerModel(const ServerProfile& profile)
         : profile_(profile), expected_calls_(profile.probe_round_trip, profile.probes_per_call) {}
 
@@ -59,10 +60,12 @@
     void set_slowdown(double factor) { slowdown_ = factor; }
     /// Whether its answers are errors, each given after a millisecond.
     void set_failing(bool failing) { failing_ = failing; }
+    /// As set_failing() has set it.
     bool is_failing() const { return failing_; }
     /// Drops every call and starts cold.
     void restart(Timestamp now);
 
+    /// The load as it is now.
     load_balancing::LoadReport load_report() const {
         return {static_cast<double>(in_flight()), static_cast<double>(profile_.slots), mean_latency_s_};
     }
@@ -70,7 +73,9 @@
     load_balancing::LoadReport answer_probe(Timestamp now);
     /// Calls served and waiting.
     std::size_t in_flight() const { return in_service_.size() + waiting_.size(); }
+    /// Calls served at once.
     unsigned slots() const { return profile_.slots; }
+    /// Whether a call waits for a slot.
     bool has_waiting_calls() const { return !waiting_.empty(); }
 
 private:
--- a/tools/fault_injection/child_process.hpp
+++ b/tools/fault_injection/child_process.hpp
@@ -31,6 +31,7 @@
         if (is_running_)
             uv_process_kill(&handle_, signal);
     }
+    /// Whether it has not ended yet, as of the last turn of the loop.
     bool is_running() const { return is_running_; }
     /// Once it has ended; -1: by a signal.
     int exit_status() const { return exit_status_; }
--- a/tools/fault_injection/process_cluster.hpp
+++ b/tools/fault_injection/process_cluster.hpp
@@ -47,6 +47,7 @@
 /// A running cluster. Processes are named by their index in the order they were added.
 class ProcessCluster {
 public:
+    /// Writes the inventory; no process is started yet.
     ProcessCluster(net::Loop& loop, base::TimerQueue& timers, const ClusterSpec& spec);
     /// Kills the processes that still run and waits for them.
     ~ProcessCluster();
@@ -63,14 +64,21 @@
     /// Does nothing where the process does not run. SIGKILL and SIGTERM are not counted as crashes.
     void send_signal(std::size_t index, int signal);
 
+    /// Processes that were ever added.
     std::size_t size() const { return members_.size(); }
+    /// The id in the fleet.
     const std::string& id(std::size_t index) const { return members_[index]->id; }
     /// 0: it does not run.
     pid_t pid(std::size_t index) const { return members_[index]->pid; }
+    /// Whether it has been started and neither ended nor been sent a SIGKILL or SIGTERM.
     bool is_running(std::size_t index) const { return members_[index]->is_running; }
+    /// Indices of the processes for which is_running().
     std::vector<std::size_t> running_processes() const;
+    /// The path of the operator's file.
     const std::string& operator_file(std::size_t index) const { return members_[index]->operator_file; }
+    /// Where the others send gossip to it: at the relay, if there is one.
     membership::Endpoint advertised_endpoint(std::size_t index) const { return members_[index]->advertised; }
+    /// Its `listen.control`.
     membership::Endpoint admin_endpoint(std::size_t index) const { return members_[index]->admin; }
     /// Port 0 unless ClusterSpec::has_known_http_ports.
     membership::Endpoint http_endpoint(std::size_t index) const { return members_[index]->http; }
--- a/tools/fault_injection/relay.hpp
+++ b/tools/fault_injection/relay.hpp
@@ -63,6 +63,7 @@
     void partition(const std::set<std::string>& group);
     /// Restores all cut links; other faults stay.
     void heal();
+    /// Counts since the start.
     const Counters& counters() const { return counters_; }
 
 private:
--- a/tools/load_generator/arrival_process.hpp
+++ b/tools/load_generator/arrival_process.hpp
@@ -32,9 +32,13 @@
         for (const RequestClass& request_class : classes_)
             total_weight_ += request_class.weight;
     }
+    /// Requests a second from the next arrival on, above 0.
     void set_rate_s(double rate_s) { rate_s_ = rate_s; }
+    /// Requests a second.
     double rate_s() const { return rate_s_; }
+    /// Requests of one batch.
     unsigned batch_size() const { return batch_size_; }
+    /// The classes of the mix, by index.
     const std::vector<RequestClass>& classes() const { return classes_; }
 
     /// The moment of the batch that follows one at `previous`; at least a microsecond later.
--- a/tools/load_generator/driver.hpp
+++ b/tools/load_generator/driver.hpp
@@ -21,6 +21,7 @@
 /// Sends requests while it is started, each to a target drawn by chance.
 class Driver {
 public:
+    /// `max_connections`: to all targets together.
     Driver(net::Loop& loop, base::TimerQueue& timers, ArrivalProcess arrivals,
            std::size_t max_connections = 8192);
     ~Driver();
@@ -29,22 +30,27 @@
 
     /// The targets of later requests; none: requests are not sent.
     void set_targets(std::vector<net::Address> targets) { targets_ = std::move(targets); }
+    /// Sends requests from now on.
     void start();
     /// Sends no new requests; those in flight go on.
     void stop();
     /// Requests a second.
     void set_rate_s(double rate_s) { arrivals_.set_rate_s(rate_s); }
+    /// Requests a second.
     double rate_s() const { return arrivals_.rate_s(); }
     /// Clears all counts. Requests that are in flight now are not counted when they end.
     void reset_counts();
     /// Requests without an outcome yet.
     std::size_t in_flight() const { return in_flight_; }
+    /// Requests sent since the counts were reset.
     std::uint64_t sent() const { return sent_; }
     /// Requests that were due when `max_connections` were in use.
     std::uint64_t unsent() const { return unsent_; }
+    /// The classes of the mix, by index.
     const std::vector<RequestClass>& classes() const { return arrivals_.classes(); }
     /// By class.
     const std::vector<OutcomeStats>& stats_by_class() const { return stats_; }
+    /// Of all classes.
     OutcomeStats total_stats() const;
     /// Called for each request that has ended and is counted.
     std::function<void(std::size_t class_index, std::size_t target_index, Outcome outcome, Duration latency)>
--- a/tools/load_generator/outcome_stats.hpp
+++ b/tools/load_generator/outcome_stats.hpp
@@ -18,8 +18,11 @@
 /// Statistics of the requests of one class, or of several.
 class OutcomeStats {
 public:
+    /// Counts a request.
     void add(Outcome outcome, base::Duration latency);
+    /// Adds the requests of other statistics.
     void add(const OutcomeStats& other);
+    /// Requests with that outcome.
     std::uint64_t count(Outcome outcome) const { return counts_[static_cast<std::size_t>(outcome)]; }
     /// Requests with any outcome.
     std::uint64_t total() const;
