--- a/tools/common/deferred_eraser.hpp
+++ b/tools/common/deferred_eraser.hpp
@@ -14,6 +14,7 @@
 template <class T>
 class DeferredEraser {
 public:
+    /// `timers` and `values` must outlive it.
     DeferredEraser(base::TimerQueue& timers, base::SlotMap<T>& values) : timers_(timers), values_(values) {}
     DeferredEraser(const DeferredEraser&) = delete;
     DeferredEraser& operator=(const DeferredEraser&) = delete;
--- a/tools/emulator/fleet.hpp
+++ b/tools/emulator/fleet.hpp
@@ -31,13 +31,13 @@
           const NetworkModel& network, std::uint64_t seed);
 
     /// Starts a new member that joins through `seeds`; its index.
-    std::size_t start(std::vector<std::size_t> seeds);
+    std::size_t start(const std::vector<std::size_t>& seeds);
     /// Starts `count` members that know each other already.
     void start_converged(std::size_t count);
     /// Stops a member without notice.
     void crash(std::size_t index) { members_[index].table.reset(); }
     /// Starts a crashed member again: the same id, a later start time.
-    void restart(std::size_t index, std::vector<std::size_t> seeds);
+    void restart(std::size_t index, const std::vector<std::size_t>& seeds);
     /// Makes a member announce its departure and stop.
     void leave(std::size_t index);
     /// Suspends a member until then: messages and timers wait.
@@ -51,12 +51,16 @@
     void run(Timestamp until);
     /// Moves time on until `is_done`, which is asked every `check_interval`; false: not by `until`.
     bool run(Timestamp until, Duration check_interval, const std::function<bool()>& is_done);
+    /// Emulated time.
     Timestamp now() const { return now_; }
 
+    /// Whether it has been started and has not crashed or left.
     bool running(std::size_t index) const { return members_[index].table != nullptr; }
     /// The table of a running member.
     const membership::MembershipTable& view(std::size_t index) const { return *members_[index].table; }
+    /// The id by which other members know it.
     const std::string& id(std::size_t index) const { return members_[index].id; }
+    /// Members that were ever started.
     std::size_t size() const { return members_.size(); }
     /// Whether every running member's table has all running members alive and no other.
     bool has_converged() const;
