--- a/bench/calls.py
+++ b/bench/calls.py
@@ -4,203 +4,204 @@
 Use: bench/calls.py build/cressledge [--idle 60] [--requests 2000] [--callers 4] [--work 0.002] [--preload
 LIB.so]
 
-Starts stand-ins of the engine, the records service and the directory on loopback, the program on the
+Starts fakes of the engine, the records service and the directory on loopback, the program on the
 platform set-up under `strace -f -c`, waits `--idle` seconds, sends `--requests` reads over `--callers`
-kept connections, and prints the calls of each phase by name: the standing rate a second, and the cost a
-request. --preload puts a library of one's own into the node (it gets CLOCKS_OUT, a file to write to at
-exit), for what strace cannot see, such as clock reads. Bounded in count and time.
+persistent connections, and prints the calls of each phase by name: the standing rate a second, and the
+cost a request. --preload puts a library of one's own into the node (it gets CLOCKS_OUT, a file to write to
+at exit), for what strace cannot see, such as clock reads. Bounded in count and time.
 """
 import argparse
 import asyncio
 import json
 import os
 import random
-import re
 import signal
 import subprocess
 import sys
 import tempfile
 import time
+from dataclasses import dataclass, field
 
-RUN = re.compile(rb"RUN (\S+) (\S+) (\d+)\r\n")
+from fakes import HOST, FakeEngine, free_port, port_of, read_http_message, serve_directory, serve_records
 
+BODY = b"x" * 64
+LISTEN_ATTEMPTS = 200
+LISTEN_RETRY_S = 0.05
+SETTLE_S = 1.0  # the engine is attached and the first report made
+ATTACH_S = 0.5  # strace is attached
+LOAD_TIMEOUT_S = 120
+EXIT_TIMEOUT_S = 10
 
-class Engine:
-    """Answers ATTACH with HELLO and each RUN with DONE PASS after a short run."""
 
-    def __init__(self, work):
-        self.work, self.notice = work, 0
+@dataclass
+class Phase:
+    """What was counted in one phase: system calls by name, and answers by status."""
 
-    async def serve(self, reader, writer):
-        try:
-            while True:
-                line = await reader.readline()
-                if not line:
-                    return
-                words = line.split()
-                if words[0] == b"ATTACH":
-                    writer.write(b"HELLO LOADED 60000\r\n")
-                elif words[0] == b"RUN":
-                    body = await reader.readexactly(int(words[3]) + 2)
-                    asyncio.get_running_loop().call_later(self.work, self.done, writer, words[1], body[:-2])
-                elif words[0] in (b"FEED",):
-                    await reader.readexactly(int(words[2]) + 2)
-                elif words[0] == b"STAT":
-                    writer.write(b"STATS " + words[1] + b" 0 0 0 0\r\n")
-                elif words[0] == b"TEST":
-                    writer.write(b"TESTED " + words[1] + b" PASS\r\n")
-        except (ConnectionError, asyncio.IncompleteReadError):
-            return
+    calls: dict
+    seconds: float
+    answers: dict = field(default_factory=dict)
 
-    def done(self, writer, ident, body):
-        self.notice += 1
-        result = b"map:" + body
-        writer.write(b"DONE %d %s PASS 1.0 %d\r\n%s\r\n" % (self.notice, ident, len(result), result))
+    def answer_count(self):
+        """All answers, of any status."""
+        return sum(self.answers.values())
 
 
-async def directory(reader, writer):
-    try:
-        while True:
-            head = await reader.readuntil(b"\r\n\r\n")
-            length = re.search(rb"(?i)content-length: *(\d+)", head)
-            if length:
-                await reader.readexactly(int(length.group(1)))
-            writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
-    except (ConnectionError, asyncio.IncompleteReadError):
-        return
+def request(number, dice):
+    """One read of the caller of that number."""
+    head = (
+        "POST /v1/trail-sheet HTTP/1.1\r\nHost: app.svc\r\nTrace-Id: %016x\r\nAccepted-At-Ms: %d\r\n"
+        "Client-No: %d\r\nReserve-Kb: 10\r\nStanding: 0.5\r\nLookup-Key: %016x\r\n"
+        "Content-Length: %d\r\n\r\n"
+        % (dice.getrandbits(64), int(time.time() * 1000), number, dice.getrandbits(64), len(BODY))
+    )
+    return head.encode() + BODY
 
 
-async def records(reader, writer):
-    try:
-        while True:
-            words = (await reader.readline()).split()
-            if not words:
-                return
-            if words[0] == b"OP":
-                await reader.readexactly(int(words[3]) + 2)
-                writer.write(words[1] + b" DONE 2\r\nok\r\n")
-    except (ConnectionError, asyncio.IncompleteReadError):
-        return
-
-
-async def caller(port, count, number, answers):
-    reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    rng = random.Random(number)
+async def send_requests(port, count, number, answers):
+    """Sends `count` requests one after another over one connection, and counts the answers by status."""
+    reader, writer = await asyncio.open_connection(HOST, port)
+    dice = random.Random(number)
     for _ in range(count):
-        body = b"x" * 64
-        head = (
-            "POST /v1/trail-sheet HTTP/1.1\r\nHost: app.svc\r\nTrace-Id: %016x\r\nAccepted-At-Ms: %d\r\n"
-            "Client-No: %d\r\nReserve-Kb: 10\r\nStanding: 0.5\r\nLookup-Key: %016x\r\n"
-            "Content-Length: %d\r\n\r\n"
-            % (rng.getrandbits(64), int(time.time() * 1000), number, rng.getrandbits(64), len(body))
-        )
-        writer.write(head.encode() + body)
-        status = await reader.readuntil(b"\r\n\r\n")
-        length = re.search(rb"(?i)content-length: *(\d+)", status)
-        if length:
-            await reader.readexactly(int(length.group(1)))
-        answers[status.split()[1].decode()] = answers.get(status.split()[1].decode(), 0) + 1
+        writer.write(request(number, dice))
+        head = await read_http_message(reader)
+        status = head.split()[1].decode()
+        answers[status] = answers.get(status, 0) + 1
     writer.close()
 
 
-def counts(path):
+def read_strace_summary(path):
     """The calls by name in an strace -c summary."""
-    out = {}
-    for line in open(path):
-        parts = line.split()
-        if len(parts) >= 5 and parts[-1] not in ("total", "syscall") and parts[0][0].isdigit():
-            out[parts[-1]] = int(parts[3])
-    return out
+    calls = {}
+    with open(path) as summary:
+        for line in summary:
+            columns = line.split()
+            if len(columns) < 5 or columns[-1] in ("total", "syscall") or not columns[0][0].isdigit():
+                continue
+            calls[columns[-1]] = int(columns[3])
+    return calls
+
+
+async def wait_until_listening(port):
+    """Returns when the port accepts a connection, or after ten seconds."""
+    for _ in range(LISTEN_ATTEMPTS):
+        try:
+            _, writer = await asyncio.open_connection(HOST, port)
+            writer.close()
+            return
+        except OSError:
+            await asyncio.sleep(LISTEN_RETRY_S)
 
 
-async def main():
-    p = argparse.ArgumentParser()
-    p.add_argument("binary")
-    p.add_argument("--idle", type=float, default=60.0)
-    p.add_argument("--requests", type=int, default=2000)
-    p.add_argument("--callers", type=int, default=4)
-    p.add_argument("--work", type=float, default=0.002)
-    p.add_argument("--preload", default="")
-    args = p.parse_args()
-    servers = [
-        await asyncio.start_server(Engine(args.work).serve, "127.0.0.1", 0),
-        await asyncio.start_server(records, "127.0.0.1", 0),
-        await asyncio.start_server(directory, "127.0.0.1", 0),
-    ]
-    engine, recs, lookup = ("127.0.0.1:%d" % s.sockets[0].getsockname()[1] for s in servers)
-    folder = tempfile.mkdtemp()
-    port = 20000 + os.getpid() % 20000
+def stop(process):
+    """Ends the node, by force if it takes too long."""
+    process.send_signal(signal.SIGINT)
+    try:
+        process.wait(EXIT_TIMEOUT_S)
+    except subprocess.TimeoutExpired:
+        process.kill()
+        process.wait()
+
+
+async def run_phase(args, config_path, port, name, idle, requests):
+    """Starts the node under strace, idles, sends the requests, and counts the calls."""
+    trace = os.path.join(os.path.dirname(config_path), name + ".strace")
+    environment = dict(os.environ, NODE_CONFIG=config_path)
+    if args.preload:
+        environment.update(LD_PRELOAD=args.preload, CLOCKS_OUT=trace + ".clocks")
+    with open(trace + ".log", "w") as log:
+        node = subprocess.Popen([args.binary], env=environment, stdout=subprocess.DEVNULL, stderr=log)
+    await wait_until_listening(port)
+    await asyncio.sleep(SETTLE_S)
+    tracer = subprocess.Popen(
+        ["strace", "-f", "-c", "-o", trace, "-p", str(node.pid)],
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+    )
+    await asyncio.sleep(ATTACH_S)
+    start = time.monotonic()
+    await asyncio.sleep(idle)
+    answers = {}
+    if requests:
+        callers = (
+            send_requests(port, requests // args.callers, number, answers) for number in range(args.callers)
+        )
+        await asyncio.wait_for(asyncio.gather(*callers), LOAD_TIMEOUT_S)
+    seconds = time.monotonic() - start
+    stop(node)
+    tracer.wait(EXIT_TIMEOUT_S)
+    print_wakes(args, name, seconds, trace)
+    return Phase(read_strace_summary(trace), seconds, answers)
+
+
+def print_wakes(args, name, seconds, trace):
+    """Prints the node's own count of timer wakes, and what the preloaded library has counted."""
+    with open(trace + ".log") as log:
+        wakes = [line.strip() for line in log if "timer wakes" in line]
+    print(name, "%.1f s," % seconds, wakes[-1] if wakes else "no count of wakes")
+    if args.preload and os.path.exists(trace + ".clocks"):
+        with open(trace + ".clocks") as clocks:
+            print(name, "%.1f s" % seconds, clocks.read().strip())
+
+
+def print_table(idle, load):
+    """Prints each call's rate of the idle phase, and its cost a request beyond that rate."""
+    print("answers under load: %s" % load.answers)
+    print("%-20s %12s %12s %14s" % ("call", "idle/s", "load total", "per request"))
+    names = sorted(set(idle.calls) | set(load.calls), key=lambda name: -load.calls.get(name, 0))
+    total_rate = total_cost = 0.0
+    for name in names:
+        rate = idle.calls.get(name, 0) / idle.seconds
+        cost = (load.calls.get(name, 0) - rate * load.seconds) / max(load.answer_count(), 1)
+        total_rate += rate
+        total_cost += cost
+        print("%-20s %12.2f %12d %14.2f" % (name, rate, load.calls.get(name, 0), cost))
+    print("%-20s %12.2f %12s %14.2f" % ("all", total_rate, "", total_cost))
+
+
+def write_config(folder, port, engine, records, directory):
+    """Writes the node's configuration; returns its path. Services are asyncio servers."""
     config = {
         "name": "n1",
         "seed": "7",
         "stop_ms": 3000,
-        "listen": "127.0.0.1:%d" % port,
-        "engine": engine,
-        "records": recs,
-        "lookup": lookup,
+        "listen": "%s:%d" % (HOST, port),
+        "engine": "%s:%d" % (HOST, port_of(engine)),
+        "records": "%s:%d" % (HOST, port_of(records)),
+        "lookup": "%s:%d" % (HOST, port_of(directory)),
         "settings": {
             "classes": [{"name": "trail-sheet", "effect": "free", "deadline": 4000, "target": 2000}],
             "domain": {"cores": 4, "memory-kb": 80000},
         },
     }
-    with open(os.path.join(folder, "node.json"), "w") as f:
-        json.dump(config, f)
-    phases = {}
-    for phase, idle, requests in (("idle", args.idle, 0), ("load", 1.0, args.requests)):
-        trace = os.path.join(folder, phase + ".strace")
-        env = dict(os.environ, NODE_CONFIG=os.path.join(folder, "node.json"))
-        if args.preload:  # a library of one's own that counts what strace cannot see, such as clock reads
-            env.update(LD_PRELOAD=args.preload, CLOCKS_OUT=trace + ".clocks")
-        log = open(trace + ".log", "w")
-        node = subprocess.Popen([args.binary], env=env, stdout=subprocess.DEVNULL, stderr=log)
-        for _ in range(200):  # until it listens
-            try:
-                _, w = await asyncio.open_connection("127.0.0.1", port)
-                w.close()
-                break
-            except OSError:
-                await asyncio.sleep(0.05)
-        await asyncio.sleep(1.0)  # engine attached, first report made
-        tracer = subprocess.Popen(
-            ["strace", "-f", "-c", "-o", trace, "-p", str(node.pid)],
-            stdout=subprocess.DEVNULL,
-            stderr=subprocess.DEVNULL,
-        )
-        await asyncio.sleep(0.5)  # attached
-        start = time.monotonic()
-        await asyncio.sleep(idle)
-        answers = {}
-        if requests:
-            each = requests // args.callers
-            await asyncio.wait_for(
-                asyncio.gather(*(caller(port, each, n, answers) for n in range(args.callers))), 120
-            )
-        seconds = time.monotonic() - start
-        node.send_signal(signal.SIGINT)
-        try:
-            node.wait(10)
-        except subprocess.TimeoutExpired:
-            node.kill()
-            node.wait()
-        tracer.wait(10)
-        phases[phase] = (counts(trace), seconds, sum(answers.values()), answers)
-        wakes = [line.strip() for line in open(trace + ".log") if "timer wakes" in line]
-        print(phase, "%.1f s," % seconds, wakes[-1] if wakes else "no count of wakes")
-        if args.preload and os.path.exists(trace + ".clocks"):
-            print(phase, "%.1f s" % seconds, open(trace + ".clocks").read().strip())
-    idle_calls, idle_s, _, _ = phases["idle"]
-    load_calls, load_s, served, answers = phases["load"]
-    print("answers under load: %s" % answers)
-    print("%-20s %12s %12s %14s" % ("call", "idle/s", "load total", "per request"))
-    names = sorted(set(idle_calls) | set(load_calls), key=lambda n: -load_calls.get(n, 0))
-    total_idle = total_request = 0.0
-    for n in names:
-        rate = idle_calls.get(n, 0) / idle_s
-        per = (load_calls.get(n, 0) - rate * load_s) / max(served, 1)
-        total_idle += rate
-        total_request += per
-        print("%-20s %12.2f %12d %14.2f" % (n, rate, load_calls.get(n, 0), per))
-    print("%-20s %12.2f %12s %14.2f" % ("all", total_idle, "", total_request))
+    path = os.path.join(folder, "node.json")
+    with open(path, "w") as file:
+        json.dump(config, file)
+    return path
+
+
+def parse_arguments():
+    """Reads the command line."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("binary")
+    parser.add_argument("--idle", type=float, default=60.0)
+    parser.add_argument("--requests", type=int, default=2000)
+    parser.add_argument("--callers", type=int, default=4)
+    parser.add_argument("--work", type=float, default=0.002)
+    parser.add_argument("--preload", default="")
+    return parser.parse_args()
+
+
+async def main():
+    """Runs both phases and prints the table."""
+    args = parse_arguments()
+    engine = await asyncio.start_server(FakeEngine(args.work).serve, HOST, 0)
+    records = await asyncio.start_server(serve_records, HOST, 0)
+    directory = await asyncio.start_server(serve_directory, HOST, 0)
+    port = free_port()
+    config_path = write_config(tempfile.mkdtemp(), port, engine, records, directory)
+    idle = await run_phase(args, config_path, port, "idle", args.idle, 0)
+    load = await run_phase(args, config_path, port, "load", 1.0, args.requests)
+    print_table(idle, load)
 
 
 if __name__ == "__main__":
--- a/bench/plot_report.py
+++ b/bench/plot_report.py
@@ -12,61 +12,96 @@
 import matplotlib
 
 matplotlib.use("Agg")
-import matplotlib.pyplot as plt  # noqa: E402
+import matplotlib.pyplot as plt  # noqa: E402 (after the choice of the backend)
 import numpy as np  # noqa: E402
 
+COLUMN_WIDTH = 4.6  # inches
+MIN_WIDTH = 6.0
+HEIGHT = 9.0
+MAX_DRAWN_SHARE = 2.0
+MAX_DRAWN_IMBALANCE = 6.0
+MIN_DRAWN_IMBALANCE = 1.4
+IMBALANCE_GOAL = 1.25  # busiest over the mean
+STRETCH_S = 0.25
+QUANTILES = (("p50_ms", "p50"), ("p95_ms", "p95"), ("p99_ms", "p99"), ("p999_ms", "p99.9"))
 
-def main(out, paths):
+
+def stretches_of(report):
+    """The report's stretches of time: start, shares of the servers, busiest over the mean, mean share."""
+    return report["evenness"]["stretches"]
+
+
+def max_over_stretches(reports, value_of):
+    """The largest value of any stretch of any report."""
+    return max(max(value_of(stretch) for stretch in stretches_of(report)) for report in reports)
+
+
+def draw_shares(figure, axis, report, max_share):
+    """Draws the load of each server over time as colours, the smallest server first."""
+    stretches = stretches_of(report)
+    shares = np.array([stretch["shares"] for stretch in stretches]).T
+    order = np.argsort(np.array(report["places"]), kind="stable")
+    image = axis.imshow(
+        shares[order],
+        aspect="auto",
+        origin="lower",
+        vmin=0.0,
+        vmax=min(MAX_DRAWN_SHARE, max_share),
+        cmap="viridis",
+        extent=(stretches[0]["at_s"], stretches[-1]["at_s"] + STRETCH_S, 0, len(shares)),
+        interpolation="nearest",
+    )
+    axis.set_title("%s\n%s, %s" % (report["experiment"], report["policy"], report["how"]), fontsize=10)
+    axis.set_ylabel("server, smallest first")
+    figure.colorbar(image, ax=axis, label="calls in hand / places")
+
+
+def draw_imbalance(axis, report, max_imbalance):
+    """Draws the busiest server over the mean, and the mean, over time."""
+    stretches = stretches_of(report)
+    times = [stretch["at_s"] for stretch in stretches]
+    axis.plot(times, [stretch["worst"] for stretch in stretches], label="busiest over the mean")
+    axis.plot(times, [stretch["mean"] for stretch in stretches], label="mean share")
+    axis.axhline(IMBALANCE_GOAL, color="grey", linestyle=":", label="%.2f" % IMBALANCE_GOAL)
+    axis.set_ylim(0.0, min(MAX_DRAWN_IMBALANCE, max(MIN_DRAWN_IMBALANCE, max_imbalance * 1.1)))
+    axis.set_xlabel("s")
+    axis.legend(fontsize=8)
+
+
+def draw_latencies(axis, report):
+    """Draws quantiles of the answer time as bars, with the other figures as the title."""
+    figures = report["figures"]
+    labels = [label for _, label in QUANTILES]
+    bars = axis.bar(labels, [figures[key] for key, _ in QUANTILES], color="tab:blue")
+    axis.bar_label(bars, fmt="%.0f", fontsize=8)
+    axis.set_ylabel("answer, ms")
+    axis.set_title(
+        "worst p99 %.3f, idle %.2f%%, cv %.3f, errors %.2f%%"
+        % (
+            figures["worst_p99"],
+            100.0 * figures["idle"],
+            figures["variation"],
+            100.0 * figures["errors"],
+        ),
+        fontsize=9,
+    )
+
+
+def main(image_path, report_paths):
+    """Draws the reports into the image."""
     reports = []
-    for path in paths:
-        with open(path) as f:
-            reports.append(json.load(f))
-    n = len(reports)
-    fig, axes = plt.subplots(3, n, figsize=(max(6.0, 4.6 * n), 9.0), squeeze=False, constrained_layout=True)
-    top = max(max(max(s["shares"]) for s in r["evenness"]["stretches"]) for r in reports)
-    worst = max(max(s["worst"] for s in r["evenness"]["stretches"]) for r in reports)
-    for col, r in enumerate(reports):
-        stretches = r["evenness"]["stretches"]
-        at = [s["at_s"] for s in stretches]
-        shares = np.array([s["shares"] for s in stretches]).T
-        order = np.argsort(np.array(r["places"]), kind="stable")
-        heat = axes[0][col].imshow(
-            shares[order],
-            aspect="auto",
-            origin="lower",
-            vmin=0.0,
-            vmax=min(2.0, top),
-            cmap="viridis",
-            extent=(at[0], at[-1] + 0.25, 0, len(shares)),
-            interpolation="nearest",
-        )
-        axes[0][col].set_title("%s\n%s, %s" % (r["experiment"], r["policy"], r["how"]), fontsize=10)
-        axes[0][col].set_ylabel("server, smallest first")
-        fig.colorbar(heat, ax=axes[0][col], label="calls in hand / places")
-        axes[1][col].plot(at, [s["worst"] for s in stretches], label="busiest over the mean")
-        axes[1][col].plot(at, [s["mean"] for s in stretches], label="mean share")
-        axes[1][col].axhline(1.25, color="grey", linestyle=":", label="1.25")
-        axes[1][col].set_ylim(0.0, min(6.0, max(1.4, worst * 1.1)))
-        axes[1][col].set_xlabel("s")
-        axes[1][col].legend(fontsize=8)
-        figures = r["figures"]
-        names = [("p50_ms", "p50"), ("p95_ms", "p95"), ("p99_ms", "p99"), ("p999_ms", "p99.9")]
-        bars = axes[2][col].bar(
-            [label for _, label in names], [figures[k] for k, _ in names], color="tab:blue"
-        )
-        axes[2][col].bar_label(bars, fmt="%.0f", fontsize=8)
-        axes[2][col].set_ylabel("answer, ms")
-        axes[2][col].set_title(
-            "worst p99 %.3f, idle %.2f%%, cv %.3f, errors %.2f%%"
-            % (
-                figures["worst_p99"],
-                100.0 * figures["idle"],
-                figures["variation"],
-                100.0 * figures["errors"],
-            ),
-            fontsize=9,
-        )
-    fig.savefig(out, dpi=80)
+    for path in report_paths:
+        with open(path) as file:
+            reports.append(json.load(file))
+    size = (max(MIN_WIDTH, COLUMN_WIDTH * len(reports)), HEIGHT)
+    figure, axes = plt.subplots(3, len(reports), figsize=size, squeeze=False, constrained_layout=True)
+    max_share = max_over_stretches(reports, lambda stretch: max(stretch["shares"]))
+    max_imbalance = max_over_stretches(reports, lambda stretch: stretch["worst"])
+    for column, report in enumerate(reports):
+        draw_shares(figure, axes[0][column], report, max_share)
+        draw_imbalance(axes[1][column], report, max_imbalance)
+        draw_latencies(axes[2][column], report)
+    figure.savefig(image_path, dpi=80)
 
 
 if __name__ == "__main__":
--- a/bench/plot_roll.py
+++ b/bench/plot_roll.py
@@ -1,5 +1,5 @@
 #!/usr/bin/python3
-"""Draws the report of a roll: errors, refusals, late answers and the 99th percentile of both groups over
+"""Draws the report of a rollout: errors, rejections, late answers and the 99th percentile of both groups over
 time, by stage.
 
 Use: bench/plot_roll.py OUT.png REPORT.json
@@ -12,48 +12,74 @@
 import matplotlib
 
 matplotlib.use("Agg")
-import matplotlib.pyplot as plt  # noqa: E402
+import matplotlib.pyplot as plt  # noqa: E402 (after the choice of the backend)
 
-STEP = 10  # looks in one point
+SAMPLES_PER_POINT = 10
+GROUPS = (("unchanged", "tab:blue"), ("changed", "tab:orange"))
+# Field of a point and label of its axis.
+AXES = (("errors", "errors, %"), ("shed", "refused, %"), ("late", "late, %"), ("p99_ms", "p99, ms"))
+RATES = ("errors", "shed", "late")
 
 
-def main(out, path):
-    with open(path) as f:
-        report = json.load(f)
+def seconds_between(start_us, time_us):
+    """Seconds from one time in microseconds to another."""
+    return (time_us - start_us) / 1e6
+
+
+def points_of(samples, group):
+    """The points of a group: their times in seconds, and the values of each axis."""
+    start_us = samples[0]["at_us"]
+    times = []
+    values = {name: [] for name, _ in AXES}
+    for first in range(0, len(samples), SAMPLES_PER_POINT):
+        chunk = samples[first : first + SAMPLES_PER_POINT]
+        counts = [sample[group] for sample in chunk]
+        requests = sum(count["ok"] + count["shed"] + count["errors"] for count in counts)
+        if requests == 0:
+            continue
+        times.append(seconds_between(start_us, chunk[-1]["at_us"]))
+        for name in RATES:
+            values[name].append(100.0 * sum(count[name] for count in counts) / requests)
+        values["p99_ms"].append(max(count["p99_ms"] for count in counts))
+    return times, values
+
+
+def draw_group(axes, samples, group, colour):
+    """Draws the lines of a group."""
+    times, values = points_of(samples, group)
+    for axis, (name, label) in zip(axes, AXES):
+        axis.plot(times, values[name], color=colour, label=group)
+        axis.set_ylabel(label)
+
+
+def draw_stage(axes, start_us, stage):
+    """Marks the beginning of a stage, and writes what it came to."""
+    began = seconds_between(start_us, stage["began_us"])
+    for axis in axes:
+        axis.axvline(began, color="grey", linestyle=":")
+    axes[0].text(
+        began,
+        axes[0].get_ylim()[1],
+        " %d changed: %s" % (stage["changed"], stage["verdict"]),
+        fontsize=8,
+        va="top",
+    )
+
+
+def main(image_path, report_path):
+    """Draws the report into the image."""
+    with open(report_path) as file:
+        report = json.load(file)
     samples = report["samples"]
-    start = samples[0]["at_us"]
-    fig, axes = plt.subplots(4, 1, figsize=(9.0, 10.0), sharex=True, constrained_layout=True)
-    for group, colour in (("unchanged", "tab:blue"), ("changed", "tab:orange")):
-        at, lines = [], {"errors": [], "shed": [], "late": [], "p99_ms": []}
-        for i in range(0, len(samples), STEP):
-            some = [s[group] for s in samples[i : i + STEP]]
-            n = sum(g["ok"] + g["shed"] + g["errors"] for g in some)
-            if n == 0:
-                continue
-            at.append((samples[min(i + STEP, len(samples)) - 1]["at_us"] - start) / 1e6)
-            for name in ("errors", "shed", "late"):
-                lines[name].append(100.0 * sum(g[name] for g in some) / n)
-            lines["p99_ms"].append(max(g["p99_ms"] for g in some))
-        for axis, (name, label) in zip(
-            axes,
-            (("errors", "errors, %"), ("shed", "refused, %"), ("late", "late, %"), ("p99_ms", "p99, ms")),
-        ):
-            axis.plot(at, lines[name], color=colour, label=group)
-            axis.set_ylabel(label)
+    figure, axes = plt.subplots(len(AXES), 1, figsize=(9.0, 10.0), sharex=True, constrained_layout=True)
+    for group, colour in GROUPS:
+        draw_group(axes, samples, group, colour)
     for stage in report["stages"]:
-        for axis in axes:
-            axis.axvline((stage["began_us"] - start) / 1e6, color="grey", linestyle=":")
-        axes[0].text(
-            (stage["began_us"] - start) / 1e6,
-            axes[0].get_ylim()[1],
-            " %d changed: %s" % (stage["changed"], stage["verdict"]),
-            fontsize=8,
-            va="top",
-        )
+        draw_stage(axes, samples[0]["at_us"], stage)
     axes[0].set_title("%s: %s %s" % (report["roll"], report["phase"], report["why"]), fontsize=9)
     axes[0].legend(fontsize=8, loc="center left")
     axes[-1].set_xlabel("s")
-    fig.savefig(out, dpi=80)
+    figure.savefig(image_path, dpi=80)
 
 
 if __name__ == "__main__":
--- a/bench/restart.py
+++ b/bench/restart.py
@@ -1,153 +1,204 @@
 #!/usr/bin/env python3
-"""Restart experiment: the first 10 s of a cold start against one with restored knowledge, right and wrong
-by 4 times.
+"""Restart experiment: the first 10 s of a cold start against one with restored state, right and wrong by 4
+times.
 
 Use: bench/restart.py build/cressledge [REPEATS]
 
-Stand-ins of four cores work for each of four programs at the same moment, under the same requests at about
-120% of what the cores do. Knowledge comes from earlier lives: one on the same stand-in, one on a stand-in
-four times slower, one on one four times faster. Prints served worth (of the worth asked for) and refusals.
-Loopback only; ends by itself.
+Fake upstreams of four cores work for each of four programs at the same moment, under the same requests at
+about 120% of what the cores do. The state comes from earlier runs: one on the same upstream, one on an
+upstream four times slower, one on one four times faster. Prints the served priority weight (as a fraction
+of that requested), rejections and requests. Loopback only; ends by itself.
 """
 import asyncio
 import os
 import random
 import signal
-import socket
 import subprocess
 import sys
 import tempfile
+from dataclasses import dataclass
 
-CORES, SECONDS, WARM = 4, 10.0, 12.0
-KINDS = {"trail-sheet": (0.10, 1, 2.9), "route-profile": (0.03, 2, 1.5)}  # work in seconds, worth, target
-SHARE = {"trail-sheet": 0.5, "route-profile": 0.5}
-LOAD = 1.2
+from fakes import HOST, FakeUpstream, free_port, port_of
 
+CORES = 4
+MEASURED_S = 10.0
+LEARNING_S = 12.0
+OFFERED_LOAD = 1.2  # of what the cores do
+DEFAULT_REPEATS = 3
+LISTEN_ATTEMPTS = 100
+LISTEN_RETRY_S = 0.05
+REQUEST_TIMEOUT_S = 20
+EXIT_TIMEOUT_S = 10
+LATE_WEIGHT_FACTOR = 0.2
 
-class StandIn:
-    def __init__(self, factor):
-        self.factor, self.cores = factor, asyncio.Semaphore(CORES)
 
-    async def serve(self, reader, writer):
-        try:
-            head = await reader.readuntil(b"\r\n\r\n")
-            kind = head.split(b" ", 2)[1].rpartition(b"/")[2].decode()
-            async with self.cores:
-                await asyncio.sleep(KINDS[kind][0] * self.factor)
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nmap")
-            await writer.drain()
-        except (asyncio.IncompleteReadError, ConnectionError):
-            pass
-        finally:
-            writer.close()
+@dataclass(frozen=True)
+class RequestClass:
+    """Work in seconds, priority weight, latency objective in seconds, fraction of the requests."""
 
+    work: float
+    weight: int
+    objective: float
+    fraction: float
 
-def free_port():
-    with socket.create_server(("127.0.0.1", 0)) as s:
-        return s.getsockname()[1]
 
+CLASSES = {
+    "trail-sheet": RequestClass(0.10, 1, 2.9, 0.5),
+    "route-profile": RequestClass(0.03, 2, 1.5, 0.5),
+}
+MEAN_WORK_S = sum(c.fraction * c.work for c in CLASSES.values())
 
-async def life(binary, folder, state, factor, seconds, seed):
-    """One life of the program: served worth, asked worth, refusals, requests."""
-    server = await asyncio.start_server(StandIn(factor).serve, "127.0.0.1", 0)
-    port, name = free_port(), "%s-%s-%d" % (state or "cold", factor, seed)
-    with open(os.path.join(folder, name + ".csv"), "w") as f:
-        f.write(
-            "name,address,protocol,group\nup,127.0.0.1:%d,http,maps\n" % server.sockets[0].getsockname()[1]
-        )
+# Upstream slowness in the run that a state was learned in, by the name of the state.
+LEARNING_FACTORS = {"right": 1.0, "slow": 4.0, "fast": 0.25}
+# The state that a measured run restores, by the row's label; None: it starts cold.
+ROWS = {"cold": None, "restored": "right", "4x too dear": "slow", "4x too cheap": "fast"}
+
+
+@dataclass
+class Totals:
+    """What became of the requests of one run or more."""
+
+    served_weight: float = 0.0
+    requested_weight: float = 0.0
+    rejected: int = 0
+    requests: int = 0
+
+    def add(self, other):
+        """Adds the totals of another run."""
+        self.served_weight += other.served_weight
+        self.requested_weight += other.requested_weight
+        self.rejected += other.rejected
+        self.requests += other.requests
+
+
+def write_config(folder, name, port, upstream_port, state):
+    """Writes the inventory and the operator's file; returns the path of the latter."""
+    with open(os.path.join(folder, name + ".csv"), "w") as file:
+        file.write("name,address,protocol,group\nup,%s:%d,http,maps\n" % (HOST, upstream_port))
     path = os.path.join(folder, name + ".yaml")
-    with open(path, "w") as f:
-        f.write(
-            "listen: {http: 127.0.0.1:%d}\ninventory: %s.csv\ncores: %d\nclasses:\n" % (port, name, CORES)
+    with open(path, "w") as file:
+        file.write(
+            "listen: {http: %s:%d}\ninventory: %s.csv\ncores: %d\nclasses:\n" % (HOST, port, name, CORES)
         )
-        for kind, (_, worth, target) in KINDS.items():
-            f.write(
-                "  - {name: %s, effect: safe, worth: %d, late_worth: 0.2, target_ms: %d, deadline_ms: %d}\n"
-                % (kind, worth, target * 1000, target * 3000)
+        for class_name, c in CLASSES.items():
+            file.write(
+                "  - {name: %s, effect: safe, worth: %d, late_worth: %s, target_ms: %d, deadline_ms: %d}\n"
+                % (class_name, c.weight, LATE_WEIGHT_FACTOR, c.objective * 1000, c.objective * 3000)
             )
         if state:
-            f.write("learning: {folder: %s, node: n1, period_s: 1}\n" % state)
-    log = open(os.path.join(folder, name + ".log"), "w")
-    program = subprocess.Popen([binary, "serve", "--operator", path], stderr=log)
-    got = {"worth": 0.0, "asked": 0.0, "refused": 0, "all": 0}
-
-    async def ask(kind):
-        work, worth, target = KINDS[kind]
-        got["all"] += 1
-        got["asked"] += worth
-        from_ = asyncio.get_running_loop().time()
+            file.write("learning: {folder: %s, node: n1, period_s: 1}\n" % state)
+    return path
+
+
+async def wait_until_listening(port):
+    """Returns when the port accepts a connection, or after five seconds."""
+    for _ in range(LISTEN_ATTEMPTS):
         try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(
-                ("POST /v1/%s HTTP/1.1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx" % kind).encode()
-            )
-            answer = await asyncio.wait_for(reader.read(), 20)
+            _, writer = await asyncio.open_connection(HOST, port)
             writer.close()
-        except (OSError, asyncio.TimeoutError):
             return
-        took = asyncio.get_running_loop().time() - from_
-        got["refused"] += answer.startswith(b"HTTP/1.1 503")
-        if answer.startswith(b"HTTP/1.1 200"):
-            got["worth"] += worth if took <= target else 0.2 * worth
+        except OSError:
+            await asyncio.sleep(LISTEN_RETRY_S)
+
 
+async def send_request(port, class_name, totals):
+    """Sends one request and counts what became of it."""
+    request_class = CLASSES[class_name]
+    totals.requests += 1
+    totals.requested_weight += request_class.weight
+    clock = asyncio.get_running_loop()
+    start = clock.time()
     try:
-        for _ in range(100):
-            try:
-                _, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.close()
-                break
-            except OSError:
-                await asyncio.sleep(0.05)
-        dice = random.Random(seed)
-        mean = sum(SHARE[k] * KINDS[k][0] for k in KINDS)
-        rate, clock = LOAD * CORES / mean, asyncio.get_running_loop()
-        start, at, tasks = clock.time(), 0.0, []
-        while at < seconds:
-            at += dice.expovariate(rate / (factor if state in ("slow", "fast") else 1.0))
-            kind = "trail-sheet" if dice.random() < SHARE["trail-sheet"] else "route-profile"
-            await asyncio.sleep(max(0.0, start + at - clock.time()))
-            tasks.append(asyncio.create_task(ask(kind)))
-        await asyncio.gather(*tasks)
-    finally:
-        program.send_signal(signal.SIGTERM)
-        await asyncio.to_thread(program.wait, 10)
-        server.close()
-        log.close()
-    return got
+        reader, writer = await asyncio.open_connection(HOST, port)
+        writer.write(
+            ("POST /v1/%s HTTP/1.1\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx" % class_name).encode()
+        )
+        answer = await asyncio.wait_for(reader.read(), REQUEST_TIMEOUT_S)
+        writer.close()
+    except (OSError, asyncio.TimeoutError):
+        return
+    is_late = clock.time() - start > request_class.objective
+    totals.rejected += answer.startswith(b"HTTP/1.1 503")
+    if answer.startswith(b"HTTP/1.1 200"):
+        totals.served_weight += request_class.weight * (LATE_WEIGHT_FACTOR if is_late else 1.0)
+
+
+async def send_load(port, seconds, rate, seed, totals):
+    """Sends requests as an open loop (Poisson) for so many seconds, and waits for their answers."""
+    dice = random.Random(seed)
+    clock = asyncio.get_running_loop()
+    start = clock.time()
+    offset = 0.0
+    tasks = []
+    while offset < seconds:
+        offset += dice.expovariate(rate)
+        is_first_class = dice.random() < CLASSES["trail-sheet"].fraction
+        class_name = "trail-sheet" if is_first_class else "route-profile"
+        await asyncio.sleep(max(0.0, start + offset - clock.time()))
+        tasks.append(asyncio.create_task(send_request(port, class_name, totals)))
+    await asyncio.gather(*tasks)
+
+
+async def run_program(binary, folder, state, factor, seconds, seed):
+    """Runs the program once under load.
+
+    `state`: its folder of learned state, or None. `factor`: slowness of its upstream; the load of a run that
+    learns a wrong state is lower by it.
+    """
+    work_by_class = {name: c.work * factor for name, c in CLASSES.items()}
+    upstream = await asyncio.start_server(FakeUpstream(CORES, work_by_class).serve, HOST, 0)
+    port = free_port()
+    name = "%s-%s-%d" % (state or "cold", factor, seed)
+    path = write_config(folder, name, port, port_of(upstream), state)
+    rate = OFFERED_LOAD * CORES / MEAN_WORK_S
+    if state in ("slow", "fast"):
+        rate /= factor
+    totals = Totals()
+    with open(os.path.join(folder, name + ".log"), "w") as log:
+        program = subprocess.Popen([binary, "serve", "--operator", path], stderr=log)
+        try:
+            await wait_until_listening(port)
+            await send_load(port, seconds, rate, seed, totals)
+        finally:
+            program.send_signal(signal.SIGTERM)
+            await asyncio.to_thread(program.wait, EXIT_TIMEOUT_S)
+            upstream.close()
+    return totals
+
+
+async def learn_states(binary, folder, seed):
+    """Has the program learn each of the states, at the same moment."""
+    await asyncio.gather(
+        *(
+            run_program(binary, folder, state, factor, LEARNING_S, seed)
+            for state, factor in LEARNING_FACTORS.items()
+        )
+    )
+    # Measured runs restore a state under a name of its own, which does not lower their load.
+    for state in LEARNING_FACTORS:
+        os.rename(os.path.join(folder, state), os.path.join(folder, state + "-kept"))
 
 
 async def main():
-    binary, repeats = sys.argv[1], int(sys.argv[2]) if len(sys.argv) > 2 else 3
-    rows = {
-        "cold": (None, []),
-        "restored": ("right", []),
-        "4x too dear": ("slow", []),
-        "4x too cheap": ("fast", []),
-    }
+    """Learns, measures and prints, as often as asked."""
+    binary = sys.argv[1]
+    repeats = int(sys.argv[2]) if len(sys.argv) > 2 else DEFAULT_REPEATS
+    totals_by_row = {label: Totals() for label in ROWS}
     for seed in range(1, repeats + 1):
         with tempfile.TemporaryDirectory() as folder:
-            await asyncio.gather(
+            await learn_states(binary, folder, 100 + seed)
+            results = await asyncio.gather(
                 *(
-                    life(binary, folder, s, f, WARM, 100 + seed)
-                    for s, f in (("right", 1.0), ("slow", 4.0), ("fast", 0.25))
+                    run_program(binary, folder, state and state + "-kept", 1.0, MEASURED_S, seed)
+                    for state in ROWS.values()
                 )
             )
-            for s in ("right", "slow", "fast"):  # each life is told its state by a name of its own
-                os.rename(os.path.join(folder, s), os.path.join(folder, s + "-kept"))
-            done = await asyncio.gather(
-                *(
-                    life(binary, folder, state and state + "-kept", 1.0, SECONDS, seed)
-                    for state, _ in rows.values()
-                )
-            )
-            for (_, all_), got in zip(rows.values(), done):
-                all_.append(got)
-    print("start         served worth  refused  requests   (first %d s, %d repeats)" % (SECONDS, repeats))
-    for name, (_, all_) in rows.items():
-        total = {k: sum(g[k] for g in all_) for k in all_[0]}
-        print(
-            "%-13s %11.3f  %7d  %8d" % (name, total["worth"] / total["asked"], total["refused"], total["all"])
-        )
+            for label, totals in zip(ROWS, results):
+                totals_by_row[label].add(totals)
+    print("start         served worth  refused  requests   (first %d s, %d repeats)" % (MEASURED_S, repeats))
+    for label, totals in totals_by_row.items():
+        served = totals.served_weight / totals.requested_weight
+        print("%-13s %11.3f  %7d  %8d" % (label, served, totals.rejected, totals.requests))
 
 
 if __name__ == "__main__":
