--- a/src/base/timer_queue.hpp
+++ b/src/base/timer_queue.hpp
@@ -69,6 +69,7 @@
         Timestamp due;
         Handle handle;
 
+        // NOLINTNEXTLINE(modernize-use-nullptr): the literal 0 is the compiler's own.
         auto operator<=>(const Key&) const = default;
     };
 
--- a/src/load_balancing/subset.cpp
+++ b/src/load_balancing/subset.cpp
@@ -20,6 +20,7 @@
     struct HashedName {
         std::uint64_t hash;
         std::uint32_t index;
+        // NOLINTNEXTLINE(modernize-use-nullptr): the literal 0 is the compiler's own.
         auto operator<=>(const HashedName&) const = default;
     };
     std::vector<HashedName> hashed(names.size());
--- a/src/membership/suspicion_table.hpp
+++ b/src/membership/suspicion_table.hpp
@@ -94,6 +94,7 @@
         Timestamp at;
         MemberIndex member;
 
+        // NOLINTNEXTLINE(modernize-use-nullptr): the literal 0 is the compiler's own.
         auto operator<=>(const Timer&) const = default;
     };
 
