--- a/src/config/inventory.cpp
+++ b/src/config/inventory.cpp
@@ -11,6 +11,7 @@
 
 std::vector<std::string> InventoryError::texts_of(const std::vector<ConfigError>& errors) {
     std::vector<std::string> texts;
+    texts.reserve(errors.size());
     for (const ConfigError& error : errors)
         texts.emplace_back(error.what());
     return texts;
--- a/src/load_balancing/balancer.cpp
+++ b/src/load_balancing/balancer.cpp
@@ -45,6 +45,7 @@
     const auto& selected =
         subset_selector_.select(settings_.node_name, names_of(active_hosts), settings_.subset_size);
     std::vector<HostId> subset;
+    subset.reserve(selected.size());
     for (const std::uint32_t i : selected)
         subset.push_back(active_hosts[i]);
     return subset;
--- a/src/supervisor/child_process.cpp
+++ b/src/supervisor/child_process.cpp
@@ -34,6 +34,7 @@
 
 std::vector<char*> null_terminated(std::vector<std::string>& strings) {
     std::vector<char*> pointers;
+    pointers.reserve(strings.size() + 1);
     for (std::string& string : strings)
         pointers.push_back(string.data());
     pointers.push_back(nullptr);
--- a/src/upstream/executor.cpp
+++ b/src/upstream/executor.cpp
@@ -84,6 +84,7 @@
 
 void UpstreamExecutor::set_servers(const std::vector<config::Upstream>& servers) {
     std::vector<upstream_health::HostSpec> specs;
+    specs.reserve(servers.size());
     for (const config::Upstream& server : servers)
         specs.push_back(to_host_spec(server));
     const auto changes = hosts_.update(clock_.unix_now(), specs, random_);
