--- a/src/config/fleet.cpp
+++ b/src/config/fleet.cpp
@@ -18,7 +18,7 @@
 }
 
 std::string read_identifier(const YamlReader& reader, const YAML::Node& section, const char* name) {
-    const std::string identifier = reader.text(section, name);
+    std::string identifier = reader.text(section, name);
     if (!membership::is_valid_id(identifier))
         reader.fail(section[name], name,
                     "not 1 to 64 letters, digits, dots, dashes and underscores: " + identifier);
--- a/src/config/yaml_reader.cpp
+++ b/src/config/yaml_reader.cpp
@@ -108,7 +108,7 @@
 std::string YamlReader::address(const YAML::Node& map, const char* name) const {
     if (!map[name])
         return {};
-    const std::string value = text(map, name);
+    std::string value = text(map, name);
     if (!net::Address::parse(value))
         fail(map[name], name, "not an address with a port: " + value);
     return value;
--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -137,16 +137,16 @@
     const policy::RequestId request_id = request_id_of(event);
     const OpenRequest* request = request_id != 0 ? open_requests_.find(request_id) : nullptr;
     const std::uint64_t generation = request != nullptr ? request->generation : generations_.newest_serial();
-    post_event_to(generation, std::move(event), released_id);
+    post_event_to(generation, event, released_id);
 }
 
 void RequestManager::post_event_to(std::uint64_t generation, policy::Event event, RequestId released_id) {
-    event_queue_.push_back({std::move(event), released_id, generation});
+    event_queue_.push_back({event, released_id, generation});
     if (dispatching_)
         return;
     dispatching_ = true;
     while (!event_queue_.empty()) {
-        const QueuedEvent next = std::move(event_queue_.front());
+        const QueuedEvent next = event_queue_.front();
         event_queue_.pop_front();
         dispatch(next);
     }
--- a/src/rollout/rollout_settings.cpp
+++ b/src/rollout/rollout_settings.cpp
@@ -31,7 +31,7 @@
 }
 
 std::string read_name(const YamlReader& reader, const YAML::Node& document) {
-    const std::string name = reader.text(document, "name");
+    std::string name = reader.text(document, "name");
     if (name.size() > max_name_length)
         reader.fail(document["name"], "name", "over 128 characters");
     return name;
@@ -56,7 +56,7 @@
     if (file.empty())
         return "";
     const std::string overlay_path = resolve_beside(path, file);
-    const std::string text = config::read_file(overlay_path);
+    std::string text = config::read_file(overlay_path);
     const YAML::Node overlay = YAML::Load(text);
     if (!overlay.IsMap() || overlay.size() == 0)
         reader.fail(change["settings"], "settings", "not a mapping: " + overlay_path);
--- a/src/rollout/rollout_state_machine_bake.cpp
+++ b/src/rollout/rollout_state_machine_bake.cpp
@@ -69,7 +69,7 @@
     if (crashes == CrashFinding::suspect && !is_wait_over)
         return "a changed process has ended by itself";
     const Duration max_age = plan_.bake_time / 2;
-    if (const auto problem = find_visibility_problem(now, max_age, state_.targets, observations, traffic_))
+    if (auto problem = find_visibility_problem(now, max_age, state_.targets, observations, traffic_))
         return problem;
     if (analysis.verdict != CanaryVerdict::inconclusive)
         return std::nullopt;
