--- a/src/rollout/canary_statistics.cpp
+++ b/src/rollout/canary_statistics.cpp
@@ -16,8 +16,8 @@
 constexpr double min_process_rank_variance = 0.01;
 /// Keeps a probability off 0 and 1, where the distributions are not defined.
 constexpr double min_probability = 1e-12;
-/// Integration over a standard normal distribution.
-constexpr double integration_bound = 5.0;
+/// Integration over a standard normal distribution: steps to each side of its mean, as far as five standard deviations.
+constexpr int integration_steps = 40;
 constexpr double integration_step = 0.125;
 
 /// Estimate of log odds and its variance.
@@ -144,7 +144,8 @@
 double uncertain_binomial_upper_tail(const ProcessGroup& canary, const LogOdds& expected) {
     double p_value = 0.0;
     double weight_sum = 0.0;
-    for (double z = -integration_bound; z <= integration_bound; z += integration_step) {
+    for (int step = -integration_steps; step <= integration_steps; ++step) {
+        const double z = step * integration_step;
         const double weight = std::exp(-0.5 * z * z);
         const double probability = logistic(expected.mean + z * std::sqrt(expected.variance));
         p_value += weight * binomial_upper_tail(canary.trials, probability, canary.events);
--- a/src/rollout/rollout_state_machine.cpp
+++ b/src/rollout/rollout_state_machine.cpp
@@ -140,7 +140,7 @@
             continue;
         ++missing_count;
         last_missing = target.id;
-        if (has_rejected_update(target, observations)) {
+        if (observation != nullptr && has_rejected_update(target, *observation)) {
             start_rollback(now, target.id + " did not take the change: " + observation->change_error,
                            actions);
             return;
@@ -169,11 +169,9 @@
 }
 
 bool RolloutStateMachine::has_rejected_update(const RolloutTarget& target,
-                                              const Observations& observations) const {
-    const ProcessObservation* const observation = find_reachable(observations, target.id);
-    return observation != nullptr && observation->change_status == ChangeStatus::failed &&
-           updates_.was_requested(target.id) && observation->active_spec == target.original_spec &&
-           target.original_spec != target.updated_spec;
+                                              const ProcessObservation& observation) const {
+    return observation.change_status == ChangeStatus::failed && updates_.was_requested(target.id) &&
+           observation.active_spec == target.original_spec && target.original_spec != target.updated_spec;
 }
 
 void RolloutStateMachine::step_rolling_back(Timestamp now, const Observations& observations,
--- a/src/rollout/rollout_state_machine.hpp
+++ b/src/rollout/rollout_state_machine.hpp
@@ -85,7 +85,7 @@
 
     void step_updating(Timestamp now, const Observations& observations, RolloutActions& actions);
     void mark_stage_updated(std::size_t stage_size, RolloutActions& actions);
-    bool has_rejected_update(const RolloutTarget& target, const Observations& observations) const;
+    bool has_rejected_update(const RolloutTarget& target, const ProcessObservation& observation) const;
     void start_bake(Timestamp now, const Observations& observations, std::size_t stage_size,
                     RolloutActions& actions);
 
