--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -1,9 +1,9 @@
 #include "supervisor/supervisor.hpp"
 
-#include <signal.h>
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <csignal>
 #include <nlohmann/json.hpp>
 #include <utility>
 
--- a/src/supervisor/supervisor_polls.cpp
+++ b/src/supervisor/supervisor_polls.cpp
@@ -1,6 +1,5 @@
 /// How a supervisor learns that a process is ready and what became of a reload: it asks until there is an answer.
-#include <signal.h>
-
+#include <csignal>
 #include <cstdlib>
 
 #include "supervisor/live_settings.hpp"
--- a/tests/cressledge/store_test.cpp
+++ b/tests/cressledge/store_test.cpp
@@ -2,10 +2,11 @@
 // changed.
 #include "store/store.hpp"
 
-#include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
+
 #include "in_memory_file_system.hpp"
 #include "store/posix_file_system.hpp"
 #include "store_fixture.hpp"
--- a/tools/experiment/rollout_testbed.cpp
+++ b/tools/experiment/rollout_testbed.cpp
@@ -1,8 +1,8 @@
 #include "experiment/rollout_testbed.hpp"
 
-#include <signal.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <filesystem>
 #include <fstream>
 #include <stdexcept>
--- a/tools/fault_injection/process_cluster.cpp
+++ b/tools/fault_injection/process_cluster.cpp
@@ -1,12 +1,12 @@
 #include "fault_injection/process_cluster.hpp"
 
 #include <fcntl.h>
-#include <signal.h>
 #include <spdlog/fmt/fmt.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <csignal>
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
