--- a/src/frontend/http/http_session.cpp
+++ b/src/frontend/http/http_session.cpp
@@ -83,7 +83,7 @@
 }
 
 void HttpSession::handle_class_request() {
-    request::RequestManager& server = frontend_.server();
+    request::RequestManager& server = frontend().server();
     const std::string path = parser_.path();
     request::IncomingRequest incoming;
     incoming.class_index = server.class_index_of(path.substr(path.rfind('/') + 1));
@@ -104,7 +104,7 @@
 void HttpSession::log_invalid_field(const InvalidField& invalid) {
     static base::LogRateLimiter log_limiter;
     std::uint64_t suppressed = 0;
-    if (log_limiter.try_acquire(frontend_.server().now(), suppressed))
+    if (log_limiter.try_acquire(frontend().server().now(), suppressed))
         spdlog::info("http: invalid field name=\"{}\" suppressed={}", invalid.name, suppressed);
 }
 
--- a/src/frontend/scgi/scgi_session.cpp
+++ b/src/frontend/scgi/scgi_session.cpp
@@ -53,7 +53,7 @@
 void ScgiSession::reject(const char* status, const char* reason) {
     static base::LogRateLimiter log_limiter;
     std::uint64_t suppressed = 0;
-    if (log_limiter.try_acquire(frontend_.server().now(), suppressed))
+    if (log_limiter.try_acquire(frontend().server().now(), suppressed))
         spdlog::info("scgi: request rejected status=\"{}\" reason=\"{}\" suppressed={}", status, reason,
                      suppressed);
     is_finished_ = true;
@@ -67,7 +67,7 @@
         const std::string parameters = '&' + parser_.query() + '&';
         return check_health(parameters.find("&probe=1&") != std::string::npos);
     }
-    request::RequestManager& server = frontend_.server();
+    request::RequestManager& server = frontend().server();
     request::IncomingRequest incoming;
     const std::size_t slash = path.rfind('/');
     if (slash != std::string::npos)
--- a/src/frontend/session.hpp
+++ b/src/frontend/session.hpp
@@ -72,7 +72,7 @@
     /// Writes bytes ahead of the final response, such as 100 Continue.
     void send_interim(std::string_view bytes);
 
-    Frontend& frontend_;
+    Frontend& frontend() const { return frontend_; }
 
 private:
     friend class Frontend;
@@ -113,6 +113,7 @@
     void evict();
     void close_and_remove();
 
+    Frontend& frontend_;
     net::Stream* stream_ = nullptr;
     base::SlotId id_ = 0;
     request::RequestId request_id_ = 0;
--- a/src/platform/directory_reporter.cpp
+++ b/src/platform/directory_reporter.cpp
@@ -19,7 +19,7 @@
     : ReconnectingLink(loop, timers, address, descriptors), node_name_(std::move(node_name)) {}
 
 DirectoryReporter::~DirectoryReporter() {
-    timers_.cancel(report_timer_);
+    timers().cancel(report_timer_);
 }
 
 void DirectoryReporter::report(Mode mode) {
@@ -32,9 +32,8 @@
 }
 
 void DirectoryReporter::set_address(const net::Address& address) {
-    if (address == address_)
+    if (!change_address(address))
         return;
-    address_ = address;
     reset_connection();
     send_report();
 }
@@ -45,8 +44,8 @@
 }
 
 void DirectoryReporter::schedule_report(base::Duration delay) {
-    timers_.cancel(report_timer_);
-    report_timer_ = timers_.schedule(loop_.unix_now() + delay, [this] {
+    timers().cancel(report_timer_);
+    report_timer_ = timers().schedule(loop().unix_now() + delay, [this] {
         report_timer_ = 0;
         // The directory accepted the connection and does not answer.
         if (state_ == State::awaiting_response)
@@ -75,7 +74,7 @@
     report_outdated_ = false;
     state_ = State::awaiting_response;
     schedule_report(response_timeout);
-    stream_->write(encode_report());
+    stream()->write(encode_report());
 }
 
 void DirectoryReporter::on_open() {
@@ -116,7 +115,7 @@
 }
 
 void DirectoryReporter::on_end(bool) {
-    stream_ = nullptr;
+    forget_stream();
     // An idle connection that ends is no fault: the next report opens another.
     if (state_ != State::idle) {
         if (last_report_accepted_)
--- a/src/platform/engine_client.cpp
+++ b/src/platform/engine_client.cpp
@@ -29,12 +29,12 @@
 
 void EngineClient::connect() {
     try_connect();
-    if (stream_ == nullptr)
+    if (stream() == nullptr)
         schedule_reconnect();
 }
 
 void EngineClient::write(std::string_view bytes) {
-    if (stream_ != nullptr && !stream_->write(bytes))
+    if (stream() != nullptr && !stream()->write(bytes))
         drop_link("write buffer full");
 }
 
@@ -46,7 +46,7 @@
     run.unconfirmed_command = std::move(bytes);
     run.command_kind = kind;
     run.sequence = ++last_sequence_;
-    run.sent_at = synchronized_ ? loop_.unix_now() : base::Timestamp(0);
+    run.sent_at = synchronized_ ? loop().unix_now() : base::Timestamp(0);
     run.awaiting_confirmation = false;
     if (synchronized_)
         write(run.unconfirmed_command);
@@ -110,9 +110,8 @@
 }
 
 void EngineClient::set_address(const net::Address& address) {
-    if (address == address_)
+    if (!change_address(address))
         return;
-    address_ = address;
     mark_unsynchronized();
     disconnect();
     reset_backoff();
@@ -127,7 +126,7 @@
 }
 
 void EngineClient::on_end(bool refused) {
-    stream_ = nullptr;
+    forget_stream();
     if (synchronized_ || !refused)
         spdlog::warn("engine: link lost last_notice={}", last_notice_);
     mark_unsynchronized();
@@ -143,7 +142,7 @@
 
 void EngineClient::mark_unsynchronized() {
     if (std::exchange(synchronized_, false))
-        link_lost_at_ = loop_.unix_now();
+        link_lost_at_ = loop().unix_now();
 }
 
 std::string EngineClient::synchronization_tag() const {
@@ -180,7 +179,7 @@
             runs.push_back(&run);
     std::sort(runs.begin(), runs.end(),
               [](const ActiveRun* a, const ActiveRun* b) { return a->sequence < b->sequence; });
-    const base::Timestamp now = loop_.unix_now();
+    const base::Timestamp now = loop().unix_now();
     std::string bytes;
     for (ActiveRun* run : runs) {
         bytes += run->unconfirmed_command;
@@ -191,14 +190,14 @@
     spdlog::info("engine: link synchronized last_notice={} resent_commands={}", last_notice_, runs.size());
     if (!bytes.empty())
         write(bytes);
-    timers_.schedule(now + confirmation_timeout, [this, epoch = link_epoch_] {
+    timers().schedule(now + confirmation_timeout, [this, epoch = link_epoch_] {
         if (synchronized_ && epoch == link_epoch_)
             resend_unconfirmed();
     });
 }
 
 void EngineClient::resend_unconfirmed() {
-    const base::Timestamp now = loop_.unix_now();
+    const base::Timestamp now = loop().unix_now();
     std::string bytes;
     for (auto& [request_id, run] : active_runs_) {
         if (!std::exchange(run.awaiting_confirmation, false) || run.unconfirmed_command.empty())
--- a/src/platform/engine_client_messages.cpp
+++ b/src/platform/engine_client_messages.cpp
@@ -19,7 +19,7 @@
 void EngineClient::on_bytes(std::string_view bytes) {
     line_reader_.append(bytes);
     Line line;
-    while (stream_ != nullptr) {
+    while (stream() != nullptr) {
         const LineReader::Status status = line_reader_.read_line(line);
         if (status == LineReader::Status::incomplete)
             return;
@@ -95,12 +95,12 @@
     const policy::Settings& settings = request_manager_.settings();
     const base::Duration warmed_up =
         settings.cold_start ? std::min(uptime, settings.warm_up_duration) : base::Duration(0);
-    request_manager_.start(loop_.unix_now() - warmed_up);
+    request_manager_.start(loop().unix_now() - warmed_up);
 }
 
 void EngineClient::handle(const engine_protocol::CommandRejected& rejection) {
     std::uint64_t suppressed = 0;
-    if (log_limiter_.try_acquire(loop_.unix_now(), suppressed))
+    if (log_limiter_.try_acquire(loop().unix_now(), suppressed))
         spdlog::warn("engine: command rejected command={} request={} suppressed={}", rejection.command,
                      rejection.run_name, suppressed);
     if (!rejection.is_run)
--- a/src/platform/reconnecting_link.cpp
+++ b/src/platform/reconnecting_link.cpp
@@ -44,6 +44,13 @@
     });
 }
 
+bool ReconnectingLink::change_address(const net::Address& address) {
+    if (address == address_)
+        return false;
+    address_ = address;
+    return true;
+}
+
 void ReconnectingLink::disconnect() {
     if (stream_ != nullptr)
         std::exchange(stream_, nullptr)->close();
--- a/src/platform/reconnecting_link.hpp
+++ b/src/platform/reconnecting_link.hpp
@@ -8,8 +8,8 @@
 
 namespace cressledge::platform {
 
-/// Base of the links to engine and directory. Derived classes handle the stream's events; when one ends, they clear
-/// `stream_` and decide when to connect again.
+/// Base of the links to engine and directory. Derived classes handle the stream's events; when one ends, they call
+/// forget_stream() and decide when to connect again.
 class ReconnectingLink : public net::Stream::Owner {
 public:
     /// `address`: the peer's; each connection takes a descriptor lease of `descriptors`.
@@ -20,7 +20,7 @@
     ReconnectingLink& operator=(const ReconnectingLink&) = delete;
 
 protected:
-    /// Opens the connection unless there is one. `stream_` stays null when there is no descriptor for it.
+    /// Opens the connection unless there is one. stream() stays null when there is no descriptor for it.
     void try_connect();
 
     /// Connects after the backoff, and again until a connection is under way.
@@ -32,12 +32,21 @@
     /// Closes the connection, established or not.
     void disconnect();
 
+    /// Connects to `address` from the next connection on. Returns whether it is another than before.
+    bool change_address(const net::Address& address);
+
+    net::Loop& loop() const { return loop_; }
+    base::TimerQueue& timers() const { return timers_; }
+    /// The connection, established or not; null: none.
+    net::Stream* stream() const { return stream_; }
+    /// To be called once the stream has ended.
+    void forget_stream() { stream_ = nullptr; }
+
+private:
     net::Loop& loop_;
     base::TimerQueue& timers_;
     net::Address address_;
     net::Stream* stream_ = nullptr;
-
-private:
     connection_admission::FileDescriptorBudget& descriptors_;
     base::TimerQueue::Handle reconnect_timer_ = 0;
     base::Duration backoff_{0};
--- a/src/upstream/probe.cpp
+++ b/src/upstream/probe.cpp
@@ -80,7 +80,7 @@
     has_response_ =
         status == ResponseDecoder::Status::complete && decoder_->response.status < first_server_error;
     if (has_response_)
-        observer_.on_load_probe_response(*this);
+        observer().on_load_probe_response(*this);
     finish(has_response_ ? CallResult::ok : CallResult::error);
 }
 
--- a/src/upstream/probe.hpp
+++ b/src/upstream/probe.hpp
@@ -61,10 +61,13 @@
     virtual void notify_finished(upstream_health::CallResult result) = 0;
     bool is_finished() const { return finished_; }
 
-    ProbeObserver& observer_;
-    HostConnection connection_;
+    ProbeObserver& observer() const { return observer_; }
+    /// Leaves the probe without a connection.
+    HostConnection release_connection() { return std::exchange(connection_, {}); }
 
 private:
+    ProbeObserver& observer_;
+    HostConnection connection_;
     base::TimerQueue& timers_;
     const upstream_health::HostId host_id_;
     const std::string address_;
@@ -77,12 +80,12 @@
 class HealthCheck final : public Probe {
 public:
     using Probe::Probe;
-    void on_open() override { observer_.on_health_check_connected(*this); }
+    void on_open() override { observer().on_health_check_connected(*this); }
     void on_bytes(std::string_view bytes) override;
 
 private:
     void notify_finished(upstream_health::CallResult result) override {
-        observer_.on_health_check_finished(*this, result);
+        observer().on_health_check_finished(*this, result);
     }
 
     std::string received_;
@@ -99,20 +102,20 @@
     /// Takes a connection that has been open before.
     void start_on_idle_connection(HostConnection connection, base::Timestamp deadline);
 
-    void on_open() override { observer_.on_load_probe_connected(*this); }
+    void on_open() override { observer().on_load_probe_connected(*this); }
     void on_bytes(std::string_view bytes) override;
 
     request::RequestId request_id() const { return request_id_; }
     bool connection_reused() const { return connection_reused_; }
     bool can_reuse_connection() const { return decoder_->can_reuse_connection(); }
-    HostConnection take_connection() { return std::exchange(connection_, {}); }
+    HostConnection take_connection() { return release_connection(); }
 
     /// Null until the response has come, and where none came or it was a server error.
     const Response* response() const { return has_response_ ? &decoder_->response : nullptr; }
 
 private:
     void notify_finished(upstream_health::CallResult result) override {
-        observer_.on_load_probe_finished(*this, result);
+        observer().on_load_probe_finished(*this, result);
     }
 
     const request::RequestId request_id_;
