--- a/src/base/timer_queue.hpp
+++ b/src/base/timer_queue.hpp
@@ -23,6 +23,7 @@
     /// Never used again in the same queue.
     std::uint64_t sequence = 0;
 
+    // NOLINTNEXTLINE(modernize-use-nullptr): the literal 0 is the compiler's own.
     auto operator<=>(const TimerPosition&) const = default;
 };
 
--- a/src/platform/directory_reporter.cpp
+++ b/src/platform/directory_reporter.cpp
@@ -28,9 +28,8 @@
 }
 
 void DirectoryReporter::set_address(const net::Address& address) {
-    if (address == address_)
+    if (!change_address(address))
         return;
-    address_ = address;
     reset_connection();
     send_report();
 }
@@ -41,7 +40,7 @@
 }
 
 void DirectoryReporter::schedule_report(base::Duration delay) {
-    report_timer_ = timers_.schedule(loop_.unix_now() + delay, [this] {
+    report_timer_ = timers().schedule(loop().unix_now() + delay, [this] {
         // The directory accepted the connection and does not answer.
         if (state_ == State::awaiting_response)
             reset_connection();
@@ -69,7 +68,7 @@
     report_outdated_ = false;
     state_ = State::awaiting_response;
     schedule_report(response_timeout);
-    stream_->write(encode_report());
+    stream()->write(encode_report());
 }
 
 void DirectoryReporter::on_open() {
@@ -110,7 +109,7 @@
 }
 
 void DirectoryReporter::on_end(bool) {
-    stream_ = nullptr;
+    forget_stream();
     // An idle connection that ends is no fault: the next report opens another.
     if (state_ != State::idle) {
         if (last_report_accepted_)
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -1,8 +1,7 @@
 #include "supervisor/supervisor.hpp"
 
-#include <signal.h>
-
 #include <algorithm>
+#include <csignal>
 #include <nlohmann/json.hpp>
 #include <utility>
 
