--- a/src/request/idempotency_store.hpp
+++ b/src/request/idempotency_store.hpp
@@ -68,7 +68,7 @@
     /// generation: what has run under older settings has run all the same, and a repeat shares its outcome.
     static std::string record_key(std::string_view class_name, std::string_view key);
 
-    /// Whether there is no room for another key.
+    /// Whether there is no capacity for another key.
     bool is_full() const;
 
     /// Whether this key is retained. Its window may be over.
@@ -79,7 +79,7 @@
     const IdempotencyRecord* find(const std::string& key, Timestamp accepted_at) const;
 
     /// Retains a key for its owner until `retained_until` and forgets it at `expires_at`. A record of an earlier owner
-    /// is replaced once it has finished or its time is over; its waiting repeats then fail. Needs room for the key.
+    /// is replaced once it has finished or its time is over; its waiting repeats then fail. Needs capacity for the key.
     void retain(const std::string& key, RequestId owner_id, const PayloadDigest& payload_digest,
                 Timestamp now, Timestamp retained_until, Timestamp expires_at);
 
--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -108,9 +108,9 @@
 }
 
 void RequestManager::check_health(bool deep, std::function<void(bool)> on_result) {
-    const bool asks_executor =
+    const bool queries_executor =
         started_ && deep && !health_.from_cache && !executor_queries_.health_checks_full();
-    if (!asks_executor)
+    if (!queries_executor)
         return on_result(started_ && health_.healthy);
     executor_queries_.query_health(*executor_, now(), [this, on_result = std::move(on_result)](bool passed) {
         on_result(passed && health_.healthy);
--- a/src/request/request_manager.hpp
+++ b/src/request/request_manager.hpp
@@ -153,7 +153,7 @@
 
     // Submission.
     std::optional<std::string_view> exceeded_bound(const IncomingRequest& request) const;
-    bool lacks_room_for_key(const IncomingRequest& request) const;
+    bool lacks_capacity_for_key(const IncomingRequest& request) const;
     void log_rejection(std::string_view bound);
     bool contradicts(const IdempotencyRecord& record, const IncomingRequest& request) const;
     RequestId reject_malformed(Responder& responder, std::uint64_t ticket, std::size_t class_index);
@@ -170,7 +170,7 @@
     // Ends of requests.
     void respond(OpenRequest& request, const Response& response);
     void release(RequestId request_id);
-    void leave_suspended(OpenRequest& request, RequestId request_id);
+    void mark_suspended(OpenRequest& request, RequestId request_id);
     policy::Outcome respond_to_run(OpenRequest& request, RunResult run_result, std::string_view body);
 
     // Settings of a request.
--- a/src/request/request_manager_runs.cpp
+++ b/src/request/request_manager_runs.cpp
@@ -22,7 +22,7 @@
                                request->suspend_requested &&
                                settings_of(*request).preemption != policy::Preemption::none;
     if (was_suspended)
-        return leave_suspended(*request, request_id);
+        return mark_suspended(*request, request_id);
     request->state = RequestState::finished;
     const Outcome outcome = respond_to_run(*request, run_result, body);
     finish_record(*request, request_id, run_result == RunResult::succeeded, body);
@@ -30,7 +30,7 @@
 }
 
 // The request stays open, with its progress where the run was paused, until the controller runs it again.
-void RequestManager::leave_suspended(OpenRequest& request, RequestId request_id) {
+void RequestManager::mark_suspended(OpenRequest& request, RequestId request_id) {
     const bool is_paused = settings_of(request).preemption == policy::Preemption::pause;
     request.suspend_requested = false;
     request.state = is_paused ? RequestState::suspended : RequestState::queued;
--- a/src/request/request_manager_submission.cpp
+++ b/src/request/request_manager_submission.cpp
@@ -51,15 +51,15 @@
 std::optional<std::string_view> RequestManager::exceeded_bound(const IncomingRequest& request) const {
     if (!started_)
         return "engine not up yet";
-    if (lacks_room_for_key(request))
+    if (lacks_capacity_for_key(request))
         return "the table of keys is full";
     if (open_requests_.size() >= max_open_requests)
         return "the table of requests is full";
     return std::nullopt;
 }
 
-// What must run once is not taken in where there is no room to remember that it did.
-bool RequestManager::lacks_room_for_key(const IncomingRequest& request) const {
+// What must run once is not admitted where there is no capacity to remember that it did.
+bool RequestManager::lacks_capacity_for_key(const IncomingRequest& request) const {
     if (!idempotency_store_.is_full() || request.idempotency_key.empty())
         return false;
     const policy::RequestClass& request_class = settings().classes.at(request.class_index);
