--- a/src/load_balancing/balancer.cpp
+++ b/src/load_balancing/balancer.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t large_table_size = 655'373;
 constexpr std::size_t large_table_min_hosts = 600;
 /// Least share of the traffic that a cost or a load is divided by.
-constexpr double min_traffic_share = 1e-3;
+constexpr double min_traffic_fraction = 1e-3;
 /// A failure counts as at least so many typical latencies.
 constexpr double failure_latency_factor = 2.0;
 
@@ -109,7 +109,7 @@
     const HostState state = hosts_.at(host_id).state;
     if (state != HostState::ready && state != HostState::warming_up)
         return std::nullopt;
-    load.capacity *= std::max(min_traffic_share, hosts_.traffic_fraction(now, host_id));
+    load.capacity *= std::max(min_traffic_fraction, hosts_.traffic_fraction(now, host_id));
     return load;
 }
 
@@ -169,9 +169,9 @@
     const HostStatus& host = hosts_.at(host_id);
     const double latency_s = host_loads_[host_id].latency.expected_s(
         now, hosts_.typical_latency_s(), host.calls_in_flight, settings_.peak_decay_time);
-    const double share =
-        std::max(min_traffic_share, host.spec.weight * hosts_.traffic_fraction(now, host_id));
-    return latency_s * (host.calls_in_flight + 1.0) / share;
+    const double fraction =
+        std::max(min_traffic_fraction, host.spec.weight * hosts_.traffic_fraction(now, host_id));
+    return latency_s * (host.calls_in_flight + 1.0) / fraction;
 }
 
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/balancer_choice.cpp
+++ b/src/load_balancing/balancer_choice.cpp
@@ -96,8 +96,8 @@
     for (std::uint32_t choice = 0; choice < max_key_choices; ++choice) {
         const HostId host_id = candidates()[maglev_.find(selection.key, choice)];
         const HostStatus& host = hosts_.at(host_id);
-        const bool has_room = host.calls_in_flight + 1.0 <= max_calls;
-        if (has_room && host.state != HostState::suspect && is_eligible(selection, host_id))
+        const bool has_capacity = host.calls_in_flight + 1.0 <= max_calls;
+        if (has_capacity && host.state != HostState::suspect && is_eligible(selection, host_id))
             return host_id;
     }
     return no_host;
--- a/src/load_balancing/candidate_set.cpp
+++ b/src/load_balancing/candidate_set.cpp
@@ -50,8 +50,9 @@
 }
 
 const std::vector<HostId>& CandidateSet::preferred(double max_calls_per_weight) const {
-    const bool has_room = static_cast<double>(local_calls_in_flight_) < max_calls_per_weight * local_weight_;
-    return !local_.empty() && has_room ? local_ : usable_;
+    const bool has_capacity =
+        static_cast<double>(local_calls_in_flight_) < max_calls_per_weight * local_weight_;
+    return !local_.empty() && has_capacity ? local_ : usable_;
 }
 
 double CandidateSet::mean_calls_with_next() const {
--- a/src/load_balancing/load_probes.cpp
+++ b/src/load_balancing/load_probes.cpp
@@ -19,9 +19,9 @@
 
 unsigned ProbePool::take_due_probes() {
     probe_credit_ += settings_.probes_per_call;
-    const double whole_probes = std::floor(probe_credit_);
-    probe_credit_ -= whole_probes;
-    return static_cast<unsigned>(whole_probes);
+    const double probe_count = std::floor(probe_credit_);
+    probe_credit_ -= probe_count;
+    return static_cast<unsigned>(probe_count);
 }
 
 // Equation 1 of the paper: an answer is used as often as it takes for the pool not to run dry.
--- a/src/load_balancing/slow_start.cpp
+++ b/src/load_balancing/slow_start.cpp
@@ -24,9 +24,10 @@
 double SlowStartLimiter::warm_seconds(base::Duration since_announcement) const {
     const double warm_up_s = std::max(min_warm_up_s, to_seconds(settings_.warm_up_time));
     const double elapsed_s = std::max(0.0, to_seconds(since_announcement));
-    const double ramp_s = std::min(elapsed_s, warm_up_s);
-    return settings_.initial_fraction * ramp_s +
-           (1.0 - settings_.initial_fraction) * ramp_s * ramp_s / (2.0 * warm_up_s) + (elapsed_s - ramp_s);
+    const double warming_s = std::min(elapsed_s, warm_up_s);
+    return settings_.initial_fraction * warming_s +
+           (1.0 - settings_.initial_fraction) * warming_s * warming_s / (2.0 * warm_up_s) +
+           (elapsed_s - warming_s);
 }
 
 double SlowStartLimiter::allowed_calls(base::Timestamp announced_at, base::Timestamp from,
@@ -40,30 +41,30 @@
     for (const std::string& name : names)
         peer_last_seen_[name] = now;
     // Guards against two halves of a fleet that do not hear each other, and would each take all of the calls.
-    const base::Duration max_silence = settings_.warm_up_time + settings_.window;
-    std::erase_if(peer_last_seen_, [&](const auto& peer) { return peer.second + max_silence < now; });
-    const auto own_place = peer_last_seen_.lower_bound(self);
-    own_rank_ = static_cast<std::size_t>(std::distance(peer_last_seen_.begin(), own_place));
+    const base::Duration max_unseen_time = settings_.warm_up_time + settings_.window;
+    std::erase_if(peer_last_seen_, [&](const auto& peer) { return peer.second + max_unseen_time < now; });
+    const auto own_entry = peer_last_seen_.lower_bound(self);
+    own_rank_ = static_cast<std::size_t>(std::distance(peer_last_seen_.begin(), own_entry));
 }
 
 void SlowStartLimiter::begin(upstream_health::HostId host_id, const upstream_health::HostSpec& spec,
                              base::Timestamp announced_at, upstream_health::Random& random) {
-    if (ramps_.size() <= host_id)
-        ramps_.resize(host_id + std::size_t{1});
-    HostRamp& ramp = ramps_[host_id];
-    ramp = {};
-    ramp.is_active = true;
-    ramp.announced_at = announced_at;
-    ramp.updated_at = announced_at;
-    ramp.weight = spec.weight;
-    ramp.credit = initial_credit(spec.name, random);
+    if (slow_starts_.size() <= host_id)
+        slow_starts_.resize(host_id + std::size_t{1});
+    HostSlowStart& slow_start = slow_starts_[host_id];
+    slow_start = {};
+    slow_start.is_active = true;
+    slow_start.announced_at = announced_at;
+    slow_start.updated_at = announced_at;
+    slow_start.weight = spec.weight;
+    slow_start.credit = initial_credit(spec.name, random);
 }
 
 // This process's part of the rounding, from 0 to 1. Where all know of each other, their parts lie evenly between 0 and 1,
 // from a point that the host's name gives: the sum is rounded once, not once for each process. Otherwise each draws its
 // own.
 double SlowStartLimiter::initial_credit(const std::string& host_name, upstream_health::Random& random) const {
-    if (!knows_peers())
+    if (!has_peers())
         return static_cast<double>(random()) / random_range;
     const std::uint64_t hash = XXH64(host_name.data(), host_name.size(), rounding_seed);
     const double offset = static_cast<double>(hash >> 32U) / random_range;
@@ -71,49 +72,51 @@
 }
 
 void SlowStartLimiter::finish(upstream_health::HostId host_id) {
-    if (host_id < ramps_.size())
-        ramps_[host_id].is_active = false;
+    if (host_id < slow_starts_.size())
+        slow_starts_[host_id].is_active = false;
 }
 
 bool SlowStartLimiter::is_running(upstream_health::HostId host_id, base::Timestamp announced_at) const {
-    return host_id < ramps_.size() && ramps_[host_id].is_active &&
-           ramps_[host_id].announced_at == announced_at;
+    return host_id < slow_starts_.size() && slow_starts_[host_id].is_active &&
+           slow_starts_[host_id].announced_at == announced_at;
 }
 
-double SlowStartLimiter::own_share(const HostRamp& ramp, base::Timestamp from, base::Timestamp to) const {
-    return ramp.weight * allowed_calls(ramp.announced_at, from, to) / process_count();
+double SlowStartLimiter::own_allowance(const HostSlowStart& slow_start, base::Timestamp from,
+                                       base::Timestamp to) const {
+    return slow_start.weight * allowed_calls(slow_start.announced_at, from, to) / process_count();
 }
 
-SlowStartLimiter::HostRamp SlowStartLimiter::advanced_to(base::Timestamp now, const HostRamp& ramp) const {
-    HostRamp advanced = ramp;
-    if (now <= ramp.updated_at)
+SlowStartLimiter::HostSlowStart SlowStartLimiter::advanced_to(base::Timestamp now,
+                                                              const HostSlowStart& slow_start) const {
+    HostSlowStart advanced = slow_start;
+    if (now <= slow_start.updated_at)
         return advanced;
-    advanced.credit += own_share(ramp, ramp.updated_at, now);
+    advanced.credit += own_allowance(slow_start, slow_start.updated_at, now);
     advanced.updated_at = now;
     // Calls that were not sent in time are lost: guards against a burst of what many processes have saved up.
     const double window_us = static_cast<double>(settings_.window.count());
     const base::Duration carry_over(std::llround(carry_over_fraction * window_us));
-    const double recent_credit = own_share(ramp, now - carry_over, now);
+    const double recent_credit = own_allowance(slow_start, now - carry_over, now);
     advanced.used_calls = std::max(advanced.used_calls, std::floor(advanced.credit - recent_credit));
     return advanced;
 }
 
 bool SlowStartLimiter::is_limited(upstream_health::HostId host_id) const {
-    return is_enabled() && host_id < ramps_.size() && ramps_[host_id].is_active;
+    return is_enabled() && host_id < slow_starts_.size() && slow_starts_[host_id].is_active;
 }
 
 bool SlowStartLimiter::allows(base::Timestamp now, upstream_health::HostId host_id) const {
     if (!is_limited(host_id))
         return true;
-    const HostRamp ramp = advanced_to(now, ramps_[host_id]);
-    return std::floor(ramp.credit) - ramp.used_calls >= 1.0;
+    const HostSlowStart slow_start = advanced_to(now, slow_starts_[host_id]);
+    return std::floor(slow_start.credit) - slow_start.used_calls >= 1.0;
 }
 
 void SlowStartLimiter::on_call_started(base::Timestamp now, upstream_health::HostId host_id) {
     if (!is_limited(host_id))
         return;
-    ramps_[host_id] = advanced_to(now, ramps_[host_id]);
-    ramps_[host_id].used_calls += 1.0;
+    slow_starts_[host_id] = advanced_to(now, slow_starts_[host_id]);
+    slow_starts_[host_id].used_calls += 1.0;
 }
 
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/slow_start.hpp
+++ b/src/load_balancing/slow_start.hpp
@@ -63,13 +63,13 @@
     double allowed_calls(base::Timestamp announced_at, base::Timestamp from, base::Timestamp to) const;
     /// Processes among which the calls are shared out.
     double process_count() const {
-        return knows_peers() ? static_cast<double>(peer_last_seen_.size())
-                             : std::max(settings_.assumed_processes, 1.0);
+        return has_peers() ? static_cast<double>(peer_last_seen_.size())
+                           : std::max(settings_.assumed_processes, 1.0);
     }
 
 private:
     /// The slow start of one host, as of `updated_at`.
-    struct HostRamp {
+    struct HostSlowStart {
         bool is_active = false;
         base::Timestamp announced_at{0};
         base::Timestamp updated_at{0};
@@ -80,12 +80,12 @@
         double used_calls = 0.0;
     };
 
-    bool knows_peers() const { return peer_last_seen_.size() > 1; }
+    bool has_peers() const { return peer_last_seen_.size() > 1; }
     bool is_limited(upstream_health::HostId host_id) const;
     double initial_credit(const std::string& host_name, upstream_health::Random& random) const;
     double warm_seconds(base::Duration since_announcement) const;
-    HostRamp advanced_to(base::Timestamp now, const HostRamp& ramp) const;
-    double own_share(const HostRamp& ramp, base::Timestamp from, base::Timestamp to) const;
+    HostSlowStart advanced_to(base::Timestamp now, const HostSlowStart& slow_start) const;
+    double own_allowance(const HostSlowStart& slow_start, base::Timestamp from, base::Timestamp to) const;
 
     SlowStartSettings settings_;
     /// When each process was last known to live.
@@ -93,7 +93,7 @@
     /// Place of this process among them, in an order that all agree on.
     std::size_t own_rank_ = 0;
     /// By host id.
-    std::vector<HostRamp> ramps_;
+    std::vector<HostSlowStart> slow_starts_;
 };
 
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/subset.cpp
+++ b/src/load_balancing/subset.cpp
@@ -47,7 +47,7 @@
 
     const std::size_t size_;
     /// Processes that each server may still be assigned to.
-    std::vector<std::size_t> places_left_;
+    std::vector<std::size_t> free_assignments_;
     /// Of each process: all servers in its order of preference, and how many of them it has been through.
     std::vector<std::vector<std::uint32_t>> preferences_;
     std::vector<std::size_t> next_preference_;
@@ -64,11 +64,11 @@
       process_order_(order_by_hash(processes, process_order_seed)),
       rows_(processes.size()) {
     // Places of each server: the mean, and one more for those that a hash of their names puts first.
-    const std::size_t places = processes.size() * size;
-    places_left_.assign(servers.size(), places / servers.size());
+    const std::size_t assignment_count = processes.size() * size;
+    free_assignments_.assign(servers.size(), assignment_count / servers.size());
     const auto server_order = order_by_hash(servers, server_order_seed);
-    for (std::size_t i = 0; i < places % servers.size(); ++i)
-        ++places_left_[server_order[i]];
+    for (std::size_t i = 0; i < assignment_count % servers.size(); ++i)
+        ++free_assignments_[server_order[i]];
     for (std::size_t i = 0; i < processes.size(); ++i)
         preferences_[i] = order_by_hash(servers, hash_name(processes[i], preference_seed));
 }
@@ -83,12 +83,12 @@
 void SubsetAssignment::assign_next(std::uint32_t process) {
     const std::vector<std::uint32_t>& preferences = preferences_[process];
     std::size_t& next = next_preference_[process];
-    while (next < preferences.size() && places_left_[preferences[next]] == 0)
+    while (next < preferences.size() && free_assignments_[preferences[next]] == 0)
         ++next;
     if (next == preferences.size())
         return;
     const std::uint32_t server = preferences[next++];
-    --places_left_[server];
+    --free_assignments_[server];
     rows_[process].push_back(server);
 }
 
--- a/src/load_balancing/weighted_sampler.cpp
+++ b/src/load_balancing/weighted_sampler.cpp
@@ -51,10 +51,10 @@
 void WeightedSampler::sample(upstream_health::Random& random, unsigned count,
                              std::vector<std::uint32_t>& sampled) const {
     sampled.clear();
-    const std::size_t wanted = std::min<std::size_t>(count, acceptance_.size());
+    const std::size_t sample_count = std::min<std::size_t>(count, acceptance_.size());
     const bool use_bitmap = acceptance_.size() <= max_bitmap_size;
     std::uint64_t drawn_bitmap = 0;
-    for (unsigned draws = 0; sampled.size() < wanted && draws < max_draws_per_sample * count; ++draws) {
+    for (unsigned draws = 0; sampled.size() < sample_count && draws < max_draws_per_sample * count; ++draws) {
         const std::uint32_t index = sample(random);
         const bool is_drawn = use_bitmap ? (drawn_bitmap >> index & 1U) != 0
                                          : std::find(sampled.begin(), sampled.end(), index) != sampled.end();
