--- a/src/membership/anti_entropy.cpp
+++ b/src/membership/anti_entropy.cpp
@@ -56,7 +56,7 @@
     const std::vector<MemberIndex>& departed = state_.records.departed();
     if (departed.empty() || state_.is_leaving)
         return;
-    const MemberIndex member = departed[state_.random.below(departed.size())];
+    const MemberIndex member = departed[state_.random.uniform(departed.size())];
     if (state_.records.at(member).state == MemberState::dead)
         disseminator_.ping(member, state_.next_sequence(), effects);
 }
@@ -84,8 +84,8 @@
     schedule_next_exchange(now);
     const bool is_alone = state_.records.live_count() == 0;
     const std::vector<Endpoint> seeds = seeds_without_live_member();
-    if (!seeds.empty() && (is_alone || state_.random.below(seed_exchange_period) == 0)) {
-        effects.exchange_peers.push_back(seeds[state_.random.below(seeds.size())]);
+    if (!seeds.empty() && (is_alone || state_.random.uniform(seed_exchange_period) == 0)) {
+        effects.exchange_peers.push_back(seeds[state_.random.uniform(seeds.size())]);
         return;
     }
     const MemberIndex member = state_.probe_order.random_live_member();
--- a/src/membership/disseminator.cpp
+++ b/src/membership/disseminator.cpp
@@ -172,7 +172,7 @@
 }
 
 void Disseminator::ping_recheck_candidates(Effects& effects) {
-    for (std::size_t n = 0; n < max_rechecks_per_round && !recheck_candidates_.empty(); ++n) {
+    for (std::size_t i = 0; i < max_rechecks_per_round && !recheck_candidates_.empty(); ++i) {
         const MemberIndex member = recheck_candidates_.back();
         recheck_candidates_.pop_back();
         const MemberRecord* record = state_.records.find(member);
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -31,14 +31,14 @@
     if (probe_ && probe_->phase == ProbePhase::direct && probe_->indirect_at <= now)
         send_indirect_probes(effects);
     if (!state_.is_leaving && next_period_at_ <= now) {
-        judge_probe(now, effects);
+        evaluate_probe(now, effects);
         start_period(now, effects);
     }
     handle_due_suspicions(now, effects);
     expire_relays(now, effects);
 }
 
-void FailureDetector::judge_probe(Timestamp now, Effects& effects) {
+void FailureDetector::evaluate_probe(Timestamp now, Effects& effects) {
     if (!probe_)
         return;
     const Probe probe = *std::exchange(probe_, std::nullopt);
@@ -90,14 +90,14 @@
     probe_->phase = ProbePhase::indirect;
     disseminator_.ping(probe_->target, probe_->sequence, effects);
     const unsigned count = state_.settings.indirect_probe_count;
-    std::set<MemberIndex> asked;
-    for (unsigned draw = 0; draw < count * draws_per_relay && asked.size() < count; ++draw) {
+    std::set<MemberIndex> chosen_relays;
+    for (unsigned draw = 0; draw < count * draws_per_relay && chosen_relays.size() < count; ++draw) {
         const MemberIndex relay = state_.probe_order.random_live_member();
         if (relay == no_member || relay == probe_->target)
             continue;
         if (state_.records.at(relay).state != MemberState::alive)
             continue;
-        if (asked.insert(relay).second)
+        if (chosen_relays.insert(relay).second)
             send_ping_request(relay, effects);
     }
 }
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -64,7 +64,7 @@
         unsigned nacks_received = 0;
     };
 
-    void judge_probe(Timestamp now, Effects& effects);
+    void evaluate_probe(Timestamp now, Effects& effects);
     void start_period(Timestamp now, Effects& effects);
     void ping_local_suspects(Effects& effects);
     void send_indirect_probes(Effects& effects);
--- a/src/membership/membership_table.cpp
+++ b/src/membership/membership_table.cpp
@@ -146,8 +146,8 @@
     state_.records.for_each([&](MemberIndex member, const MemberRecord& record) {
         if (is_departed(record.state))
             return;
-        const std::uint64_t part = member_digest(state_.indices.id(member), record.endpoint);
-        sum += record.state == MemberState::suspect ? suspect_digest(part) : part;
+        const std::uint64_t contribution = member_digest(state_.indices.id(member), record.endpoint);
+        sum += record.state == MemberState::suspect ? suspect_digest(contribution) : contribution;
     });
     return sum;
 }
--- a/src/membership/probe_order.cpp
+++ b/src/membership/probe_order.cpp
@@ -22,7 +22,7 @@
     is_contained_[index] = true;
     order_.push_back(index);
     const std::size_t first = std::min(position_, order_.size() - 1);
-    std::swap(order_[first + random_.below(order_.size() - first)], order_.back());
+    std::swap(order_[first + random_.uniform(order_.size() - first)], order_.back());
 }
 
 void ProbeOrder::erase(MemberIndex index) {
@@ -54,13 +54,13 @@
         return true;
     });
     for (std::size_t i = order_.size(); i > 1; --i)
-        std::swap(order_[i - 1], order_[random_.below(i)]);
+        std::swap(order_[i - 1], order_[random_.uniform(i)]);
     position_ = 0;
 }
 
 MemberIndex ProbeOrder::random_live_member() const {
     for (int draw = 0; draw < max_draws && !order_.empty(); ++draw) {
-        const MemberIndex index = order_[random_.below(order_.size())];
+        const MemberIndex index = order_[random_.uniform(order_.size())];
         if (records_.is_live(index))
             return index;
     }
--- a/src/membership/random_source.hpp
+++ b/src/membership/random_source.hpp
@@ -19,7 +19,7 @@
     std::uint32_t next() { return generator_(); }
 
     /// Uniform in [0, bound); the bound is not zero.
-    std::uint32_t below(std::size_t bound) { return generator_(static_cast<std::uint32_t>(bound)); }
+    std::uint32_t uniform(std::size_t bound) { return generator_(static_cast<std::uint32_t>(bound)); }
 
     /// Uniform between zero and the duration.
     Duration jitter(Duration max) {
--- a/src/membership/suspicion_table.hpp
+++ b/src/membership/suspicion_table.hpp
@@ -15,7 +15,7 @@
 namespace cressledge::membership {
 
 /// Who raised a suspicion: this process's own probe, or another member's claim.
-enum class SuspicionOrigin : std::uint8_t { local_probe, remote_claim };
+enum class SuspicionOrigin : std::uint8_t { local_probe, remote_report };
 
 /// How long suspicions last at the present size of the fleet.
 struct SuspicionTiming {
--- a/src/membership/update_merger.cpp
+++ b/src/membership/update_merger.cpp
@@ -49,7 +49,7 @@
     record.incarnation = update.incarnation;
     set_state(now, member, is_departed(update.state) ? update.state : MemberState::alive, effects);
     if (update.state == MemberState::suspect)
-        suspect_as_claimed(now, member, update, effects);
+        suspect_as_reported(now, member, update, effects);
 }
 
 void UpdateMerger::apply_alive(Timestamp now, MemberIndex member, const MemberUpdate& update,
@@ -81,7 +81,7 @@
         if (record.state == MemberState::suspect)
             disseminator_.announce(member);
     }
-    suspect_as_claimed(now, member, update, effects);
+    suspect_as_reported(now, member, update, effects);
 }
 
 void UpdateMerger::apply_dead(Timestamp now, MemberIndex member, const MemberUpdate& update,
@@ -92,7 +92,7 @@
     record.incarnation = update.incarnation;
     // The other half of a healed partition holds this half for dead: whoever lives gets to refute first.
     if (source == UpdateSource::exchange)
-        suspect(now, member, state_.local_index, SuspicionOrigin::remote_claim, effects);
+        suspect(now, member, state_.local_index, SuspicionOrigin::remote_report, effects);
     else
         set_state(now, member, MemberState::dead, effects);
 }
@@ -126,12 +126,12 @@
         {update.id, update.endpoint, std::nullopt, MemberState::alive, update.incarnation, false});
     disseminator_.announce(member);
     if (update.state == MemberState::suspect)
-        suspect_as_claimed(now, member, update, effects);
+        suspect_as_reported(now, member, update, effects);
 }
 
 void UpdateMerger::apply_about_self(Timestamp now, const MemberUpdate& update, Effects& effects) {
     if (update.start_time_us > state_.local.start_time_us)
-        return apply_later_claim_to_own_id(update, effects);
+        return apply_later_report_of_own_id(update, effects);
     if (update.start_time_us < state_.local.start_time_us || state_.is_leaving)
         return;
     const bool is_wrong = update.state != MemberState::alive;
@@ -149,7 +149,7 @@
     disseminator_.gossip_by(now);
 }
 
-void UpdateMerger::apply_later_claim_to_own_id(const MemberUpdate& update, Effects& effects) {
+void UpdateMerger::apply_later_report_of_own_id(const MemberUpdate& update, Effects& effects) {
     LocalMember& local = state_.local;
     // An earlier process at this endpoint whose clock was ahead, or another one that has ended: the id is free.
     if (update.endpoint == local.endpoint || is_departed(update.state)) {
@@ -195,9 +195,9 @@
         ++state_.counters.left;
 }
 
-void UpdateMerger::suspect_as_claimed(Timestamp now, MemberIndex member, const MemberUpdate& update,
-                                      Effects& effects) {
-    suspect(now, member, state_.indices.find(update.accuser_id), SuspicionOrigin::remote_claim, effects);
+void UpdateMerger::suspect_as_reported(Timestamp now, MemberIndex member, const MemberUpdate& update,
+                                       Effects& effects) {
+    suspect(now, member, state_.indices.find(update.accuser_id), SuspicionOrigin::remote_report, effects);
 }
 
 void UpdateMerger::suspect(Timestamp now, MemberIndex member, MemberIndex accuser, SuspicionOrigin origin,
--- a/src/membership/update_merger.hpp
+++ b/src/membership/update_merger.hpp
@@ -40,7 +40,7 @@
 private:
     void apply(Timestamp now, const MemberUpdate& update, UpdateSource source, Effects& effects);
     void apply_about_self(Timestamp now, const MemberUpdate& update, Effects& effects);
-    void apply_later_claim_to_own_id(const MemberUpdate& update, Effects& effects);
+    void apply_later_report_of_own_id(const MemberUpdate& update, Effects& effects);
     void apply_later_process(Timestamp now, MemberIndex member, const MemberUpdate& update, Effects& effects);
     void apply_alive(Timestamp now, MemberIndex member, const MemberUpdate& update, UpdateSource source,
                      Effects& effects);
@@ -49,7 +49,7 @@
                     Effects& effects);
     void apply_left(Timestamp now, MemberIndex member, const MemberUpdate& update, Effects& effects);
     void add_member(Timestamp now, const MemberUpdate& update, Effects& effects);
-    void suspect_as_claimed(Timestamp now, MemberIndex member, const MemberUpdate& update, Effects& effects);
+    void suspect_as_reported(Timestamp now, MemberIndex member, const MemberUpdate& update, Effects& effects);
     void count_transition(MemberState old_state, MemberState new_state);
     SuspicionTiming suspicion_timing() const;
 
