--- a/src/rollout/canary_analysis.cpp
+++ b/src/rollout/canary_analysis.cpp
@@ -50,7 +50,7 @@
         : class_name_(class_name), canary_(canary), baseline_(baseline), tolerances_(tolerances) {}
 
     /// Appends a comparison where both groups have trials.
-    void compare(const char* metric, RateKind kind, double tolerance, const RateReader& read_rate,
+    void compare(const char* metric, RateType type, double tolerance, const RateReader& read_rate,
                  std::vector<ClassComparison>& comparisons) const {
         const ProcessGroup canary = group(canary_, read_rate);
         const ProcessGroup baseline = group(baseline_, read_rate);
@@ -62,9 +62,9 @@
         comparison.canary_value = canary.rate();
         comparison.baseline_value = baseline.rate();
         comparison.tolerance = tolerance;
-        comparison.p_value = pooled_p_value(canary, baseline, kind);
+        comparison.p_value = pooled_p_value(canary, baseline, type);
         if (exceeds_tolerance(comparison))
-            comparison.outcome = outcome_of(process_p_value(canary, baseline, kind));
+            comparison.outcome = outcome_of(process_p_value(canary, baseline, type));
         comparisons.push_back(comparison);
     }
 
@@ -100,19 +100,19 @@
 void compare_outcomes(const ClassComparer& comparer, const Tolerances& tolerances,
                       std::vector<ClassComparison>& comparisons) {
     comparer.compare(
-        "errors", RateKind::events, tolerances.error_rate,
+        "errors", RateType::events, tolerances.error_rate,
         [](const ClassMetrics& metrics) {
             return EventRate{metrics.errors, metrics.total()};
         },
         comparisons);
     comparer.compare(
-        "refusals", RateKind::events, tolerances.shed_rate,
+        "refusals", RateType::events, tolerances.shed_rate,
         [](const ClassMetrics& metrics) {
             return EventRate{metrics.shed, metrics.total()};
         },
         comparisons);
     comparer.compare(
-        "late", RateKind::events, tolerances.late_rate,
+        "late", RateType::events, tolerances.late_rate,
         [](const ClassMetrics& metrics) {
             return EventRate{metrics.late, metrics.ok};
         },
@@ -124,14 +124,14 @@
                        const Tolerances& tolerances, std::vector<ClassComparison>& comparisons) {
     const std::size_t tail_start = quantile_bucket(baseline_counts, tail_quantile) + 1;
     comparer.compare(
-        "above p99", RateKind::events, tolerances.tail_rate,
+        "above p99", RateType::events, tolerances.tail_rate,
         [tail_start](const ClassMetrics& metrics) {
             return EventRate{count_from_bucket(metrics.latency_counts, tail_start), served_count(metrics)};
         },
         comparisons);
     // The effect of each process against the whole baseline, taken as a rate of events.
     comparer.compare(
-        "time", RateKind::ranks, tolerances.slower_probability - neutral_effect,
+        "time", RateType::ranks, tolerances.slower_probability - neutral_effect,
         [&baseline_counts](const ClassMetrics& metrics) {
             const double served = served_count(metrics);
             return EventRate{mann_whitney_effect(metrics.latency_counts, baseline_counts) * served, served};
@@ -204,8 +204,8 @@
 }  // namespace
 
 const char* to_string(CanaryVerdict verdict) {
-    static constexpr std::array<const char*, 3> words{"go", "hold", "stop"};
-    return words[static_cast<std::size_t>(verdict)];
+    static constexpr std::array<const char*, 3> names{"go", "hold", "stop"};
+    return names[static_cast<std::size_t>(verdict)];
 }
 
 CanaryAnalysis analyze_canary(const std::vector<ProcessMetrics>& canary,
--- a/src/rollout/canary_statistics.cpp
+++ b/src/rollout/canary_statistics.cpp
@@ -44,14 +44,14 @@
 }
 
 /// The variance of one observation over that of an event with the same mean.
-double relative_variance(RateKind kind) {
-    return kind == RateKind::ranks ? 4.0 * uniform_rank_variance : 1.0;
+double relative_variance(RateType type) {
+    return type == RateType::ranks ? 4.0 * uniform_rank_variance : 1.0;
 }
 
 LogOdds estimate_log_odds(const EventRate& rate, double unit_variance) {
-    const double share = (rate.events + 0.5) / (rate.trials + 1.0);
-    const double event_variance = share * (1.0 - share);
-    return {std::log(share / (1.0 - share)), unit_variance / (rate.trials * event_variance)};
+    const double proportion = (rate.events + 0.5) / (rate.trials + 1.0);
+    const double event_variance = proportion * (1.0 - proportion);
+    return {std::log(proportion / (1.0 - proportion)), unit_variance / (rate.trials * event_variance)};
 }
 
 LogOdds pooled_log_odds(const std::vector<EventRate>& rates, double unit_variance) {
@@ -66,8 +66,8 @@
 /// Variance of log odds between processes about `centre`, beyond that of their finite trials (DerSimonian and Laird).
 double variance_between_processes(const std::vector<EventRate>& rates, const LogOdds& centre,
                                   double unit_variance) {
-    const double share = logistic(centre.mean);
-    const double event_variance = share * (1.0 - share);
+    const double proportion = logistic(centre.mean);
+    const double event_variance = proportion * (1.0 - proportion);
     double weighted_squares = 0.0;
     double weight_sum = 0.0;
     double squared_weight_sum = 0.0;
@@ -96,14 +96,14 @@
     double between_variance = 0.0;
 };
 
-BaselineModel model_baseline(const ProcessGroup& baseline, RateKind kind) {
-    const double unit_variance = relative_variance(kind);
+BaselineModel model_baseline(const ProcessGroup& baseline, RateType type) {
+    const double unit_variance = relative_variance(type);
     BaselineModel model;
     model.now = pooled_log_odds(baseline.window, unit_variance);
     model.before = pooled_log_odds(baseline.prior, unit_variance);
     model.has_prior = std::any_of(baseline.prior.begin(), baseline.prior.end(),
                                   [](const EventRate& rate) { return rate.trials > 0.0; });
-    const double min_variance = kind == RateKind::ranks ? min_process_rank_variance : min_process_variance;
+    const double min_variance = type == RateType::ranks ? min_process_rank_variance : min_process_variance;
     model.between_variance =
         std::max(min_variance, variance_between_processes(baseline.window, model.now, unit_variance));
     if (model.has_prior)
@@ -114,25 +114,25 @@
 
 /// Log odds to be expected of a process that had the rate `prior` before its change: its own, shrunk to the baseline's
 /// and moved by as much as the baseline has moved since.
-LogOdds expect_process(const BaselineModel& model, const EventRate& prior, RateKind kind) {
+LogOdds expect_process(const BaselineModel& model, const EventRate& prior, RateType type) {
     const double between = model.between_variance;
     if (!model.has_prior || prior.trials <= 0.0)
         return {model.now.mean, between};
-    const LogOdds own = estimate_log_odds(prior, relative_variance(kind));
+    const LogOdds own = estimate_log_odds(prior, relative_variance(type));
     const double variance = 1.0 / (1.0 / between + 1.0 / own.variance);
     const double shrunk = variance * (model.before.mean / between + own.mean / own.variance);
     return {shrunk + model.now.mean - model.before.mean, variance};
 }
 
 /// Log odds to be expected of a group, each process weighted by its trials.
-LogOdds expect_group(const BaselineModel& model, const ProcessGroup& canary, RateKind kind) {
+LogOdds expect_group(const BaselineModel& model, const ProcessGroup& canary, RateType type) {
     LogOdds expected;
     // The variance of the baseline's mean is part of the pooled test of events; counted again here, where the baseline
     // had no event, it would leave nothing unexpected.
-    if (kind == RateKind::ranks)
+    if (type == RateType::ranks)
         expected.variance = model.now.variance;
     for (std::size_t i = 0; i < canary.window.size(); ++i) {
-        const LogOdds process = expect_process(model, canary.prior[i], kind);
+        const LogOdds process = expect_process(model, canary.prior[i], type);
         const double weight = canary.window[i].trials / canary.trials;
         expected.mean += weight * process.mean;
         expected.variance += weight * weight * process.variance;
@@ -164,20 +164,20 @@
     trials += in_window.trials;
 }
 
-double pooled_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateKind kind) {
-    if (kind == RateKind::events) {
-        const double canary_share = canary.trials / (canary.trials + baseline.trials);
-        return binomial_upper_tail(canary.events + baseline.events, canary_share, canary.events);
+double pooled_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateType type) {
+    if (type == RateType::events) {
+        const double canary_fraction = canary.trials / (canary.trials + baseline.trials);
+        return binomial_upper_tail(canary.events + baseline.events, canary_fraction, canary.events);
     }
     const double variance = uniform_rank_variance * (1.0 / canary.trials + 1.0 / baseline.trials);
     return normal_upper_tail((canary.rate() - baseline.rate()) / std::sqrt(variance));
 }
 
-double process_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateKind kind) {
-    const LogOdds expected = expect_group(model_baseline(baseline, kind), canary, kind);
-    if (kind == RateKind::events)
+double process_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateType type) {
+    const LogOdds expected = expect_group(model_baseline(baseline, type), canary, type);
+    if (type == RateType::events)
         return uncertain_binomial_upper_tail(canary, expected);
-    const LogOdds observed = estimate_log_odds({canary.events, canary.trials}, relative_variance(kind));
+    const LogOdds observed = estimate_log_odds({canary.events, canary.trials}, relative_variance(type));
     const double deviation = std::sqrt(observed.variance + expected.variance);
     return normal_upper_tail((observed.mean - expected.mean) / deviation);
 }
@@ -187,11 +187,11 @@
     const double y_count = total_count(y);
     if (x_count <= 0.0 || y_count <= 0.0)
         return 0.5;
-    double y_below = 0.0;
+    double smaller_y_count = 0.0;
     double wins = 0.0;
     for (std::size_t i = 0; i < x.size(); ++i) {
-        wins += x[i] * (y_below + 0.5 * y[i]);
-        y_below += y[i];
+        wins += x[i] * (smaller_y_count + 0.5 * y[i]);
+        smaller_y_count += y[i];
     }
     return wins / (x_count * y_count);
 }
--- a/src/rollout/canary_statistics.hpp
+++ b/src/rollout/canary_statistics.hpp
@@ -34,7 +34,7 @@
 };
 
 /// What the rates of a group are of.
-enum class RateKind : std::uint8_t {
+enum class RateType : std::uint8_t {
     /// Events that happen or do not, and are few.
     events,
     /// Ranks of latencies, scaled to 0 to 1, which are many.
@@ -42,11 +42,11 @@
 };
 
 /// Probability of the canary's rate exceeding the baseline's by as much, if every trial had the same probability.
-double pooled_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateKind kind);
+double pooled_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateType type);
 
 /// Probability of the canary's rate being as far above what was to be expected of each of its processes: by what the
 /// process was before, by how the processes of the baseline differ, and by how the baseline has moved since.
-double process_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateKind kind);
+double process_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateType type);
 
 /// P(x > y) + P(x = y) / 2 for latencies x and y drawn from the two histograms; latencies of one bucket are equal. It is
 /// 0.5 where neither is slower, or where either is empty.
--- a/src/rollout/crash_monitor.cpp
+++ b/src/rollout/crash_monitor.cpp
@@ -63,19 +63,20 @@
 
 double CrashMonitor::excess_p_value(const CanaryCrashes& canary) const {
     const double exposure = std::max(min_exposure, canary.exposure_seconds + baseline_exposure_seconds_);
-    const double canary_share = std::clamp(canary.exposure_seconds / exposure, min_exposure, 1.0);
-    const boost::math::binomial crashes_of_canary(canary.crashes + baseline_crashes_, canary_share);
+    const double canary_exposure_fraction = std::clamp(canary.exposure_seconds / exposure, min_exposure, 1.0);
+    const boost::math::binomial crashes_of_canary(canary.crashes + baseline_crashes_,
+                                                  canary_exposure_fraction);
     return boost::math::cdf(boost::math::complement(crashes_of_canary, canary.crashes - 1.0));
 }
 
-CrashFinding CrashMonitor::assess(Timestamp now, Timestamp bake_started_at,
-                                  const std::vector<RolloutTarget>& targets) {
+CrashAssessment CrashMonitor::assess(Timestamp now, Timestamp bake_started_at,
+                                     const std::vector<RolloutTarget>& targets) {
     const CanaryCrashes canary = count_canary_crashes(now, targets);
     if (canary.crashes < 1.0)
-        return CrashFinding::none;
+        return CrashAssessment::none;
     const double p_value = excess_p_value(canary);
     if (canary.crashes >= min_excess_crashes && p_value < excess_significance_level)
-        return CrashFinding::excess;
+        return CrashAssessment::excess;
     if (canary.crashes > known_canary_crashes_) {
         const Duration time_to_crash = now - std::max(bake_started_at, last_canary_crash_at_);
         if (p_value < max_suspect_p_value)
@@ -83,7 +84,7 @@
         known_canary_crashes_ = canary.crashes;
         last_canary_crash_at_ = now;
     }
-    return now < suspect_until_ ? CrashFinding::suspect : CrashFinding::none;
+    return now < suspect_until_ ? CrashAssessment::suspect : CrashAssessment::none;
 }
 
 }  // namespace cressledge::rollout
--- a/src/rollout/crash_monitor.hpp
+++ b/src/rollout/crash_monitor.hpp
@@ -11,7 +11,7 @@
 
 namespace cressledge::rollout {
 
-enum class CrashFinding : std::uint8_t {
+enum class CrashAssessment : std::uint8_t {
     /// No more crashes than chance explains.
     none,
     /// Perhaps more; whether chance explains them is to be seen.
@@ -35,7 +35,8 @@
     void observe(Timestamp now, const RolloutState& state, const Observations& observations);
 
     /// The finding for a bake that began at `bake_started_at`.
-    CrashFinding assess(Timestamp now, Timestamp bake_started_at, const std::vector<RolloutTarget>& targets);
+    CrashAssessment assess(Timestamp now, Timestamp bake_started_at,
+                           const std::vector<RolloutTarget>& targets);
 
 private:
     /// A process as it was first seen in this bake.
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -96,9 +96,9 @@
 
 /// Repeats the release until it is confirmed: a lost answer must not leave a supervisor to a rollout that has finished.
 void RolloutController::release_leases() {
-    const base::Timestamp give_up_at = loop_.unix_now() + lease_release_timeout;
+    const base::Timestamp release_deadline = loop_.unix_now() + lease_release_timeout;
     fleet_.assume_leases_held();
-    while (fleet_.holds_any_lease() && loop_.unix_now() < give_up_at && !is_interrupted_) {
+    while (fleet_.holds_any_lease() && loop_.unix_now() < release_deadline && !is_interrupted_) {
         fleet_.release_leases();
         if (fleet_.holds_any_lease())
             sleep_until(loop_.unix_now() + lease_retry_interval);
--- a/src/rollout/rollout_state.cpp
+++ b/src/rollout/rollout_state.cpp
@@ -11,12 +11,12 @@
 
 constexpr int format_version = 1;
 
-struct PhaseWord {
+struct PhaseName {
     Phase phase;
-    const char* word;
+    const char* name;
 };
 
-constexpr std::array<PhaseWord, 6> phase_words{{
+constexpr std::array<PhaseName, 6> phase_names{{
     {Phase::observing, "watching"},
     {Phase::updating, "changing"},
     {Phase::baking, "baking"},
@@ -25,12 +25,12 @@
     {Phase::rolled_back, "reverted"},
 }};
 
-Phase parse_phase(const std::string& word) {
-    for (const PhaseWord& entry : phase_words) {
-        if (word == entry.word)
+Phase parse_phase(const std::string& name) {
+    for (const PhaseName& entry : phase_names) {
+        if (name == entry.name)
             return entry.phase;
     }
-    throw InvalidRolloutState("state of a roll: no such phase: " + word);
+    throw InvalidRolloutState("state of a roll: no such phase: " + name);
 }
 
 ordered_json spec_to_json(const ProcessSpec& spec) {
@@ -56,7 +56,7 @@
 }  // namespace
 
 const char* to_string(Phase phase) {
-    return phase_words[static_cast<std::size_t>(phase)].word;
+    return phase_names[static_cast<std::size_t>(phase)].name;
 }
 
 bool is_advancing(Phase phase) {
--- a/src/rollout/rollout_state_machine.hpp
+++ b/src/rollout/rollout_state_machine.hpp
@@ -92,7 +92,7 @@
     void step_baking(Timestamp now, const Observations& observations, RolloutActions& actions);
     CanaryAnalysis analyze() const;
     std::optional<std::string> wait_reason(Timestamp now, const Observations& observations,
-                                           CrashFinding crashes, const CanaryAnalysis& analysis) const;
+                                           CrashAssessment crashes, const CanaryAnalysis& analysis) const;
     bool is_suspect_wait_over(Timestamp now) const;
     void extend_bake(Timestamp now, const std::string& reason, RolloutActions& actions);
     void finish_stage(Timestamp now, const CanaryAnalysis& analysis, RolloutActions& actions);
--- a/src/rollout/rollout_state_machine_bake.cpp
+++ b/src/rollout/rollout_state_machine_bake.cpp
@@ -30,8 +30,8 @@
     // The stage was continued from a stored state.
     if (report.bake_started_at == Timestamp(0))
         report.bake_started_at = now;
-    const CrashFinding crashes = crashes_.assess(now, phase_started_at_, state_.targets);
-    if (crashes == CrashFinding::excess) {
+    const CrashAssessment crashes = crashes_.assess(now, phase_started_at_, state_.targets);
+    if (crashes == CrashAssessment::excess) {
         start_rollback(now, "the changed processes end by themselves", actions);
         return;
     }
@@ -63,10 +63,10 @@
 
 /// Why the stage can be neither passed nor failed now; none where it passes.
 std::optional<std::string> RolloutStateMachine::wait_reason(Timestamp now, const Observations& observations,
-                                                            CrashFinding crashes,
+                                                            CrashAssessment crashes,
                                                             const CanaryAnalysis& analysis) const {
     const bool is_wait_over = is_suspect_wait_over(now);
-    if (crashes == CrashFinding::suspect && !is_wait_over)
+    if (crashes == CrashAssessment::suspect && !is_wait_over)
         return "a changed process has ended by itself";
     const Duration max_age = plan_.bake_time / 2;
     if (const auto problem = find_visibility_problem(now, max_age, state_.targets, observations, traffic_))
