--- a/src/supervisor/process_spec.cpp
+++ b/src/supervisor/process_spec.cpp
@@ -6,12 +6,12 @@
 namespace cressledge::supervisor {
 namespace {
 
-struct StatusWord {
+struct StatusName {
     ChangeStatus status;
-    const char* word;
+    const char* name;
 };
 
-constexpr std::array<StatusWord, 4> status_words{{
+constexpr std::array<StatusName, 4> status_names{{
     {ChangeStatus::none, "none"},
     {ChangeStatus::in_progress, "under way"},
     {ChangeStatus::succeeded, "done"},
@@ -21,12 +21,12 @@
 }  // namespace
 
 const char* to_string(ChangeStatus status) {
-    return status_words[static_cast<std::size_t>(status)].word;
+    return status_names[static_cast<std::size_t>(status)].name;
 }
 
-std::optional<ChangeStatus> parse_change_status(std::string_view word) {
-    for (const StatusWord& entry : status_words) {
-        if (word == entry.word)
+std::optional<ChangeStatus> parse_change_status(std::string_view name) {
+    for (const StatusName& entry : status_names) {
+        if (name == entry.name)
             return entry.status;
     }
     return std::nullopt;
--- a/src/supervisor/process_spec.hpp
+++ b/src/supervisor/process_spec.hpp
@@ -32,6 +32,6 @@
 const char* to_string(ChangeStatus status);
 
 /// The status that `word` names on the admin address; none where the word is not known.
-std::optional<ChangeStatus> parse_change_status(std::string_view word);
+std::optional<ChangeStatus> parse_change_status(std::string_view name);
 
 }  // namespace cressledge::supervisor
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -181,14 +181,14 @@
     if (child == nullptr)
         return;
     child->mark_exited();
-    const bool was_told = generation != process.lifecycle.current_generation() &&
-                          generation != process.lifecycle.successor_generation();
+    const bool was_requested = generation != process.lifecycle.current_generation() &&
+                               generation != process.lifecycle.successor_generation();
     const ordered_json line{{"id", process.settings.id},
                             {"generation", generation},
                             {"ended", to_string(status)},
-                            {"told", was_told}};
-    spdlog::log(was_told ? spdlog::level::info : spdlog::level::warn, "process: {}", line.dump());
-    if (!was_told)
+                            {"told", was_requested}};
+    spdlog::log(was_requested ? spdlog::level::info : spdlog::level::warn, "process: {}", line.dump());
+    if (!was_requested)
         process.last_unrequested_exit = to_string(status);
     child->close([this, &process, generation] {
         --child_count_;
