--- a/src/upstream_health/host_set.cpp
+++ b/src/upstream_health/host_set.cpp
@@ -152,21 +152,21 @@
 
 void HostSet::evaluate(Timestamp now, HostId host_id, Changes& changes) {
     const HostState state = hosts_[host_id].state;
-    switch (outlier_detector_.verdict(hosts_[host_id])) {
-        case HealthVerdict::too_many_consecutive_failures:
+    switch (outlier_detector_.assess(hosts_[host_id])) {
+        case HealthAssessment::too_many_consecutive_failures:
             return eject(now, host_id, "failures in a row", changes);
-        case HealthVerdict::failure_rate_too_high:
+        case HealthAssessment::failure_rate_too_high:
             return eject(now, host_id, "most calls fail", changes);
-        case HealthVerdict::failing:
+        case HealthAssessment::failing:
             if (state == HostState::ready || state == HostState::warming_up)
                 transition(now, host_id, HostState::suspect, "failures", changes);
             return;
-        case HealthVerdict::succeeding:
+        case HealthAssessment::succeeding:
             // Through slow start: all processes would send to it at once otherwise.
             if (state == HostState::suspect)
                 transition(now, host_id, HostState::warming_up, "calls go well again", changes);
             return;
-        case HealthVerdict::inconclusive:
+        case HealthAssessment::inconclusive:
             return;
     }
 }
--- a/src/upstream_health/outlier_detector.cpp
+++ b/src/upstream_health/outlier_detector.cpp
@@ -32,14 +32,14 @@
     host.mean_latency_s += latency_factor * (latency_s - host.mean_latency_s);
 }
 
-HealthVerdict OutlierDetector::verdict(const HostStatus& host) const {
+HealthAssessment OutlierDetector::assess(const HostStatus& host) const {
     if (host.consecutive_failures >= settings_.eject_after_failures)
-        return HealthVerdict::too_many_consecutive_failures;
+        return HealthAssessment::too_many_consecutive_failures;
     if (host.sample_calls >= min_sample_calls && host.failure_rate > settings_.max_failure_rate)
-        return HealthVerdict::failure_rate_too_high;
+        return HealthAssessment::failure_rate_too_high;
     if (host.consecutive_failures >= settings_.suspect_after_failures)
-        return HealthVerdict::failing;
-    return host.consecutive_failures == 0 ? HealthVerdict::succeeding : HealthVerdict::inconclusive;
+        return HealthAssessment::failing;
+    return host.consecutive_failures == 0 ? HealthAssessment::succeeding : HealthAssessment::inconclusive;
 }
 
 std::optional<double> OutlierDetector::update_latency_limit_s(std::vector<double> peer_latencies_s) {
--- a/src/upstream_health/outlier_detector.hpp
+++ b/src/upstream_health/outlier_detector.hpp
@@ -1,5 +1,5 @@
-// Passive outlier detection: which host fails, or is slow beside its peers. It judges figures and changes no state:
-// what follows from a verdict is up to `HostSet`. No I/O.
+// Passive outlier detection: which host fails, or is slow beside its peers. It assesses figures and changes no state:
+// what follows from an assessment is up to `HostSet`. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 namespace cressledge::upstream_health {
 
 /// What the recent calls and health checks of a host say of it.
-enum class HealthVerdict : std::uint8_t {
+enum class HealthAssessment : std::uint8_t {
     /// The last one succeeded.
     succeeding,
     /// Some failed in a row, too few to suspect it.
@@ -30,13 +30,13 @@
 public:
     explicit OutlierDetector(const HealthSettings& settings) : settings_(settings) {}
 
-    /// Takes effect with the next verdict; the typical latency stays.
+    /// Takes effect with the next assessment; the typical latency stays.
     void reconfigure(const HealthSettings& settings) { settings_ = settings; }
 
     /// Takes the result of a call into the smoothed figures of its host. `latency` counts where it succeeded.
     static void record_call(HostStatus& host, CallResult result, Duration latency);
 
-    HealthVerdict verdict(const HostStatus& host) const;
+    HealthAssessment assess(const HostStatus& host) const;
 
     /// Takes the latencies (seconds) of all hosts that serve regularly, in any order. Returns the latency above which
     /// a host is an outlier among them; none where there are too few to compare.
