--- a/src/upstream/codec.cpp
+++ b/src/upstream/codec.cpp
@@ -22,13 +22,13 @@
                       [](char left, char right) { return to_lower_ascii(left) == right; });
 }
 
-std::string encode_http_request(const request::Work& work, std::string_view host, bool keep_connection) {
+std::string encode_http_request(const request::Work& work, std::string_view host, bool keep_alive) {
     std::string call = "POST /v1/";
     call.append(work.class_name).append(" HTTP/1.1\r\nHost: ").append(host);
     call.append("\r\nTrace-Id: ").append(work.external_id);
     call.append("\r\nAccepted-At-Ms: ").append(to_milliseconds_text(work.accepted_at));
     call.append("\r\nReserve-Kb: ").append(std::to_string(work.reserved_kb));
-    if (!keep_connection)
+    if (!keep_alive)
         call.append("\r\nConnection: close");
     call.append("\r\nContent-Length: ").append(std::to_string(work.body.size()));
     return call.append("\r\n\r\n").append(work.body);
@@ -51,9 +51,9 @@
     return (std::to_string(headers.size()) + ':').append(headers).append(",").append(work.body);
 }
 
-std::string encode_health_request(std::string_view host, bool keep_connection) {
+std::string encode_health_request(std::string_view host, bool keep_alive) {
     std::string call = "GET /healthz HTTP/1.1\r\nHost: ";
-    return call.append(host).append(keep_connection ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n");
+    return call.append(host).append(keep_alive ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n");
 }
 
 }  // namespace cressledge::upstream
--- a/src/upstream/codec.hpp
+++ b/src/upstream/codec.hpp
@@ -49,12 +49,12 @@
 std::unique_ptr<ResponseDecoder> make_http_decoder();
 std::unique_ptr<ResponseDecoder> make_scgi_decoder();
 
-/// `keep_connection`: the host is not asked to close the connection after its response.
-std::string encode_http_request(const request::Work& work, std::string_view host, bool keep_connection);
+/// `keep_alive`: the host is not asked to close the connection after its response.
+std::string encode_http_request(const request::Work& work, std::string_view host, bool keep_alive);
 std::string encode_scgi_request(const request::Work& work);
 
 /// A request for the host's health, which may come with a load report.
-std::string encode_health_request(std::string_view host, bool keep_connection);
+std::string encode_health_request(std::string_view host, bool keep_alive);
 
 /// Whether `text` is `lower_case` but for the case of its ASCII letters.
 bool equals_ignoring_case(std::string_view text, std::string_view lower_case);
--- a/src/upstream/executor.cpp
+++ b/src/upstream/executor.cpp
@@ -31,7 +31,7 @@
     return state == HostState::draining || state == HostState::removed || state == HostState::ejected;
 }
 
-bool comes_or_goes(const HostStateChange& change) {
+bool is_added_or_removed(const HostStateChange& change) {
     return change.old_state == HostState::removed || change.new_state == HostState::removed;
 }
 
@@ -90,7 +90,7 @@
     idle_connections_.reserve_hosts(hosts_.slot_count());
     learned_stats_.resize(hosts_.slot_count());
     for (const HostStateChange& change : changes)
-        if (comes_or_goes(change))
+        if (is_added_or_removed(change))
             learned_stats_[change.host_id] = {};
     apply_host_changes(changes);
     balancer_.refresh();
@@ -113,7 +113,7 @@
         if (closes_idle_connections(change.new_state))
             idle_connections_.close_all(change.host_id);
         // The log line of the inventory tells who came and went.
-        if (!comes_or_goes(change))
+        if (!is_added_or_removed(change))
             log_host_change(change);
     }
     idle_connections_.reserve_hosts(hosts_.slot_count());
@@ -127,7 +127,7 @@
                      to_string(change.new_state), change.reason, suppressed);
 }
 
-void UpstreamExecutor::keep_connection(HostId host_id, HostConnection connection) {
+void UpstreamExecutor::retain_connection(HostId host_id, HostConnection connection) {
     if (!accepts_calls(hosts_.at(host_id).state))
         return connection.stream->close();
     idle_connections_.add(clock_.unix_now(), host_id, connection);
@@ -142,7 +142,7 @@
 }
 
 void UpstreamExecutor::on_probe_connection_free(HostId host_id, HostConnection connection) {
-    keep_connection(host_id, connection);
+    retain_connection(host_id, connection);
 }
 
 void UpstreamExecutor::record_load_report(HostId host_id, const Response& response) {
--- a/src/upstream/executor.hpp
+++ b/src/upstream/executor.hpp
@@ -148,7 +148,7 @@
     void run_periodic_checks();
     void apply_host_changes(const std::vector<upstream_health::HostStateChange>& changes);
     void log_host_change(const upstream_health::HostStateChange& change);
-    void keep_connection(upstream_health::HostId host_id, HostConnection connection);
+    void retain_connection(upstream_health::HostId host_id, HostConnection connection);
 
     net::Loop& loop_;
     base::TimerQueue& timers_;
--- a/src/upstream/executor_attempts.cpp
+++ b/src/upstream/executor_attempts.cpp
@@ -229,8 +229,8 @@
     const upstream_health::HostSpec& spec = hosts_.at(attempt.host_id()).spec;
     if (spec.protocol == "scgi")
         return attempt.send(encode_scgi_request(request.work()), make_scgi_decoder());
-    const bool keep_connection = request.traits.idempotent && idle_connections_.is_enabled();
-    attempt.send(encode_http_request(request.work(), spec.address, keep_connection), make_http_decoder());
+    const bool keep_alive = request.traits.idempotent && idle_connections_.is_enabled();
+    attempt.send(encode_http_request(request.work(), spec.address, keep_alive), make_http_decoder());
 }
 
 }  // namespace cressledge::upstream
--- a/src/upstream/executor_results.cpp
+++ b/src/upstream/executor_results.cpp
@@ -105,7 +105,7 @@
     std::string body = std::move(attempt.response()->body);
     if (attempt.has_connection() && attempt.can_reuse_connection() && request.traits.idempotent &&
         idle_connections_.is_enabled())
-        keep_connection(attempt.host_id(), attempt.take_connection());
+        retain_connection(attempt.host_id(), attempt.take_connection());
     complete(request.request_id, request::RunResult::succeeded, std::move(body));
 }
 
--- a/src/upstream/gateway_reload.cpp
+++ b/src/upstream/gateway_reload.cpp
@@ -79,30 +79,31 @@
 config::OperatorConfig UpstreamGateway::read_configuration(ReloadScope scope) const {
     if (config_.path.empty() || scope == ReloadScope::inventory_only)
         return config_;
-    config::OperatorConfig fresh = config::load_operator_config(config_.path);
-    if (fresh.restart_only_yaml != config_.restart_only_yaml)
+    config::OperatorConfig new_config = config::load_operator_config(config_.path);
+    if (new_config.restart_only_yaml != config_.restart_only_yaml)
         throw config::ConfigError(config_.path +
                                   ": all but inventory, group, connections, admission, routing and "
                                   "fleet change with a restart only");
-    if (!is_same_member(config_.gossip, fresh.gossip))
+    if (!is_same_member(config_.gossip, new_config.gossip))
         throw config::ConfigError(config_.path +
                                   ": name, id, gossip and advertise of the fleet change with a restart only");
-    fresh.inherited_sockets = config_.inherited_sockets;
-    return fresh;
+    new_config.inherited_sockets = config_.inherited_sockets;
+    return new_config;
 }
 
 // A file may be cut at the end of a row, or written by a tool that found nothing: few removals are believed at a time.
 // Another file or group is the operator's own decision.
 void UpstreamGateway::check_reload(const Reload& reload) const {
-    const config::OperatorConfig& fresh = reload.config;
-    if (fresh.inventory_path != config_.inventory_path || fresh.server_group != config_.server_group)
+    const config::OperatorConfig& new_config = reload.config;
+    if (new_config.inventory_path != config_.inventory_path ||
+        new_config.server_group != config_.server_group)
         return;
     if (!config::exceeds_removal_limit(reload.difference, servers_.size(),
-                                       fresh.routing.max_removed_fraction))
+                                       new_config.routing.max_removed_fraction))
         return;
-    throw config::ConfigError(fresh.inventory_path + ": " + std::to_string(reload.difference.removed.size()) +
-                              " of " + std::to_string(servers_.size()) +
-                              " servers gone, more than most_gone allows");
+    throw config::ConfigError(new_config.inventory_path + ": " +
+                              std::to_string(reload.difference.removed.size()) + " of " +
+                              std::to_string(servers_.size()) + " servers gone, more than most_gone allows");
 }
 
 // Nothing here can fail: never is half a configuration in force.
--- a/src/upstream/http_decoder.cpp
+++ b/src/upstream/http_decoder.cpp
@@ -82,26 +82,26 @@
     }
 
     // Names and values may come in pieces.
-    void append_header_name(std::string_view part) {
+    void append_header_name(std::string_view fragment) {
         if (reading_header_value_) {
             header_name_.clear();
             header_value_.clear();
         }
         reading_header_value_ = false;
         if (header_name_.size() < max_header_name_bytes)
-            header_name_.append(part);
+            header_name_.append(fragment);
     }
 
-    void append_header_value(std::string_view part) {
+    void append_header_value(std::string_view fragment) {
         reading_header_value_ = true;
         if (equals_ignoring_case(header_name_, load_balancing::load_report_header)) {
             if (header_value_.size() <= load_balancing::max_load_report_bytes)
-                header_value_.append(part);
+                header_value_.append(fragment);
             response.load = load_balancing::parse_load_report(header_value_);
             response.has_load_report = true;
         } else if (equals_ignoring_case(header_name_, "retry-after") &&
                    header_value_.size() <= max_retry_after_bytes) {
-            header_value_.append(part);
+            header_value_.append(fragment);
             parse_retry_after();
         }
     }
@@ -116,10 +116,10 @@
                 base::Duration(std::min(seconds, max_retry_after_seconds) * microseconds_per_second);
     }
 
-    bool append_body(std::string_view part) {
-        if (response.body.size() + part.size() > max_body_bytes)
+    bool append_body(std::string_view fragment) {
+        if (response.body.size() + fragment.size() > max_body_bytes)
             return false;
-        response.body.append(part);
+        response.body.append(fragment);
         return true;
     }
 
--- a/src/upstream/probe_runner.cpp
+++ b/src/upstream/probe_runner.cpp
@@ -69,7 +69,7 @@
     return true;
 }
 
-bool ProbeRunner::host_kept_address(const Probe& probe) const {
+bool ProbeRunner::has_current_address(const Probe& probe) const {
     return hosts_.at(probe.host_id()).spec.address == probe.address();
 }
 
@@ -96,24 +96,24 @@
 
 void ProbeRunner::on_load_probe_response(LoadProbe& probe) {
     results_.on_probe_response(probe.host_id(), *probe.response());
-    if (probe.can_reuse_connection() && idle_connections_.is_enabled() && host_kept_address(probe))
+    if (probe.can_reuse_connection() && idle_connections_.is_enabled() && has_current_address(probe))
         results_.on_probe_connection_free(probe.host_id(), probe.take_connection());
 }
 
 void ProbeRunner::on_health_check_finished(HealthCheck& check, CallResult result) {
-    if (host_kept_address(check))
+    if (has_current_address(check))
         results_.on_health_result(check.host_id(), result);
     erase(check);
 }
 
 void ProbeRunner::on_load_probe_finished(LoadProbe& probe, CallResult result) {
-    const bool kept_address = host_kept_address(probe);
+    const bool is_current = has_current_address(probe);
     if (probe.request_id() != 0)
         results_.on_load_probe_result(probe.request_id(), probe.host_id(),
-                                      kept_address ? probe.response() : nullptr);
+                                      is_current ? probe.response() : nullptr);
     // The host may have closed the idle connection before the probe: that says nothing of its health.
     const bool may_be_stale = probe.connection_reused() && result == CallResult::error;
-    if (kept_address && !may_be_stale)
+    if (is_current && !may_be_stale)
         results_.on_health_result(probe.host_id(), result);
     erase(probe);
 }
--- a/src/upstream/probe_runner.hpp
+++ b/src/upstream/probe_runner.hpp
@@ -62,7 +62,7 @@
     void on_load_probe_finished(LoadProbe& probe, upstream_health::CallResult result) override;
 
     bool connect(std::unique_ptr<Probe> created, base::Timestamp now);
-    bool host_kept_address(const Probe& probe) const;
+    bool has_current_address(const Probe& probe) const;
     bool uses_scgi(const Probe& probe) const;
     void erase(const Probe& probe);
 
