--- a/src/platform/engine_client.cpp
+++ b/src/platform/engine_client.cpp
@@ -38,13 +38,13 @@
         drop_link("write buffer full");
 }
 
-void EngineClient::send_command(request::RequestId request_id, std::string bytes, CommandKind kind) {
+void EngineClient::send_command(request::RequestId request_id, std::string bytes, CommandType type) {
     const auto it = active_runs_.find(request_id);
     if (it == active_runs_.end())
         return;
     ActiveRun& run = it->second;
     run.unconfirmed_command = std::move(bytes);
-    run.command_kind = kind;
+    run.command_type = type;
     run.sequence = ++last_sequence_;
     run.sent_at = synchronized_ ? loop_.unix_now() : base::Timestamp(0);
     run.awaiting_confirmation = false;
@@ -67,7 +67,7 @@
 void EngineClient::deliver_call_reply(request::RequestId request_id, std::string_view reply) {
     if (const auto it = active_runs_.find(request_id); it != active_runs_.end())
         send_command(request_id, engine_protocol::encode_call_reply(it->second.name, reply),
-                     CommandKind::call_reply);
+                     CommandType::call_reply);
 }
 
 void EngineClient::skip_call(request::RequestId request_id, std::uint64_t call_id) {
@@ -79,9 +79,9 @@
     const auto it = active_runs_.find(request_id);
     if (it == active_runs_.end())
         return;
-    it->second.halt_requested = true;
+    it->second.suspend_requested = true;
     if (synchronized_)
-        write(engine_protocol::encode_halt(it->second.name));
+        write(engine_protocol::encode_suspend(it->second.name));
 }
 
 bool EngineClient::request_gauges(std::uint64_t query_id) {
@@ -156,7 +156,7 @@
 bool EngineClient::was_probably_delivered(const ActiveRun& run) const {
     if (run.sent_at == base::Timestamp(0))
         return false;
-    return run.command_kind == CommandKind::call_reply ||
+    return run.command_type == CommandType::call_reply ||
            link_lost_at_ - run.sent_at > uncertain_delivery_window;
 }
 
@@ -164,11 +164,11 @@
 bool EngineClient::needs_resend(ActiveRun& run) const {
     const bool delivered = was_probably_delivered(run);
     // What a halted run would do with the reply is of no use to anybody.
-    if (run.command_kind == CommandKind::call_reply && delivered && run.halt_requested)
+    if (run.command_type == CommandType::call_reply && delivered && run.suspend_requested)
         run.unconfirmed_command.clear();
-    run.awaiting_confirmation = !run.unconfirmed_command.empty() && delivered && !run.halt_requested;
+    run.awaiting_confirmation = !run.unconfirmed_command.empty() && delivered && !run.suspend_requested;
     const bool lost = !run.unconfirmed_command.empty() && !run.awaiting_confirmation;
-    return lost || run.halt_requested;
+    return lost || run.suspend_requested;
 }
 
 void EngineClient::on_synchronized() {
@@ -185,8 +185,8 @@
     for (ActiveRun* run : runs) {
         bytes += run->unconfirmed_command;
         run->sent_at = now;
-        if (run->halt_requested)
-            bytes += engine_protocol::encode_halt(run->name);
+        if (run->suspend_requested)
+            bytes += engine_protocol::encode_suspend(run->name);
     }
     spdlog::info("engine: link synchronized last_notice={} resent_commands={}", last_notice_, runs.size());
     if (!bytes.empty())
@@ -203,7 +203,7 @@
     for (auto& [request_id, run] : active_runs_) {
         if (!std::exchange(run.awaiting_confirmation, false) || run.unconfirmed_command.empty())
             continue;
-        if (run.command_kind == CommandKind::call_reply && link_lost_at_ - run.sent_at > certain_delivery_age)
+        if (run.command_type == CommandType::call_reply && link_lost_at_ - run.sent_at > certain_delivery_age)
             continue;
         bytes += run.unconfirmed_command;
         run.sent_at = now;
--- a/src/platform/engine_client.hpp
+++ b/src/platform/engine_client.hpp
@@ -61,24 +61,24 @@
 
 private:
     /// What a command does if the engine gets it twice: a call's reply might pass for the reply to the next call.
-    enum class CommandKind { repeatable, call_reply };
+    enum class CommandType { repeatable, call_reply };
 
     struct ActiveRun {
         std::string name;
         /// The last command, until a notice shows that it was carried out.
         std::string unconfirmed_command;
-        CommandKind command_kind = CommandKind::repeatable;
+        CommandType command_type = CommandType::repeatable;
         /// The order of commands over all runs.
         std::uint64_t sequence = 0;
         /// When the command was sent; 0 while no link was there to send it on.
         base::Timestamp sent_at{0};
-        bool halt_requested = false;
+        bool suspend_requested = false;
         /// The engine has the command in all likelihood: it is sent again only if no notice shows that soon.
         bool awaiting_confirmation = false;
     };
 
     void send_command(request::RequestId request_id, std::string bytes,
-                      CommandKind kind = CommandKind::repeatable);
+                      CommandType type = CommandType::repeatable);
     void write(std::string_view bytes);
 
     void handle(const engine_protocol::Ignored&) {}
@@ -88,7 +88,7 @@
     void handle(const engine_protocol::HealthCheckReply& reply);
     void handle(const engine_protocol::Hello& hello);
     void handle(const engine_protocol::CommandRejected& rejection);
-    void handle_notice_content(std::uint64_t number, const engine_protocol::Remark&);
+    void handle_notice_content(std::uint64_t number, const engine_protocol::OtherNotice&);
     void handle_notice_content(std::uint64_t number, const engine_protocol::RunEnded& ended);
     void handle_notice_content(std::uint64_t number, const engine_protocol::CallNeeded& call);
     request::RequestId confirm_last_command(std::string_view run_name);
--- a/src/platform/engine_client_messages.cpp
+++ b/src/platform/engine_client_messages.cpp
@@ -25,7 +25,7 @@
             return;
         if (status == LineReader::Status::malformed)
             return drop_link("protocol error detail=\"malformed message\"");
-        if (line.words.empty())
+        if (line.tokens.empty())
             continue;
         std::visit([this](const auto& message) { handle(message); },
                    engine_protocol::parse_message(line, gauge_names_));
@@ -44,13 +44,13 @@
     std::visit([&](const auto& content) { handle_notice_content(notice.number, content); }, notice.content);
 }
 
-void EngineClient::handle_notice_content(std::uint64_t, const engine_protocol::Remark&) {}
+void EngineClient::handle_notice_content(std::uint64_t, const engine_protocol::OtherNotice&) {}
 
 void EngineClient::handle_notice_content(std::uint64_t, const engine_protocol::RunEnded& ended) {
     const request::RequestId request_id = confirm_last_command(ended.run_name);
     if (request_id == 0)
         return;
-    active_runs_.at(request_id).halt_requested = false;
+    active_runs_.at(request_id).suspend_requested = false;
     request_manager_.run_finished(request_id, ended.result, ended.body);
 }
 
--- a/src/platform/engine_protocol.cpp
+++ b/src/platform/engine_protocol.cpp
@@ -6,7 +6,7 @@
 namespace cressledge::platform::engine_protocol {
 namespace {
 
-using Words = std::vector<std::string_view>;
+using Tokens = std::vector<std::string_view>;
 
 template <class Number>
 bool parse_as(std::string_view text, Number& value) {
@@ -14,28 +14,28 @@
     return !text.empty() && error == std::errc() && stop == text.data() + text.size();
 }
 
-request::RunResult to_run_result(std::string_view word) {
-    if (word == "PASS")
+request::RunResult to_run_result(std::string_view token) {
+    if (token == "PASS")
         return request::RunResult::succeeded;
-    if (word == "KILLED")
+    if (token == "KILLED")
         return request::RunResult::killed;
-    if (word == "NOOP")
+    if (token == "NOOP")
         return request::RunResult::noop;
     return request::RunResult::failed;
 }
 
 // DONE number run result ..., NEED number run ..., NOTE number ...
 Message parse_notice(const Line& line) {
-    const Words& words = line.words;
+    const Tokens& tokens = line.tokens;
     Notice notice;
-    if (words.size() < 2 || !parse_number(words[1], notice.number))
+    if (tokens.size() < 2 || !parse_number(tokens[1], notice.number))
         return MalformedNotice{};
-    if (words.size() < 4)
+    if (tokens.size() < 4)
         return notice;
-    if (words[0] == "DONE")
-        notice.content = RunEnded{words[2], to_run_result(words[3]), line.body};
-    if (words[0] == "NEED")
-        notice.content = CallNeeded{words[2], line.body};
+    if (tokens[0] == "DONE")
+        notice.content = RunEnded{tokens[2], to_run_result(tokens[3]), line.body};
+    if (tokens[0] == "NEED")
+        notice.content = CallNeeded{tokens[2], line.body};
     return notice;
 }
 
@@ -51,33 +51,33 @@
 }
 
 // STATS tag value ...
-Message parse_gauges(const Words& words, const std::vector<std::string>& gauge_names) {
+Message parse_gauges(const Tokens& tokens, const std::vector<std::string>& gauge_names) {
     constexpr std::size_t first_value = 2;
     GaugesReply reply;
-    reply.tag = words[1];
-    for (std::size_t i = 0; i < gauge_names.size() && i + first_value < words.size(); ++i) {
+    reply.tag = tokens[1];
+    for (std::size_t i = 0; i < gauge_names.size() && i + first_value < tokens.size(); ++i) {
         double value = 0.0;
-        if (parse_as(words[i + first_value], value) && std::isfinite(value))
+        if (parse_as(tokens[i + first_value], value) && std::isfinite(value))
             store_gauge(gauge_names[i], value, reply.gauges);
     }
     return reply;
 }
 
 // TESTED tag result
-Message parse_health(const Words& words) {
+Message parse_health(const Tokens& tokens) {
     HealthCheckReply reply;
-    if (!parse_number(words[1], reply.query_id))
+    if (!parse_number(tokens[1], reply.query_id))
         return Ignored{};
-    reply.healthy = words[2] == "PASS";
+    reply.healthy = tokens[2] == "PASS";
     return reply;
 }
 
 // HELLO state milliseconds
-Message parse_hello(const Words& words) {
+Message parse_hello(const Tokens& tokens) {
     Hello hello;
-    hello.state = words[1];
+    hello.state = tokens[1];
     double uptime_ms = 0.0;
-    if (parse_as(words[2], uptime_ms) && uptime_ms >= 0.0)
+    if (parse_as(tokens[2], uptime_ms) && uptime_ms >= 0.0)
         hello.uptime_ms = uptime_ms;
     return hello;
 }
@@ -89,8 +89,8 @@
 
 }  // namespace
 
-bool has_body(const Words& words) {
-    return words[0] == "DONE" || words[0] == "NEED";
+bool has_body(const Tokens& tokens) {
+    return tokens[0] == "DONE" || tokens[0] == "NEED";
 }
 
 bool parse_number(std::string_view text, std::uint64_t& value) {
@@ -98,18 +98,18 @@
 }
 
 Message parse_message(const Line& line, const std::vector<std::string>& gauge_names) {
-    const Words& words = line.words;
-    const std::string_view type = words[0];
+    const Tokens& tokens = line.tokens;
+    const std::string_view type = tokens[0];
     if (type == "DONE" || type == "NEED" || type == "NOTE")
         return parse_notice(line);
-    if (type == "STATS" && words.size() >= 2)
-        return parse_gauges(words, gauge_names);
-    if (type == "TESTED" && words.size() >= 3)
-        return parse_health(words);
-    if (type == "HELLO" && words.size() >= 3)
-        return parse_hello(words);
-    if (type == "NO" && words.size() >= 3)
-        return CommandRejected{words[1], words[2], words[1] == "RUN"};
+    if (type == "STATS" && tokens.size() >= 2)
+        return parse_gauges(tokens, gauge_names);
+    if (type == "TESTED" && tokens.size() >= 3)
+        return parse_health(tokens);
+    if (type == "HELLO" && tokens.size() >= 3)
+        return parse_hello(tokens);
+    if (type == "NO" && tokens.size() >= 3)
+        return CommandRejected{tokens[1], tokens[2], tokens[1] == "RUN"};
     return Ignored{};
 }
 
@@ -127,7 +127,7 @@
     return to_line("RESUME", run_name);
 }
 
-std::string encode_halt(std::string_view run_name) {
+std::string encode_suspend(std::string_view run_name) {
     return to_line("HALT", run_name);
 }
 
--- a/src/platform/engine_protocol.hpp
+++ b/src/platform/engine_protocol.hpp
@@ -19,7 +19,7 @@
 constexpr std::size_t max_body_bytes = 64U << 10U;
 
 /// Whether a message has a counted body; see LineReader.
-bool has_body(const std::vector<std::string_view>& words);
+bool has_body(const std::vector<std::string_view>& tokens);
 
 /// A run has ended.
 struct RunEnded {
@@ -35,12 +35,12 @@
 };
 
 /// A notice of which only the number counts.
-struct Remark {};
+struct OtherNotice {};
 
 /// A numbered message of the engine about a run; the engine numbers them without gaps.
 struct Notice {
     std::uint64_t number = 0;
-    std::variant<Remark, RunEnded, CallNeeded> content;
+    std::variant<OtherNotice, RunEnded, CallNeeded> content;
 };
 
 /// A notice without a readable number: the link can no longer be taken up after it.
@@ -93,7 +93,7 @@
 /// RESUME: lets a suspended run go on.
 std::string encode_resume(std::string_view run_name);
 /// HALT: suspends a run.
-std::string encode_halt(std::string_view run_name);
+std::string encode_suspend(std::string_view run_name);
 /// FEED: the reply of a run's dependency call.
 std::string encode_call_reply(std::string_view run_name, std::string_view body);
 /// SKIP: the run goes on without the dependency call of notice `notice`.
--- a/src/platform/line_reader.cpp
+++ b/src/platform/line_reader.cpp
@@ -9,12 +9,12 @@
 constexpr std::size_t max_line_bytes = 1024;
 constexpr std::string_view line_end = "\r\n";
 
-void split_words(std::string_view line, std::vector<std::string_view>& words) {
-    words.clear();
+void split_tokens(std::string_view line, std::vector<std::string_view>& tokens) {
+    tokens.clear();
     for (std::size_t begin = 0; begin <= line.size();) {
         const std::size_t end = std::min(line.find(' ', begin), line.size());
         if (end > begin)
-            words.push_back(line.substr(begin, end - begin));
+            tokens.push_back(line.substr(begin, end - begin));
         begin = end + 1;
     }
 }
@@ -54,11 +54,11 @@
         return unread.size() > max_line_bytes ? Status::malformed : Status::incomplete;
     if (end > max_line_bytes)
         return Status::malformed;
-    split_words(unread.substr(0, end), line.words);
+    split_tokens(unread.substr(0, end), line.tokens);
     line.body = {};
     std::size_t taken = end + line_end.size();
-    if (!line.words.empty() && has_body_(line.words)) {
-        const std::optional<std::size_t> length = parse_length(line.words.back(), max_body_bytes_);
+    if (!line.tokens.empty() && has_body_(line.tokens)) {
+        const std::optional<std::size_t> length = parse_length(line.tokens.back(), max_body_bytes_);
         if (!length)
             return Status::malformed;
         if (unread.size() < taken + *length + line_end.size())
--- a/src/platform/line_reader.hpp
+++ b/src/platform/line_reader.hpp
@@ -11,7 +11,7 @@
 
 /// One message. Its views are valid until the next call of the reader that gave it.
 struct Line {
-    std::vector<std::string_view> words;
+    std::vector<std::string_view> tokens;
     std::string_view body;
 };
 
@@ -23,7 +23,7 @@
     enum class Status { incomplete, complete, malformed };
 
     /// Whether a message with these words (never none) has a body. Its last word is then the body's length.
-    using BodyRule = bool (*)(const std::vector<std::string_view>& words);
+    using BodyRule = bool (*)(const std::vector<std::string_view>& tokens);
 
     /// `max_body_bytes`: a longer body is malformed; `has_body` tells which messages have one.
     LineReader(std::size_t max_body_bytes, BodyRule has_body)
--- a/src/platform/platform_node.cpp
+++ b/src/platform/platform_node.cpp
@@ -120,10 +120,10 @@
     try {
         const auto lease =
             descriptors_.try_acquire(request_manager_.now(), connection_admission::DescriptorPurpose::file);
-        const config::NodeConfig fresh = config::load_node_config(path);
-        if (fresh.name != config_.name || fresh.listen_address != config_.listen_address)
+        const config::NodeConfig new_config = config::load_node_config(path);
+        if (new_config.name != config_.name || new_config.listen_address != config_.listen_address)
             throw config::ConfigError(path + ": name and listen change with a restart only");
-        apply(fresh);
+        apply(new_config);
         ++configurations_applied_;
     } catch (const std::exception& error) {
         ++configurations_rejected_;
@@ -132,20 +132,21 @@
 }
 
 // All fields are parsed before the first is used: never is half a configuration in force.
-void PlatformNode::apply(const config::NodeConfig& fresh) {
-    const net::Address engine = parse_address("engine", fresh.engine_address);
-    const net::Address records = records_address(fresh);
-    const net::Address directory = parse_address("lookup", fresh.directory_address);
-    spdlog::info("configuration: applied engine={} records={} directory={}", fresh.engine_address,
-                 fresh.records_address, fresh.directory_address);
+void PlatformNode::apply(const config::NodeConfig& new_config) {
+    const net::Address engine = parse_address("engine", new_config.engine_address);
+    const net::Address records = records_address(new_config);
+    const net::Address directory = parse_address("lookup", new_config.directory_address);
+    spdlog::info("configuration: applied engine={} records={} directory={}", new_config.engine_address,
+                 new_config.records_address, new_config.directory_address);
     engine_client_.set_address(engine);
     records_client_.set_address(records);
     directory_reporter_.set_address(directory);
-    if (fresh.settings_json == settings_json_)
+    if (new_config.settings_json == settings_json_)
         return;
-    request_manager_.reconfigure(fresh.policy_settings,
-                                 policy::make_admission_controller(fresh.policy_settings, fresh.seed));
-    settings_json_ = fresh.settings_json;
+    request_manager_.reconfigure(
+        new_config.policy_settings,
+        policy::make_admission_controller(new_config.policy_settings, new_config.seed));
+    settings_json_ = new_config.settings_json;
 }
 
 void PlatformNode::begin_graceful_shutdown() {
--- a/src/platform/platform_node.hpp
+++ b/src/platform/platform_node.hpp
@@ -52,7 +52,7 @@
 
 private:
     void add_http_frontend();
-    void apply(const config::NodeConfig& fresh);
+    void apply(const config::NodeConfig& new_config);
 
     /// As it was at the start.
     const config::NodeConfig config_;
--- a/src/platform/records_client.cpp
+++ b/src/platform/records_client.cpp
@@ -49,7 +49,7 @@
                 return;
             if (status == LineReader::Status::malformed)
                 return on_malformed_reply();
-            const auto reply = records_protocol::parse_reply(line.words);
+            const auto reply = records_protocol::parse_reply(line.tokens);
             if (!reply)
                 return on_malformed_reply();
             if (answers_this_call(*reply)) {
@@ -178,7 +178,7 @@
     const request::RequestId request_id = std::exchange(connection.request_id, 0);
     pending_calls_.erase(request_id);
     if (connection.reusable && connection.served_names.size() < max_calls_per_connection) {
-        keep_idle(connection);
+        retain_idle(connection);
     } else {
         close_connection(connection);
     }
@@ -186,7 +186,7 @@
     assign_waiting_calls();
 }
 
-void RecordsClient::keep_idle(Connection& connection) {
+void RecordsClient::retain_idle(Connection& connection) {
     idle_connections_.push_back(connection.id);
     connection.idle_timer = timers_.schedule(loop_.unix_now() + max_idle_time, [this, id = connection.id] {
         Connection* idle = connections_.find(id);
--- a/src/platform/records_client.hpp
+++ b/src/platform/records_client.hpp
@@ -59,7 +59,7 @@
     void open_connection(request::RequestId request_id, PendingCall& call);
     void send_call(Connection& connection);
     void finish_call(Connection& connection, policy::Outcome outcome, std::string_view reply);
-    void keep_idle(Connection& connection);
+    void retain_idle(Connection& connection);
     void on_connection_lost(Connection& connection, bool refused);
     void fail_call(request::RequestId request_id, policy::Outcome outcome);
     void close_connection(Connection& connection);
--- a/src/platform/records_protocol.hpp
+++ b/src/platform/records_protocol.hpp
@@ -22,12 +22,12 @@
 };
 
 /// Whether a reply has a counted body; see LineReader.
-bool has_body(const std::vector<std::string_view>& words);
+bool has_body(const std::vector<std::string_view>& tokens);
 
 /// Reads a reply. Nothing where it is malformed. Its views are those of `words`.
-std::optional<Reply> parse_reply(const std::vector<std::string_view>& words);
+std::optional<Reply> parse_reply(const std::vector<std::string_view>& tokens);
 
-/// `time_left` goes over in whole milliseconds, rounded up, and 1 at least.
-std::string encode_call(std::string_view request_name, base::Duration time_left, std::string_view body);
+/// `remaining_time` goes over in whole milliseconds, rounded up, and 1 at least.
+std::string encode_call(std::string_view request_name, base::Duration remaining_time, std::string_view body);
 
 }  // namespace cressledge::platform::records_protocol
