--- a/src/learned_state/learned_state.cpp
+++ b/src/learned_state/learned_state.cpp
@@ -84,7 +84,7 @@
                             const store::Entries& previous_entries) {
     Timestamp latest_completion{0};
     for (const auto& estimate : state.controller_state.classes) {
-        const std::string key = make_key(kind::request_class, estimate.name);
+        const std::string key = make_key(entry_type::request_class, estimate.name);
         if (estimate.completions <= 0.0) {
             const auto previous = previous_entries.find(key);
             if (previous != previous_entries.end())
@@ -117,14 +117,14 @@
 store::Entries to_entries(const LearnedState& state, const Identity& identity,
                           const store::Entries& previous_entries) {
     store::Entries entries;
-    entries[kind::header] = encode_header(state, identity);
+    entries[entry_type::header] = encode_header(state, identity);
     const Timestamp latest_completion = add_class_entries(entries, state, previous_entries);
     for (const auto& band : state.controller_state.bands)
-        entries[make_key(kind::band, std::to_string(band.priority_weight))] =
+        entries[make_key(entry_type::band, std::to_string(band.priority_weight))] =
             encode_band(band, latest_completion);
-    entries[kind::controller] = encode_controller(state.controller_state, latest_completion);
+    entries[entry_type::controller] = encode_controller(state.controller_state, latest_completion);
     for (const auto& [name, stats] : state.upstreams)
-        entries[make_key(kind::upstream, name)] = encode_upstream(stats);
+        entries[make_key(entry_type::upstream, name)] = encode_upstream(stats);
     return entries;
 }
 
--- a/src/learned_state/restore.cpp
+++ b/src/learned_state/restore.cpp
@@ -51,7 +51,7 @@
 };
 
 std::optional<Header> read_header(const store::Entries& entries) {
-    const auto found = entries.find(kind::header);
+    const auto found = entries.find(entry_type::header);
     if (found == entries.end())
         return std::nullopt;
     const auto document = decode_document(found->second);
@@ -110,13 +110,13 @@
             !read_number(*document, field::observed_at, observed_at_range, observed_at_ms))
             return false;
         const Timestamp observed_at = from_milliseconds(observed_at_ms);
-        if (key.kind == kind::request_class)
+        if (key.type == entry_type::request_class)
             return decode_class(key.name, *document, observed_at);
-        if (key.kind == kind::band)
+        if (key.type == entry_type::band)
             return decode_band(*document, observed_at);
-        if (key.kind == kind::controller)
+        if (key.type == entry_type::controller)
             return decode_controller(*document, observed_at);
-        if (key.kind == kind::upstream)
+        if (key.type == entry_type::upstream)
             return decode_upstream(key.name, *document, observed_at);
         return false;
     }
@@ -225,7 +225,7 @@
     StateDecoder decoder(*header, now, confidence_policy, result.state);
     for (const auto& [key, bytes] : entries) {
         const DocumentKey document_key = parse_key(key);
-        if (document_key.kind != kind::header && !decoder.decode(document_key, bytes))
+        if (document_key.type != entry_type::header && !decoder.decode(document_key, bytes))
             result.skipped_entries.push_back(SkippedEntry{key});
     }
     result.restored = true;
--- a/src/learned_state/state_document.cpp
+++ b/src/learned_state/state_document.cpp
@@ -8,13 +8,13 @@
 using nlohmann::json;
 
 DocumentKey parse_key(const std::string& key) {
-    const std::string kind = key.substr(0, key.find('/'));
-    const std::size_t name_begin = std::min(key.size(), kind.size() + 1);
-    return {kind, key.substr(name_begin)};
+    const std::string type = key.substr(0, key.find('/'));
+    const std::size_t name_begin = std::min(key.size(), type.size() + 1);
+    return {type, key.substr(name_begin)};
 }
 
-std::string make_key(const char* kind, const std::string& name) {
-    return std::string(kind) + '/' + name;
+std::string make_key(const char* type, const std::string& name) {
+    return std::string(type) + '/' + name;
 }
 
 std::string encode_document(const json& document) {
--- a/src/learned_state/state_document.hpp
+++ b/src/learned_state/state_document.hpp
@@ -11,13 +11,13 @@
 namespace cressledge::learned_state {
 
 /// Kinds of documents.
-namespace kind {
+namespace entry_type {
 constexpr const char* header = "about";
 constexpr const char* request_class = "class";
 constexpr const char* band = "band";
 constexpr const char* controller = "controller";
 constexpr const char* upstream = "server";
-}  // namespace kind
+}  // namespace entry_type
 
 /// Fields of documents. Times are Unix milliseconds; durations are seconds.
 namespace field {
@@ -45,11 +45,11 @@
 
 /// The two parts of a key.
 struct DocumentKey {
-    std::string kind;
+    std::string type;
     std::string name;
 };
 DocumentKey parse_key(const std::string& key);
-std::string make_key(const char* kind, const std::string& name);
+std::string make_key(const char* type, const std::string& name);
 
 std::string encode_document(const nlohmann::json& document);
 /// Nothing if the bytes are no CBOR object.
--- a/src/store/generation_file.cpp
+++ b/src/store/generation_file.cpp
@@ -11,13 +11,13 @@
 constexpr std::size_t generation_digits = 16;
 constexpr int generation_base = 16;
 
-const char* prefix_of(FileKind kind) {
-    switch (kind) {
-        case FileKind::snapshot:
+const char* prefix_of(FileType type) {
+    switch (type) {
+        case FileType::snapshot:
             return "snap-";
-        case FileKind::log:
+        case FileType::log:
             return "log-";
-        case FileKind::unfinished_snapshot:
+        case FileType::unfinished_snapshot:
             return "new-";
     }
     return "";
@@ -37,16 +37,16 @@
 
 }  // namespace
 
-std::string file_name(FileKind kind, std::uint64_t generation) {
+std::string file_name(FileType type, std::uint64_t generation) {
     char digits[generation_digits + 1];
     std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(generation));
-    return std::string(prefix_of(kind)) + digits;
+    return std::string(prefix_of(type)) + digits;
 }
 
 std::optional<GenerationFile> parse_file_name(const std::string& name) {
-    for (const FileKind kind : {FileKind::snapshot, FileKind::log, FileKind::unfinished_snapshot})
-        if (const auto generation = parse_generation(name, prefix_of(kind)))
-            return GenerationFile{kind, *generation};
+    for (const FileType type : {FileType::snapshot, FileType::log, FileType::unfinished_snapshot})
+        if (const auto generation = parse_generation(name, prefix_of(type)))
+            return GenerationFile{type, *generation};
     return std::nullopt;
 }
 
--- a/src/store/generation_file.hpp
+++ b/src/store/generation_file.hpp
@@ -7,7 +7,7 @@
 
 namespace cressledge::store {
 
-enum class FileKind : std::uint8_t {
+enum class FileType : std::uint8_t {
     snapshot,
     log,
     /// A snapshot that is still being written.
@@ -15,11 +15,11 @@
 };
 
 struct GenerationFile {
-    FileKind kind = FileKind::snapshot;
+    FileType type = FileType::snapshot;
     std::uint64_t generation = 0;
 };
 
-std::string file_name(FileKind kind, std::uint64_t generation);
+std::string file_name(FileType type, std::uint64_t generation);
 
 /// Nothing if the name is not one of a store's file.
 std::optional<GenerationFile> parse_file_name(const std::string& name);
--- a/src/store/posix_file_system.cpp
+++ b/src/store/posix_file_system.cpp
@@ -57,15 +57,15 @@
     char buffer[read_buffer_bytes];
     ErrorNumber error = no_error;
     while (error == no_error) {
-        const ssize_t n = ::read(fd, buffer, sizeof buffer);
-        if (n == 0)
+        const ssize_t byte_count = ::read(fd, buffer, sizeof buffer);
+        if (byte_count == 0)
             break;
-        if (n < 0 && errno == EINTR)
+        if (byte_count < 0 && errno == EINTR)
             continue;
-        if (n < 0)
+        if (byte_count < 0)
             error = errno;
-        if (n > 0)
-            contents.append(buffer, static_cast<std::size_t>(n));
+        if (byte_count > 0)
+            contents.append(buffer, static_cast<std::size_t>(byte_count));
         if (contents.size() > max_bytes)
             error = EFBIG;
     }
@@ -83,9 +83,9 @@
 }
 
 ErrorNumber PosixFileSystem::append(const std::string& name, std::string_view bytes, std::size_t& written) {
-    const ssize_t n = ::write(open_files_.at(name), bytes.data(), bytes.size());
-    written = n < 0 ? 0 : static_cast<std::size_t>(n);
-    return n < 0 && errno != EINTR ? errno : no_error;
+    const ssize_t byte_count = ::write(open_files_.at(name), bytes.data(), bytes.size());
+    written = byte_count < 0 ? 0 : static_cast<std::size_t>(byte_count);
+    return byte_count < 0 && errno != EINTR ? errno : no_error;
 }
 
 ErrorNumber PosixFileSystem::sync(const std::string& name) {
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -44,7 +44,7 @@
     std::vector<std::uint64_t> generations;
     for (const std::string& name : names) {
         const auto file = parse_file_name(name);
-        if (file && file->kind == FileKind::snapshot)
+        if (file && file->type == FileType::snapshot)
             generations.push_back(file->generation);
     }
     std::sort(generations.rbegin(), generations.rend());
@@ -52,7 +52,7 @@
 }
 
 bool Store::load_generation(std::uint64_t generation) {
-    const std::string name = file_name(FileKind::snapshot, generation);
+    const std::string name = file_name(FileType::snapshot, generation);
     std::string bytes;
     if (const ErrorNumber error = files_.read(name, max_file_bytes, bytes); error != no_error) {
         skipped_files_.push_back(name + ": " + std::strerror(error));
@@ -72,7 +72,7 @@
 }
 
 void Store::replay_log_of(Snapshot& snapshot) {
-    const std::string name = file_name(FileKind::log, snapshot.generation);
+    const std::string name = file_name(FileType::log, snapshot.generation);
     std::string bytes;
     if (files_.read(name, max_file_bytes, bytes) != no_error)
         return;
@@ -103,7 +103,7 @@
 
 ErrorNumber Store::commit_as_generation(Entries entries) {
     if (is_log_open_)
-        files_.close(file_name(FileKind::log, snapshot_.generation));
+        files_.close(file_name(FileType::log, snapshot_.generation));
     is_log_open_ = false;
     if (const ErrorNumber error = start_generation(std::move(entries)); error != no_error)
         return error;
@@ -115,7 +115,7 @@
     const std::optional<std::string> record = encode_log_record(changes, log_position_);
     if (!record)
         return EFBIG;
-    const std::string log = file_name(FileKind::log, snapshot_.generation);
+    const std::string log = file_name(FileType::log, snapshot_.generation);
     ErrorNumber error = write_all(log, *record);
     if (error == no_error)
         error = files_.sync(log);
@@ -146,7 +146,7 @@
 }
 
 ErrorNumber Store::write_snapshot(std::uint64_t generation, std::string_view bytes) {
-    const std::string unfinished = file_name(FileKind::unfinished_snapshot, generation);
+    const std::string unfinished = file_name(FileType::unfinished_snapshot, generation);
     ErrorNumber error = files_.create(unfinished);
     if (error == no_error)
         error = write_all(unfinished, bytes);
@@ -154,7 +154,7 @@
         error = files_.sync(unfinished);
     files_.close(unfinished);
     if (error == no_error)
-        error = files_.rename(unfinished, file_name(FileKind::snapshot, generation));
+        error = files_.rename(unfinished, file_name(FileType::snapshot, generation));
     if (error == no_error)
         error = files_.sync_directory();
     // Guards against a generation whose failure was reported and that a later start would still find. If it
@@ -165,7 +165,7 @@
 }
 
 void Store::start_log() {
-    const std::string name = file_name(FileKind::log, snapshot_.generation);
+    const std::string name = file_name(FileType::log, snapshot_.generation);
     const std::string header = encode_log_header(snapshot_.generation, snapshot_.checksum, log_position_);
     log_bytes_ = header.size();
     if (files_.create(name) != no_error)
@@ -192,14 +192,14 @@
     if (files_.list(names) != no_error)
         return;
     const std::vector<std::uint64_t> generations = snapshot_generations(names);
-    std::uint64_t oldest_kept = 0;
+    std::uint64_t oldest_retained = 0;
     if (generations.size() > limits_.max_generations)
-        oldest_kept = generations[limits_.max_generations - 1];
+        oldest_retained = generations[limits_.max_generations - 1];
     for (const std::string& name : names) {
         const auto file = parse_file_name(name);
         if (!file)
             continue;
-        if (file->kind == FileKind::unfinished_snapshot || file->generation < oldest_kept)
+        if (file->type == FileType::unfinished_snapshot || file->generation < oldest_retained)
             files_.remove(name);
     }
 }
