--- a/src/command/exit_status.hpp
+++ b/src/command/exit_status.hpp
@@ -7,6 +7,6 @@
 /// A check has found something wrong.
 inline constexpr int exit_check_failed = 1;
 /// The command line or a file cannot be used.
-inline constexpr int exit_bad_use = 2;
+inline constexpr int exit_usage_error = 2;
 
 }  // namespace cressledge::command
--- a/src/command/inventory.cpp
+++ b/src/command/inventory.cpp
@@ -73,7 +73,7 @@
     } catch (const config::InventoryError& error) {
         for (const std::string& row : error.row_errors)
             std::cerr << "cressledge: " << row << '\n';
-        return exit_bad_use;
+        return exit_usage_error;
     }
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -85,23 +85,23 @@
     return options;
 }
 
-std::optional<std::string> text_option(const cxxopts::ParseResult& given, const char* name) {
-    if (given.count(name) == 0)
+std::optional<std::string> text_option(const cxxopts::ParseResult& parsed_options, const char* name) {
+    if (parsed_options.count(name) == 0)
         return std::nullopt;
-    return given[name].as<std::string>();
+    return parsed_options[name].as<std::string>();
 }
 
-CommandLine to_command_line(const cxxopts::ParseResult& given) {
+CommandLine to_command_line(const cxxopts::ParseResult& parsed_options) {
     CommandLine line;
-    line.command = given["command"].as<std::string>();
-    if (given.count("files") != 0)
-        line.arguments = given["files"].as<Arguments>();
-    line.prints_json = given.count("json") != 0;
-    line.rolls_back = given.count("take-back") != 0;
-    line.state_directory = text_option(given, "state");
-    line.node_config_path = text_option(given, "config");
-    line.operator_path = text_option(given, "operator");
-    line.report_path = given["report"].as<std::string>();
+    line.command = parsed_options["command"].as<std::string>();
+    if (parsed_options.count("files") != 0)
+        line.arguments = parsed_options["files"].as<Arguments>();
+    line.prints_json = parsed_options.count("json") != 0;
+    line.rolls_back = parsed_options.count("take-back") != 0;
+    line.state_directory = text_option(parsed_options, "state");
+    line.node_config_path = text_option(parsed_options, "config");
+    line.operator_path = text_option(parsed_options, "operator");
+    line.report_path = parsed_options["report"].as<std::string>();
     return line;
 }
 
@@ -135,14 +135,14 @@
     spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
     try {
         cxxopts::Options options = make_options();
-        const auto given = options.parse(argc, argv);
-        if (given.count("help") != 0) {
+        const auto parsed_options = options.parse(argc, argv);
+        if (parsed_options.count("help") != 0) {
             std::cout << options.help();
             return command::exit_success;
         }
-        return run(to_command_line(given));
+        return run(to_command_line(parsed_options));
     } catch (const std::exception& error) {
         std::cerr << "cressledge: " << error.what() << '\n';
-        return command::exit_bad_use;
+        return command::exit_usage_error;
     }
 }
