--- a/src/config/file.cpp
+++ b/src/config/file.cpp
@@ -23,7 +23,7 @@
     return path.substr(std::min(path.rfind('.'), path.size()));
 }
 
-std::string resolve_beside(const std::string& path, const std::string& name) {
+std::string resolve_relative_path(const std::string& path, const std::string& name) {
     if (name.empty() || name.front() == '/')
         return name;
     return path.substr(0, path.rfind('/') + 1) + name;
--- a/src/config/file.hpp
+++ b/src/config/file.hpp
@@ -1,4 +1,4 @@
-/// Files of configuration: their text, and paths beside them. Owns nothing.
+/// Files of configuration: their text, and paths relative to them. Owns nothing.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 /// The last dot of a path and what follows it; empty where there is no dot.
 std::string file_extension(const std::string& path);
 
-/// `name` as seen from the folder of the file `path`: unchanged where it is absolute.
-std::string resolve_beside(const std::string& path, const std::string& name);
+/// `name` as seen from the folder of the file `path`: unchanged where it is absolute or empty.
+std::string resolve_relative_path(const std::string& path, const std::string& name);
 
 }  // namespace cressledge::config
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -66,7 +66,7 @@
 }
 
 void read_process_settings(const YamlReader& reader, const YAML::Node& document, OperatorConfig& config) {
-    config.inventory_path = resolve_beside(reader.path(), reader.text(document, "inventory"));
+    config.inventory_path = resolve_relative_path(reader.path(), reader.text(document, "inventory"));
     config.server_group = reader.text(document, "group", "");
     config.stop_delay = reader.duration_ms(document, "stop_ms", 200.0, 3000.0);
     config.request_timeout = reader.duration_ms(document, "header_ms", 1.0, 2500.0);
@@ -97,7 +97,7 @@
         const double value = reader.number(section, name, 0.01, max, default_value);
         return policy::Duration(std::llround(value * 3600.0 * 1e6));
     };
-    config.directory = resolve_beside(reader.path(), reader.text(section, "folder"));
+    config.directory = resolve_relative_path(reader.path(), reader.text(section, "folder"));
     config.node_name = reader.text(section, "node");
     config.save_interval =
         policy::Duration(std::llround(reader.number(section, "period_s", 0.1, 3600.0, 30.0) * 1e6));
--- a/src/rollout/rollout_settings.cpp
+++ b/src/rollout/rollout_settings.cpp
@@ -3,6 +3,7 @@
 #include <cmath>
 #include <set>
 
+#include "config/file.hpp"
 #include "config/node.hpp"
 #include "config/reader.hpp"
 #include "net/stream.hpp"
@@ -17,12 +18,6 @@
 constexpr double max_duration_s = 86'400.0;
 constexpr double microseconds_per_second = 1e6;
 
-std::string resolve_beside(const std::string& file, const std::string& name) {
-    if (name.front() == '/')
-        return name;
-    return file.substr(0, file.rfind('/') + 1) + name;
-}
-
 YAML::Node require_list(const YamlReader& reader, const YAML::Node& document, const char* name) {
     const YAML::Node list = document[name];
     if (!list || !list.IsSequence() || list.size() == 0)
@@ -55,7 +50,7 @@
     const std::string file = reader.text(change, "settings", "");
     if (file.empty())
         return "";
-    const std::string overlay_path = resolve_beside(path, file);
+    const std::string overlay_path = config::resolve_relative_path(path, file);
     const std::string text = config::read_file(overlay_path);
     const YAML::Node overlay = YAML::Load(text);
     if (!overlay.IsMap() || overlay.size() == 0)
--- a/src/supervisor/supervisor_settings.cpp
+++ b/src/supervisor/supervisor_settings.cpp
@@ -2,18 +2,13 @@
 
 #include <set>
 
+#include "config/file.hpp"
 #include "config/node.hpp"
 #include "config/reader.hpp"
 
 namespace cressledge::supervisor {
 namespace {
 
-std::string resolve_beside(const std::string& file, const std::string& name) {
-    if (name.empty() || name.front() == '/')
-        return name;
-    return file.substr(0, file.rfind('/') + 1) + name;
-}
-
 void read_policy(const config::YamlReader& reader, const YAML::Node& document, SupervisionPolicy& policy) {
     policy.ready_timeout = reader.duration_ms(document, "ready_ms", 100.0, 10'000.0);
     policy.drain_timeout = reader.duration_ms(document, "drained_ms", 100.0, 10'000.0);
@@ -30,7 +25,7 @@
     for (const auto& entry : list) {
         reader.require_known_keys(entry, "processes", {"id", "file", "program"});
         const std::string id = reader.text(entry, "id");
-        const std::string settings_file = resolve_beside(path, reader.text(entry, "file"));
+        const std::string settings_file = config::resolve_relative_path(path, reader.text(entry, "file"));
         const std::string program = reader.text(entry, "program", default_program.c_str());
         if (!ids.insert(id).second)
             reader.fail(entry["id"], "id", "a duplicate: " + id);
@@ -49,7 +44,7 @@
     if (settings.admin_address.empty())
         reader.fail(document, "control", "missing");
     const std::string default_program = reader.text(document, "program");
-    settings.log_directory = resolve_beside(path, reader.text(document, "logs", ""));
+    settings.log_directory = config::resolve_relative_path(path, reader.text(document, "logs", ""));
     read_policy(reader, document, settings.policy);
     settings.processes = read_processes(reader, path, document, default_program);
     return settings;
