--- a/src/connection_admission/client_group_usage.hpp
+++ b/src/connection_admission/client_group_usage.hpp
@@ -7,6 +7,7 @@
 
 namespace cressledge::connection_admission {
 
+/// The limits and reserved capacity of one client group, and what of it is in use now.
 struct ClientGroupUsage {
     SourceLimits source_limits;
     std::uint32_t reserved_connections = 0;
--- a/src/connection_admission/connection_limiter.hpp
+++ b/src/connection_admission/connection_limiter.hpp
@@ -22,6 +22,7 @@
 
 namespace cressledge::connection_admission {
 
+/// Admission control of connections and of the requests on them; see the head of this file for its invariants.
 class ConnectionLimiter {
 public:
     /// `seed` keeps clients from choosing addresses that collide in the tables of sources.
@@ -87,19 +88,26 @@
         std::uint32_t open_connections = 0;
         std::uint32_t in_flight_requests = 0;
     };
+    /// What the clients of a group use now; index 0 is of clients that no group lists.
     GroupUsage group_usage(GroupIndex group_index) const;
 
     /// All rejections since the start.
     const RejectionCounts& rejections() const { return rejections_; }
     /// The part of rejections() whose sources are not tracked any more.
     RejectionCounts rejections_of_evicted_sources() const { return registry_.sources().evicted_rejections(); }
+    /// Connections evicted for other connections or for file descriptors since the start.
     std::uint64_t evicted_connections() const { return evicted_connections_; }
+    /// Admitted connections that are open; rejected ones are not counted.
     std::size_t open_connections() const { return registry_.open_connections(); }
+    /// Rejected connections that are still read.
     std::size_t rejection_slots_in_use() const { return registry_.rejection_slots_in_use(); }
     /// Requests in flight outside the groups' reserves.
     std::size_t shared_in_flight_requests() const { return registry_.shared_in_flight_requests(); }
+    /// Sources that have an entry, with or without open connections.
     std::size_t tracked_source_count() const { return registry_.sources().size(); }
+    /// Memory of the tables, in bytes.
     std::size_t memory_bytes() const { return registry_.memory_bytes(); }
+    /// The settings in force.
     const Settings& settings() const { return registry_.settings(); }
 
     /// For tests: throws std::logic_error if a count differs from the slots that it counts.
--- a/src/connection_admission/connection_registry.hpp
+++ b/src/connection_admission/connection_registry.hpp
@@ -26,6 +26,9 @@
     ConnectionRef ref;
 };
 
+/// Owns the slots, the sources and the usage of each client group.
+///
+/// Invariant: every count equals the number of slots that it counts; see check_invariants().
 class ConnectionRegistry {
 public:
     /// `seed` keeps clients from choosing addresses that collide in the tables of sources.
@@ -33,6 +36,7 @@
 
     /// Counts the open connections anew under the new groups; none is closed.
     void reconfigure(Timestamp now, Settings settings);
+    /// The settings in force; `max_connections` is at least 1.
     const Settings& settings() const { return settings_; }
 
     /// The source of an address and the group that lists it. May evict a source without connections from its
@@ -49,19 +53,26 @@
     /// Does nothing if the slot's request is not counted.
     void uncount_in_flight(ConnectionSlot& slot);
 
+    /// The slots; whether a slot's request is in flight changes through the functions above alone.
     ConnectionSlotTable& slots() { return slots_; }
     const ConnectionSlotTable& slots() const { return slots_; }
+    /// The sources of all groups.
     SourceRegistry& sources() { return sources_; }
     const SourceRegistry& sources() const { return sources_; }
+    /// `group_index` must be of the settings in force.
     const ClientGroupUsage& group(GroupIndex group_index) const { return groups_[group_index]; }
+    /// A selector over these tables; it must not outlive the registry.
     EvictionSelector eviction_selector() const { return {slots_, sources_, groups_}; }
 
+    /// Slots in use other than rejection slots.
     std::size_t open_connections() const { return open_connections_; }
+    /// Slots in the state `rejected`.
     std::size_t rejection_slots_in_use() const { return rejection_slots_in_use_; }
     /// Requests in flight outside the groups' reserves.
     std::size_t shared_in_flight_requests() const { return shared_in_flight_requests_; }
     /// Requests that may be in flight outside the groups' reserves.
     std::size_t max_shared_requests() const;
+    /// Memory of slots and sources, in bytes.
     std::size_t memory_bytes() const { return sources_.memory_bytes() + slots_.memory_bytes(); }
 
     /// For tests: throws std::logic_error if a count differs from the slots that it counts.
--- a/src/connection_admission/connection_slot_table.hpp
+++ b/src/connection_admission/connection_slot_table.hpp
@@ -59,6 +59,7 @@
     RejectionReason rejection_reason = RejectionReason::source_connections;
 };
 
+/// Owns the slots and their lists. Ids of released slots are never used again.
 class ConnectionSlotTable {
 public:
     /// Makes room for at least this many slots; never gives any back.
@@ -73,7 +74,9 @@
         return const_cast<ConnectionSlot*>(std::as_const(*this).find(slot_id));
     }
 
+    /// The id of the connection that the slot holds now.
     ConnectionSlotId id_of(SlotIndex index) const;
+    /// The slot that an id names, whether or not its connection is gone.
     static SlotIndex index_of(ConnectionSlotId slot_id) { return static_cast<SlotIndex>(slot_id); }
 
     ConnectionSlot& operator[](SlotIndex index) { return slots_[index]; }
@@ -95,6 +98,7 @@
 
     /// All slots, free ones included.
     const std::vector<ConnectionSlot>& slots() const { return slots_; }
+    /// Memory of the slots and lists, in bytes.
     std::size_t memory_bytes() const;
 
 private:
--- a/src/connection_admission/descriptor_purpose.hpp
+++ b/src/connection_admission/descriptor_purpose.hpp
@@ -7,6 +7,7 @@
 
 namespace cressledge::connection_admission {
 
+/// What a file descriptor is open for. Each purpose has a quota of its own.
 enum class DescriptorPurpose : std::uint8_t {
     /// Listening sockets of the frontends.
     listener,
--- a/src/connection_admission/file_descriptor_budget.hpp
+++ b/src/connection_admission/file_descriptor_budget.hpp
@@ -17,6 +17,7 @@
 
 namespace cressledge::connection_admission {
 
+/// Hands out leases within the limit of the process and the quotas of its purposes. Must outlive its leases.
 class FileDescriptorBudget {
 public:
     using Quota = DescriptorQuota;
@@ -52,6 +53,7 @@
         DescriptorPurpose purpose_ = DescriptorPurpose::file;
     };
 
+    /// Counts the descriptors that `plan` names as open without a lease as used from the start.
     explicit FileDescriptorBudget(const DescriptorPlan& plan);
     FileDescriptorBudget(const FileDescriptorBudget&) = delete;
     FileDescriptorBudget& operator=(const FileDescriptorBudget&) = delete;
@@ -78,7 +80,9 @@
 
     /// Descriptors in use, with those that are open without a lease.
     std::size_t used() const { return used_; }
+    /// Leases of this purpose that are out.
     std::size_t used(DescriptorPurpose purpose) const { return usage_of(purpose).used; }
+    /// Descriptors that the process may have open.
     std::size_t limit() const { return limit_; }
     /// Leases that were refused.
     std::uint64_t denied(DescriptorPurpose purpose) const { return usage_of(purpose).denied; }
--- a/src/connection_admission/ip_address.hpp
+++ b/src/connection_admission/ip_address.hpp
@@ -18,10 +18,12 @@
     std::uint64_t low = 0;
     auto operator<=>(const IpAddress&) const = default;
 
+    /// The IPv4-mapped IPv6 address of an IPv4 address in host byte order.
     static IpAddress from_v4(std::uint32_t host_order) { return {0, 0xffff'0000'0000ULL | host_order}; }
     /// `bytes` are in network order.
     static IpAddress from_v6(const std::array<unsigned char, 16>& bytes);
 
+    /// Whether this is an IPv4-mapped address.
     bool is_v4() const { return high == 0 && low >> 32U == 0xffffU; }
     /// Keeps the first `prefix_length` bits, 0 to 128, and clears the others.
     IpAddress masked(unsigned prefix_length) const;
--- a/src/connection_admission/settings.hpp
+++ b/src/connection_admission/settings.hpp
@@ -34,6 +34,7 @@
     std::uint32_t reserved_requests = 0;
 };
 
+/// Limits of connections, requests and sources, and the client groups that have reserves.
 struct Settings {
     /// Open at a time over all frontends; at least 1.
     std::uint32_t max_connections = 256;
--- a/src/connection_admission/source_table.hpp
+++ b/src/connection_admission/source_table.hpp
@@ -53,6 +53,7 @@
     SourceIndex find_or_insert(Timestamp now, const IpAddress& base_address, unsigned prefix_length,
                                const SourceLimits& limits);
 
+    /// `source_index` must come from find_or_insert().
     Source& at(SourceIndex source_index) { return entries_[source_index]; }
     const Source& at(SourceIndex source_index) const { return entries_[source_index]; }
 
@@ -60,6 +61,7 @@
     std::size_t capacity() const { return entries_.size() - 1; }
     /// Entries in use.
     std::size_t size() const { return size_; }
+    /// Memory of the entries, in bytes.
     std::size_t memory_bytes() const { return entries_.size() * sizeof(Source); }
 
     /// Rejections of sources whose entries have been evicted.
--- a/src/connection_admission/token_bucket.hpp
+++ b/src/connection_admission/token_bucket.hpp
@@ -20,6 +20,7 @@
     /// Starts again at `now` with this number of tokens.
     void reset(Timestamp now, double tokens);
 
+    /// Tokens as of the last refill.
     double tokens() const { return tokens_; }
 
 private:
--- a/src/learned_state/state_document.hpp
+++ b/src/learned_state/state_document.hpp
@@ -10,7 +10,7 @@
 
 namespace cressledge::learned_state {
 
-/// Kinds of documents.
+/// Types of entries, the first part of a key.
 namespace entry_type {
 constexpr const char* header = "about";
 constexpr const char* request_class = "class";
--- a/src/platform/engine_protocol.hpp
+++ b/src/platform/engine_protocol.hpp
@@ -79,7 +79,7 @@
 using Message =
     std::variant<Ignored, Notice, MalformedNotice, GaugesReply, HealthCheckReply, Hello, CommandRejected>;
 
-/// Reads one message. Its views are those of `line`, which must have words. `gauge_names` gives the order in which the
+/// Reads one message. Its views are those of `line`, which must have tokens. `gauge_names` gives the order in which the
 /// engine states its gauges.
 Message parse_message(const Line& line, const std::vector<std::string>& gauge_names);
 
--- a/src/platform/line_reader.hpp
+++ b/src/platform/line_reader.hpp
@@ -1,4 +1,4 @@
-// The framing that engine and records service share: a line of words ending in CR LF, in some messages followed by a
+// The framing that engine and records service share: a line of tokens ending in CR LF, in some messages followed by a
 // body of counted length and CR LF.
 #pragma once
 
@@ -22,7 +22,7 @@
     /// Where the message under way stands.
     enum class Status { incomplete, complete, malformed };
 
-    /// Whether a message with these words (never none) has a body. Its last word is then the body's length.
+    /// Whether a message with these tokens (never none) has a body. Its last token is then the body's length.
     using BodyRule = bool (*)(const std::vector<std::string_view>& tokens);
 
     /// `max_body_bytes`: a longer body is malformed; `has_body` tells which messages have one.
--- a/src/platform/records_protocol.hpp
+++ b/src/platform/records_protocol.hpp
@@ -24,7 +24,7 @@
 /// Whether a reply has a counted body; see LineReader.
 bool has_body(const std::vector<std::string_view>& tokens);
 
-/// Reads a reply. Nothing where it is malformed. Its views are those of `words`.
+/// Reads a reply. Nothing where it is malformed. Its views are those of `tokens`.
 std::optional<Reply> parse_reply(const std::vector<std::string_view>& tokens);
 
 /// `remaining_time` goes over in whole milliseconds, rounded up, and 1 at least.
--- a/src/rollout/canary_analysis.hpp
+++ b/src/rollout/canary_analysis.hpp
@@ -45,6 +45,8 @@
     std::size_t min_baseline_processes = 3;
 };
 
+/// How one metric of the canary compares with the baseline: within its tolerance or explained by chance; beyond it, but
+/// not certainly so; or certainly beyond it.
 enum class ComparisonOutcome : std::uint8_t { acceptable, suspect, worse };
 
 /// Canary against baseline in one metric of one request class.
@@ -59,11 +61,13 @@
     ComparisonOutcome outcome = ComparisonOutcome::acceptable;
 };
 
+/// Whether the rollout goes on, waits for more observations, or is rolled back.
 enum class CanaryVerdict : std::uint8_t { pass, inconclusive, fail };
 
 /// The word for `verdict` in reports.
 const char* to_string(CanaryVerdict verdict);
 
+/// The verdict on one window of observations, with everything it rests on.
 struct CanaryAnalysis {
     CanaryVerdict verdict = CanaryVerdict::inconclusive;
     /// Why the verdict is not `pass`.
@@ -85,6 +89,8 @@
     MetricsByClass prior;
 };
 
+/// Compares the two groups class by class. Inconclusive where the canary has too few requests or the baseline too few
+/// processes; see `Tolerances`.
 CanaryAnalysis analyze_canary(const std::vector<ProcessMetrics>& canary,
                               const std::vector<ProcessMetrics>& baseline, const Tolerances& tolerances);
 
--- a/src/rollout/canary_statistics.hpp
+++ b/src/rollout/canary_statistics.hpp
@@ -28,6 +28,7 @@
     double events = 0.0;
     double trials = 0.0;
 
+    /// Events for each trial; 0 without trials.
     double rate() const { return trials > 0.0 ? events / trials : 0.0; }
     /// Adds one process, unless it had no trials in the window.
     void add(const EventRate& in_window, const EventRate& before);
--- a/src/rollout/class_metrics.hpp
+++ b/src/rollout/class_metrics.hpp
@@ -27,6 +27,7 @@
     double late = 0.0;
     LatencyCounts latency_counts{};
 
+    /// All requests of the class, whatever their outcome.
     double total() const { return ok + shed + errors; }
     ClassMetrics& operator+=(const ClassMetrics& other);
     ClassMetrics& operator-=(const ClassMetrics& other);
@@ -37,12 +38,14 @@
 
 MetricsByClass& operator+=(MetricsByClass& sum, const MetricsByClass& other);
 
+/// The sum over all request classes.
 ClassMetrics sum_over_classes(const MetricsByClass& metrics);
 
 /// What was counted between `earlier` and `later`, class by class; none where a number has fallen, which means that the
 /// process was restarted between the two.
 std::optional<MetricsByClass> difference(const MetricsByClass& earlier, const MetricsByClass& later);
 
+/// The number of latencies in all buckets.
 double total_count(const LatencyCounts& counts);
 
 /// The bucket that holds the `quantile` (0 to 1) of `counts`.
--- a/src/rollout/crash_monitor.hpp
+++ b/src/rollout/crash_monitor.hpp
@@ -11,6 +11,7 @@
 
 namespace cressledge::rollout {
 
+/// Whether the updated processes crash more often than the others.
 enum class CrashAssessment : std::uint8_t {
     /// No more crashes than chance explains.
     none,
@@ -32,9 +33,10 @@
     /// Forgets the crashes of the last bake.
     void start_bake();
 
+    /// Takes in the crash counts of one observation of the fleet of `state`.
     void observe(Timestamp now, const RolloutState& state, const Observations& observations);
 
-    /// The finding for a bake that began at `bake_started_at`.
+    /// The assessment of the bake that began at `bake_started_at`.
     CrashAssessment assess(Timestamp now, Timestamp bake_started_at,
                            const std::vector<RolloutTarget>& targets);
 
--- a/src/rollout/fleet_client.hpp
+++ b/src/rollout/fleet_client.hpp
@@ -29,14 +29,18 @@
     std::size_t supervisor_count = 0;
 };
 
+/// Talks to the admin addresses of supervisors and processes. Each public call runs the loop until every answer has come
+/// or `request_timeout` is over.
 class FleetClient {
 public:
     /// For the answer to one call.
     static constexpr base::Duration request_timeout{1'500'000};
 
+    /// `supervisor_addresses` as `HOST:PORT`; `rollout_name` is the holder of the leases that it takes.
     FleetClient(net::Loop& loop, base::TimerQueue& timers,
                 const std::vector<std::string>& supervisor_addresses, std::string rollout_name);
 
+    /// All supervisors, whether reachable or not.
     std::size_t supervisor_count() const { return supervisors_.size(); }
 
     /// Asks each supervisor that has not confirmed it for its lease.
@@ -47,6 +51,7 @@
 
     /// Takes every lease as held: a confirmation may have been lost.
     void assume_leases_held();
+    /// Whether any supervisor has confirmed a lease that it has not confirmed to be released.
     bool holds_any_lease() const;
 
     /// Asks every supervisor for its processes, and then each process for its metrics. Returns whether any supervisor
@@ -55,6 +60,7 @@
 
     /// Every process that was ever seen, as of the last call of `observe`.
     const Observations& observations() const { return observations_; }
+    /// The reachable processes whose supervisors have confirmed their leases, as of the last call of `observe`.
     LeasedFleet leased_fleet() const;
 
     /// Sends processes their specs. The next observation shows what became of it.
--- a/src/rollout/rollout_controller.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -31,6 +31,7 @@
     using std::runtime_error::runtime_error;
 };
 
+/// Runs one rollout on the loop of `cressledge roll`. Holds the leases of the supervisors while it runs.
 class RolloutController {
 public:
     /// Throws `RolloutStoreError` and `InvalidRolloutState`; see `RolloutStore`.
--- a/src/rollout/rollout_plan.hpp
+++ b/src/rollout/rollout_plan.hpp
@@ -23,6 +23,7 @@
     std::size_t process_count = 0;
 };
 
+/// The change that a rollout brings, its stages and its timing.
 struct RolloutPlan {
     std::string name;
     /// An empty program or overlay leaves that of each process as it is.
--- a/src/rollout/rollout_report.hpp
+++ b/src/rollout/rollout_report.hpp
@@ -8,8 +8,10 @@
 
 namespace cressledge::rollout {
 
+/// One stage: its groups, times in Unix microseconds, verdict and last analysis.
 nlohmann::ordered_json to_json(const StageReport& report);
 
+/// One interval between observations: the metrics of both groups.
 nlohmann::ordered_json to_json(const TrafficSample& sample);
 
 }  // namespace cressledge::rollout
--- a/src/rollout/rollout_settings.hpp
+++ b/src/rollout/rollout_settings.hpp
@@ -8,6 +8,7 @@
 
 namespace cressledge::rollout {
 
+/// The file of one rollout: its plan, and where and how often the fleet is observed.
 struct RolloutSettings {
     RolloutPlan plan;
     /// Admin addresses of the supervisors, as `HOST:PORT`.
--- a/src/rollout/rollout_state.hpp
+++ b/src/rollout/rollout_state.hpp
@@ -34,6 +34,7 @@
     bool is_updated = false;
 };
 
+/// The durable state of a rollout; every step of `RolloutStateMachine` continues from it.
 struct RolloutState {
     std::string name;
     /// Digest of the plan; another plan does not continue from this state.
@@ -52,6 +53,7 @@
     using std::runtime_error::runtime_error;
 };
 
+/// The stored form.
 nlohmann::ordered_json to_json(const RolloutState& state);
 
 /// Throws `InvalidRolloutState`.
--- a/src/rollout/rollout_state_machine.hpp
+++ b/src/rollout/rollout_state_machine.hpp
@@ -51,6 +51,8 @@
     bool is_finished = false;
 };
 
+/// Decides what a rollout does next; see the head of this file. It keeps no more than `RolloutState` over a restart: a
+/// bake then begins anew.
 class RolloutStateMachine {
 public:
     /// A new rollout over processes with the specs that they have now.
@@ -65,9 +67,11 @@
     /// Has the next step roll the change back, unless the rollout is past that.
     void request_rollback(const std::string& reason);
 
+    /// The state as of the last step; to be made durable where that step asked for it.
     const RolloutState& state() const { return state_; }
     /// The stages that this object has begun, in their order.
     const std::vector<StageReport>& reports() const { return reports_; }
+    /// What the processes did between observations, oldest first.
     const std::vector<TrafficSample>& samples() const { return traffic_.samples(); }
 
     /// Processes that have the change at the end of stage `stage_index`.
--- a/src/rollout/stage_report.hpp
+++ b/src/rollout/stage_report.hpp
@@ -9,6 +9,7 @@
 
 namespace cressledge::rollout {
 
+/// One stage of a rollout: its groups of processes, its times and its verdict.
 struct StageReport {
     std::size_t stage_index = 0;
     /// Processes with the change, and without it, once the stage is updated.
@@ -25,6 +26,7 @@
     /// The last analysis.
     CanaryAnalysis analysis;
 
+    /// Whether the stage passed, failed or was cut short.
     bool has_ended() const { return ended_at != Timestamp(0); }
 };
 
--- a/src/rollout/traffic_monitor.hpp
+++ b/src/rollout/traffic_monitor.hpp
@@ -29,6 +29,7 @@
     std::vector<ProcessMetrics> baseline;
 };
 
+/// Accumulates the request metrics of each process over restarts, which reset a process's own counters.
 class TrafficMonitor {
 public:
     /// Takes in one observation of the fleet of `state`.
@@ -46,6 +47,7 @@
     /// When the metrics of a process were last read since the bake began.
     std::optional<Timestamp> last_seen_at(const std::string& process_id) const;
 
+    /// What both groups did between observations, oldest first.
     const std::vector<TrafficSample>& samples() const { return samples_; }
 
 private:
--- a/src/rollout/update_tracker.hpp
+++ b/src/rollout/update_tracker.hpp
@@ -9,6 +9,7 @@
 
 namespace cressledge::rollout {
 
+/// Tracks the updates of one phase, by process id.
 class UpdateTracker {
 public:
     /// Forgets everything; a phase begins.
@@ -17,9 +18,12 @@
     /// The process was seen to have what the phase asks for. It counts for the rest of the phase: observations get lost,
     /// so that hundreds of processes are hardly ever seen to have it at one moment.
     void confirm(const std::string& process_id) { confirmed_.insert(process_id); }
+    /// Whether the process was seen to have its spec in this phase.
     bool is_confirmed(const std::string& process_id) const { return confirmed_.contains(process_id); }
 
+    /// The process was sent its spec at `now`.
     void mark_requested(Timestamp now, const std::string& process_id) { requested_at_[process_id] = now; }
+    /// Whether the process was sent its spec in this phase.
     bool was_requested(const std::string& process_id) const { return requested_at_.contains(process_id); }
 
     /// Whether the process is to be sent its spec: it is not changing, and was not sent it a moment ago.
--- a/src/simulator_adapter/event_reader.hpp
+++ b/src/simulator_adapter/event_reader.hpp
@@ -13,6 +13,7 @@
 /// Index of each class or tenant in the settings, by its name.
 using IndexByName = std::unordered_map<std::string, std::size_t>;
 
+/// The index of a name; `policy::unknown_index` where it has none.
 inline std::size_t find_index(const IndexByName& indexes, const std::string& name) {
     const auto it = indexes.find(name);
     return it == indexes.end() ? policy::unknown_index : it->second;
@@ -29,6 +30,7 @@
     return it == outcomes.end() ? policy::Outcome::error : it->second;
 }
 
+/// Throws MalformedBatch if the request has no id. Any other absent field leaves its default.
 inline policy::RequestArrived read_request(const rapidjson::Value& body, const IndexByName& classes,
                                            const IndexByName& tenants) {
     policy::RequestArrived request;
@@ -50,6 +52,7 @@
     return request;
 }
 
+/// Nothing if the gauge is not given.
 inline std::optional<double> read_gauge(const rapidjson::Value& usage, const char* name) {
     const rapidjson::Value* value = find_field(usage, name);
     if (value == nullptr || !value->IsNumber())
--- a/src/simulator_adapter/json_fields.hpp
+++ b/src/simulator_adapter/json_fields.hpp
@@ -22,6 +22,7 @@
     return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
 
+/// The number, or `fallback` if the field is not given.
 inline double number_or(const rapidjson::Value& object, const char* name, double fallback) {
     const rapidjson::Value* value = find_field(object, name);
     return value != nullptr && value->IsNumber() ? value->GetDouble() : fallback;
@@ -35,11 +36,13 @@
     return value->GetDouble();
 }
 
+/// Whether the field is given and true.
 inline bool flag_or_false(const rapidjson::Value& object, const char* name) {
     const rapidjson::Value* value = find_field(object, name);
     return value != nullptr && value->IsBool() && value->GetBool();
 }
 
+/// The string, or an empty one if the field is not given.
 inline std::string text_or_empty(const rapidjson::Value& object, const char* name) {
     const rapidjson::Value* value = find_field(object, name);
     if (value == nullptr || !value->IsString())
@@ -55,14 +58,17 @@
     return value->GetUint64();
 }
 
+/// Rounded to whole microseconds.
 inline policy::Duration from_milliseconds(double milliseconds) {
     return policy::Duration(std::llround(milliseconds * microseconds_per_millisecond));
 }
 
+/// With fractions of a millisecond.
 inline double to_milliseconds(policy::Duration duration) {
     return static_cast<double>(duration.count()) / microseconds_per_millisecond;
 }
 
+/// A field in milliseconds; 0 if it is not given.
 inline policy::Duration duration_or_zero(const rapidjson::Value& object, const char* name) {
     return from_milliseconds(number_or(object, name, 0.0));
 }
--- a/src/simulator_adapter/malformed_batch.hpp
+++ b/src/simulator_adapter/malformed_batch.hpp
@@ -1,3 +1,4 @@
+// The error of the adapter for input that it cannot read.
 #pragma once
 
 #include <stdexcept>
--- a/src/supervisor/child_process.hpp
+++ b/src/supervisor/child_process.hpp
@@ -65,8 +65,11 @@
     /// Closes the handle; `on_closed` may destroy this object.
     void close(std::function<void()> on_closed);
 
+    /// The generation that the child was started as.
     Generation generation() const { return generation_; }
+    /// The system's id of the process; 0 before it is started.
     int pid() const { return handle_.pid; }
+    /// The listening socket of the child's admin address, and that address.
     const ListeningSocket& admin_socket() const { return admin_socket_; }
     const net::Address& admin_address() const { return admin_address_; }
 
--- a/src/supervisor/listening_socket.hpp
+++ b/src/supervisor/listening_socket.hpp
@@ -19,7 +19,9 @@
     ListeningSocket& operator=(ListeningSocket&& other) noexcept;
     ~ListeningSocket();
 
+    /// Whether there is a socket.
     bool is_open() const { return descriptor_ >= 0; }
+    /// The file descriptor, still owned here; -1 for no socket.
     int descriptor() const { return descriptor_; }
     /// The address with the port as bound; empty for no socket.
     const std::string& address() const { return address_; }
--- a/src/supervisor/process_lifecycle.hpp
+++ b/src/supervisor/process_lifecycle.hpp
@@ -65,6 +65,7 @@
 public:
     using Actions = std::vector<LifecycleAction>;
 
+    /// Nothing runs until `start_current`.
     ProcessLifecycle(const ProcessSpec& spec, const SupervisionPolicy& policy)
         : policy_(policy), active_spec_(spec), requested_spec_(spec) {}
 
@@ -97,8 +98,10 @@
 
     /// Spec of the process that serves, or that is to be restarted after a crash.
     const ProcessSpec& active_spec() const { return active_spec_; }
+    /// The spec that was asked for last.
     const ProcessSpec& requested_spec() const { return requested_spec_; }
 
+    /// How the last requested change ended, or that it is in progress.
     ChangeStatus change_status() const { return change_status_; }
     /// Why the last change failed; empty for any other status.
     const std::string& change_error() const { return change_error_; }
@@ -113,6 +116,7 @@
     /// Whether it was shut down and every process has exited.
     bool is_finished() const;
 
+    /// Processes started in all generations.
     std::uint64_t start_count() const { return start_count_; }
     /// Unrequested exits of processes that were serving.
     std::uint64_t crash_count() const { return crash_count_; }
--- a/src/supervisor/process_spec.hpp
+++ b/src/supervisor/process_spec.hpp
@@ -28,10 +28,10 @@
 /// State of the last requested change of a `ProcessSpec`.
 enum class ChangeStatus : std::uint8_t { none, in_progress, succeeded, failed };
 
-/// The word for `status` on the admin address (docs/operators/supervise.md).
+/// The name of `status` on the admin address (docs/operators/supervise.md).
 const char* to_string(ChangeStatus status);
 
-/// The status that `word` names on the admin address; none where the word is not known.
+/// The status of this `name` on the admin address; none where the name is not known.
 std::optional<ChangeStatus> parse_change_status(std::string_view name);
 
 }  // namespace cressledge::supervisor
--- a/src/supervisor/supervised_process.hpp
+++ b/src/supervisor/supervised_process.hpp
@@ -22,7 +22,9 @@
     std::uint64_t rejected = 0;
 };
 
+/// One supervised process over all its generations; owned by `Supervisor`.
 struct SupervisedProcess {
+    /// The first generation runs the program of the settings, without an overlay.
     SupervisedProcess(ProcessSettings process_settings, const SupervisionPolicy& policy)
         : settings(std::move(process_settings)), lifecycle({settings.program, ""}, policy) {}
 
--- a/src/supervisor/supervisor.hpp
+++ b/src/supervisor/supervisor.hpp
@@ -48,6 +48,7 @@
 
     /// Has all processes drain and exit; `is_finished` tells when they have.
     void shut_down();
+    /// Whether all processes have exited after `shut_down`.
     bool is_finished() const;
 
     /// Port of the supervisor's own admin address.
--- a/src/supervisor/supervisor_request.hpp
+++ b/src/supervisor/supervisor_request.hpp
@@ -12,9 +12,11 @@
 /// A request that is not granted: the HTTP status of the answer and why.
 class RequestError : public std::runtime_error {
 public:
+    /// `status`: the status line without the version, of static lifetime.
     RequestError(const char* status, const std::string& reason)
         : std::runtime_error(reason), status_(status) {}
 
+    /// The HTTP status of the answer; what() is the reason.
     const char* status() const { return status_; }
 
 private:
@@ -34,6 +36,7 @@
     /// Throws `RequestError` where the body names no rollout.
     explicit SupervisorRequest(const std::string& body);
 
+    /// The rollout that the request comes from; never empty.
     const std::string& rollout_name() const { return rollout_name_; }
 
     /// Whether the rollout takes the lease (`true`) or releases it. Throws `RequestError`.
--- a/src/upstream/attempt.hpp
+++ b/src/upstream/attempt.hpp
@@ -54,21 +54,27 @@
 
     /// Marks the attempt as finished and cancels its deadline. Returns false when it was finished already.
     bool finish();
+    /// Whether finish() was called.
     bool is_finished() const { return finished_; }
 
+    /// Closes the connection, if there is one.
     void close_connection();
+    /// Hands the connection over to the caller; the attempt has none afterwards.
     HostConnection take_connection();
+    /// Whether the attempt owns a connection.
     bool has_connection() const { return connection_.stream != nullptr; }
 
     /// An idle connection ended before a byte of the response came: the host had closed it, which is nobody's fault.
     bool was_stale(upstream_health::CallResult result) const;
 
+    /// The request that it is made for; it owns the attempt.
     ActiveRequest& request() { return request_; }
     upstream_health::HostId host_id() const { return host_id_; }
     base::Timestamp started_at() const { return started_at_; }
 
     /// What of the response has come; null before the call was sent.
     Response* response() { return decoder_ ? &decoder_->response : nullptr; }
+    /// Of a complete response: whether the connection may carry another call.
     bool can_reuse_connection() const { return decoder_->can_reuse_connection(); }
 
     void on_open() override { observer_.on_attempt_connected(*this); }
--- a/src/upstream/codec.hpp
+++ b/src/upstream/codec.hpp
@@ -35,6 +35,7 @@
     enum class Status { incomplete, complete, malformed };
 
     virtual ~ResponseDecoder() = default;
+    /// Takes the next bytes of the response.
     virtual Status decode(std::string_view bytes) = 0;
 
     /// The host has sent its last byte. Never returns `incomplete`.
@@ -46,11 +47,13 @@
     Response response;
 };
 
+/// A decoder for one HTTP/1.1 response, and one for a CGI response as SCGI servers send it.
 std::unique_ptr<ResponseDecoder> make_http_decoder();
 std::unique_ptr<ResponseDecoder> make_scgi_decoder();
 
 /// `keep_alive`: the host is not asked to close the connection after its response.
 std::string encode_http_request(const request::Work& work, std::string_view host, bool keep_alive);
+/// One SCGI request: its headers as a netstring, and the body.
 std::string encode_scgi_request(const request::Work& work);
 
 /// A request for the host's health, which may come with a load report.
--- a/src/upstream/executor.hpp
+++ b/src/upstream/executor.hpp
@@ -55,6 +55,7 @@
         std::uint64_t malformed_load_reports = 0;
     };
 
+    /// All references must outlive the executor. `seed`: of the random choices of hosts and of jitter.
     UpstreamExecutor(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& request_manager,
                      base::Clock& clock, connection_admission::FileDescriptorBudget& descriptors,
                      const config::RoutingConfig& routing, std::uint64_t seed);
@@ -93,10 +94,12 @@
     /// Logs the hosts by state, the counters, and `max_hosts` hosts that are not healthy.
     void log_report(std::size_t max_hosts) const;
 
+    /// The counters since the start.
     Counters counters() const;
 
     /// Hosts that may get calls of this process now.
     std::size_t candidate_count() const { return balancer_.candidates().size(); }
+    /// The hosts of the inventory and their health.
     const upstream_health::HostSet& hosts() const { return hosts_; }
 
 private:
--- a/src/upstream/gateway.hpp
+++ b/src/upstream/gateway.hpp
@@ -59,6 +59,7 @@
     /// To be called after the loop has ended.
     void save_learned_state();
 
+    /// Logs the state of the hosts and the counters of calls and connections.
     void log_report();
 
     void set_idle_timeout(base::Duration timeout) override { shutdown_coordinator_.set_idle_limit(timeout); }
--- a/src/upstream/idle_connection_pool.hpp
+++ b/src/upstream/idle_connection_pool.hpp
@@ -27,6 +27,7 @@
         base::Duration idle_timeout{0};
     };
 
+    /// `timers` holds the idle time-out of each connection; it must outlive the pool.
     IdleConnectionPool(base::TimerQueue& timers, const Limits& limits);
     ~IdleConnectionPool();
     IdleConnectionPool(const IdleConnectionPool&) = delete;
@@ -48,6 +49,7 @@
     /// none.
     HostConnection take(upstream_health::HostId host_id, net::Stream::Owner& owner);
 
+    /// Closes all idle connections to the host.
     void close_all(upstream_health::HostId host_id);
 
     /// Closes some connection, for the sake of its descriptor. Returns false where there is none.
--- a/src/upstream/probe.hpp
+++ b/src/upstream/probe.hpp
@@ -23,7 +23,9 @@
 class ProbeObserver {
 public:
     virtual ~ProbeObserver() = default;
+    /// The connection is established: the observer sends the request, or finishes the check.
     virtual void on_health_check_connected(HealthCheck& check) = 0;
+    /// The connection is established: the observer sends the request, or finishes the probe.
     virtual void on_load_probe_connected(LoadProbe& probe) = 0;
 
     /// The response is complete and no server error. The observer may take the connection.
@@ -45,6 +47,7 @@
 
     /// Takes the connection, and ends with a time-out at `deadline` unless it has finished by then.
     void start(HostConnection connection, base::Timestamp deadline);
+    /// Sends the request; the connection must be established.
     void send(std::string_view request);
 
     /// Ends the probe; later calls have no effect.
@@ -102,9 +105,13 @@
     void on_open() override { observer_.on_load_probe_connected(*this); }
     void on_bytes(std::string_view bytes) override;
 
+    /// The request that waits for the result; 0: none.
     request::RequestId request_id() const { return request_id_; }
+    /// Whether the connection had been open before, so that it may be stale.
     bool connection_reused() const { return connection_reused_; }
+    /// Of a complete response: whether the connection may carry another call.
     bool can_reuse_connection() const { return decoder_->can_reuse_connection(); }
+    /// Hands the connection over to the caller; the probe has none afterwards.
     HostConnection take_connection() { return std::exchange(connection_, {}); }
 
     /// Null until the response has come, and where none came or it was a server error.
--- a/src/upstream/probe_runner.hpp
+++ b/src/upstream/probe_runner.hpp
@@ -38,11 +38,13 @@
                                       upstream_health::CallResult result) = 0;
     };
 
+    /// All references must outlive the runner.
     ProbeRunner(net::Loop& loop, base::TimerQueue& timers, base::Clock& clock,
                 connection_admission::FileDescriptorBudget& descriptors,
                 const upstream_health::HostSet& hosts, IdleConnectionPool& idle_connections,
                 ResultObserver& results);
 
+    /// Checks the host; `results` gets the result unless the host's address changes meanwhile.
     void start_health_check(upstream_health::HostId host_id);
 
     /// `request_id`: the request that waits for the result; 0: none. Returns false when no probe was sent.
--- a/src/upstream_health/host_set.hpp
+++ b/src/upstream_health/host_set.hpp
@@ -37,11 +37,14 @@
     /// host drains and a new one warms up. With the very first inventory all are ready, as nobody else can take calls.
     std::vector<HostStateChange> update(Timestamp now, const std::vector<HostSpec>& specs, Random& random);
 
+    /// Counts a call to the host as in flight, until one of the next two.
     void on_call_started(HostId host_id) { ++hosts_[host_id].calls_in_flight; }
+    /// Takes the result of a call; `latency` counts where it succeeded.
     std::vector<HostStateChange> on_call_finished(Timestamp now, HostId host_id, CallResult result,
                                                   Duration latency);
     /// The caller no longer waits: says nothing of the host's health.
     std::vector<HostStateChange> on_call_cancelled(Timestamp now, HostId host_id);
+    /// Takes the result of a health check, which counts like that of a call.
     std::vector<HostStateChange> on_health_check(Timestamp now, HostId host_id, CallResult result);
     /// Ends ejections and slow starts and compares latencies; to be called about once a second.
     std::vector<HostStateChange> tick(Timestamp now);
@@ -50,9 +53,11 @@
 
     /// Fraction, 0 to 1, of what a ready host of the same weight gets. In panic mode 1 for all that are usable.
     double traffic_fraction(Timestamp now, HostId host_id) const;
+    /// Whether the host may get calls, as its state and panic mode have it.
     bool is_usable(HostId host_id) const;
     /// Too few hosts are ready or warming up: ejected ones are used as well.
     bool in_panic_mode() const { return in_panic_mode_; }
+    /// `host_id` must be below slot_count().
     const HostStatus& at(HostId host_id) const { return hosts_[host_id]; }
     /// All ids are below it.
     std::size_t slot_count() const { return hosts_.size(); }
--- a/src/upstream_health/outlier_detector.hpp
+++ b/src/upstream_health/outlier_detector.hpp
@@ -26,6 +26,7 @@
     failure_rate_too_high,
 };
 
+/// Keeps the smoothed figures of hosts and tells outliers by them; holds no host itself.
 class OutlierDetector {
 public:
     explicit OutlierDetector(const HealthSettings& settings) : settings_(settings) {}
@@ -36,6 +37,7 @@
     /// Takes the result of a call into the smoothed figures of its host. `latency` counts where it succeeded.
     static void record_call(HostStatus& host, CallResult result, Duration latency);
 
+    /// What the failures of a host, in a row and as a fraction, say of it.
     HealthAssessment assess(const HostStatus& host) const;
 
     /// Takes the latencies (seconds) of all hosts that serve regularly, in any order. Returns the latency above which
