--- a/src/rollout/crash_monitor.hpp
+++ b/src/rollout/crash_monitor.hpp
@@ -11,7 +11,8 @@
 
 namespace cressledge::rollout {
 
-enum class CrashFinding : std::uint8_t {
+/// Whether the updated processes crash more often than the others.
+enum class CrashAssessment : std::uint8_t {
     /// No more crashes than chance explains.
     none,
     /// Perhaps more; whether chance explains them is to be seen.
@@ -32,10 +33,12 @@
     /// Forgets the crashes of the last bake.
     void start_bake();
 
+    /// Takes in the crash counts of one observation of the fleet of `state`.
     void observe(Timestamp now, const RolloutState& state, const Observations& observations);
 
-    /// The finding for a bake that began at `bake_started_at`.
-    CrashFinding assess(Timestamp now, Timestamp bake_started_at, const std::vector<RolloutTarget>& targets);
+    /// The assessment of the bake that began at `bake_started_at`.
+    CrashAssessment assess(Timestamp now, Timestamp bake_started_at,
+                           const std::vector<RolloutTarget>& targets);
 
 private:
     /// A process as it was first seen in this bake.
--- a/src/store/generation_file.hpp
+++ b/src/store/generation_file.hpp
@@ -8,7 +8,7 @@
 namespace cressledge::store {
 
 /// What a file of a store holds.
-enum class FileKind : std::uint8_t {
+enum class FileType : std::uint8_t {
     snapshot,
     log,
     /// A snapshot that is still being written.
@@ -17,11 +17,11 @@
 
 /// What the name of a file says.
 struct GenerationFile {
-    FileKind kind = FileKind::snapshot;
+    FileType type = FileType::snapshot;
     std::uint64_t generation = 0;
 };
 
-std::string file_name(FileKind kind, std::uint64_t generation);
+std::string file_name(FileType type, std::uint64_t generation);
 
 /// Nothing if the name is not one of a store's file.
 std::optional<GenerationFile> parse_file_name(const std::string& name);
--- a/src/upstream/probe_runner.hpp
+++ b/src/upstream/probe_runner.hpp
@@ -38,11 +38,13 @@
                                       upstream_health::CallResult result) = 0;
     };
 
+    /// All references must outlive the runner.
     ProbeRunner(net::Loop& loop, base::TimerQueue& timers, base::Clock& clock,
                 connection_admission::FileDescriptorBudget& descriptors,
                 const upstream_health::HostSet& hosts, IdleConnectionPool& idle_connections,
                 ResultObserver& results);
 
+    /// Checks the host; `results` gets the result unless the host's address changes meanwhile.
     void start_health_check(upstream_health::HostId host_id);
 
     /// `request_id`: the request that waits for the result; 0: none. Returns false when no probe was sent.
@@ -62,7 +64,7 @@
     void on_load_probe_finished(LoadProbe& probe, upstream_health::CallResult result) override;
 
     bool connect(std::unique_ptr<Probe> created, base::Timestamp now);
-    bool host_kept_address(const Probe& probe) const;
+    bool has_current_address(const Probe& probe) const;
     bool uses_scgi(const Probe& probe) const;
     void erase(const Probe& probe);
 
