--- a/bench/connection_limiter_bench.cpp
+++ b/bench/connection_limiter_bench.cpp
@@ -50,7 +50,7 @@
     for (std::uint32_t source = 0; source < sources; ++source)
         serve_connection_from(source);
     const std::size_t bytes_before = limiter.memory_bytes();
-    for (auto _ : state)
+    for ([[maybe_unused]] auto _ : state)
         serve_connection_from(static_cast<std::uint32_t>(random() % sources));
     if (limiter.memory_bytes() != bytes_before)
         state.SkipWithError("the memory has grown");
@@ -65,7 +65,7 @@
     const IpAddress source = IpAddress::from_v4(0x0a000001U);
     for (int i = 0; i < 1'000; ++i)
         limiter.admit_connection(start_time, source, 0, 1);
-    for (auto _ : state)
+    for ([[maybe_unused]] auto _ : state)
         benchmark::DoNotOptimize(limiter.admit_connection(start_time, source, 0, 1));
 }
 BENCHMARK(refuse_one);
--- a/bench/load_balancing_bench.cpp
+++ b/bench/load_balancing_bench.cpp
@@ -26,7 +26,7 @@
     upstream_health::Random random(1);
     std::vector<std::uint32_t> probed_hosts;
     std::vector<load_balancing::ProbeAnswer> answers;
-    for (auto _ : state) {
+    for ([[maybe_unused]] auto _ : state) {
         sampler.sample(random, probes_per_call, probed_hosts);
         answers.clear();
         for (const std::uint32_t host_id : probed_hosts)
@@ -43,7 +43,7 @@
     upstream_health::Random random(1);
     base::Timestamp now{0};
     const std::function<bool(HostId)> is_eligible = [](HostId) { return true; };
-    for (auto _ : state) {
+    for ([[maybe_unused]] auto _ : state) {
         now += base::Duration(100);
         for (unsigned due_probes = pool.take_due_probes(); due_probes > 0; --due_probes)
             pool.add(now, random(host_count), {static_cast<double>(random(10)), 8.0, 0.05});
@@ -59,7 +59,7 @@
         processes.push_back("p" + std::to_string(i));
         servers.push_back("s" + std::to_string(i));
     }
-    for (auto _ : state)
+    for ([[maybe_unused]] auto _ : state)
         benchmark::DoNotOptimize(load_balancing::assign_subsets(processes, servers, subset_size));
 }
 
--- a/src/policy/admission_controller.hpp
+++ b/src/policy/admission_controller.hpp
@@ -21,27 +21,76 @@
 
 namespace cressledge::policy {
 
-/// Time since an arbitrary origin.
+/// Time since an arbitrary origin, in microseconds.
 using Timestamp = std::chrono::microseconds;
+/// A span of time, in microseconds.
 using Duration = std::chrono::microseconds;
 /// Chosen by the host, unique among the requests of one controller.
 using RequestId = std::uint64_t;
 /// Index of a class or tenant that the settings do not have.
 inline constexpr std::size_t unknown_index = static_cast<std::size_t>(-1);
 
-/// Whether a request may run again: always; once within its window; once ever.
-enum class Idempotency { always, with_key, never };
-/// What runs call: nothing, one service shared by all servers, the servers of the next tier.
-enum class Dependency { none, shared_service, upstream_tier };
+/// Whether a request may run again.
+enum class Idempotency {
+    /// Any number of times.
+    always,
+    /// Once within the window of its key.
+    with_key,
+    /// Once ever.
+    never
+};
+/// What runs call.
+enum class Dependency {
+    /// Nothing.
+    none,
+    /// One service, shared by all servers of this tier.
+    shared_service,
+    /// The servers of the next tier.
+    upstream_tier
+};
 /// What `Suspend` does to a run.
-enum class Preemption { none, discard, pause };
+enum class Preemption {
+    /// It is never sent.
+    none,
+    /// Ends it; its work is lost.
+    discard,
+    /// Takes it off the cores, unless it waits for a disk.
+    pause
+};
 /// How callers read `AdvertiseLoad`.
-enum class LoadAdvertisement { none, level, credit, weight };
+enum class LoadAdvertisement {
+    /// It is never sent.
+    none,
+    /// 0 to 1: the greater, the fewer requests are sent.
+    level,
+    /// Requests that each caller may have outstanding.
+    credit,
+    /// 0 to 1: share of requests beside other servers.
+    weight
+};
 /// How a run or a dependency call ended.
-enum class Outcome { ok, error, rejected, timeout, connect_failed, reset, cancelled, not_started };
+enum class Outcome {
+    /// With a result.
+    ok,
+    /// With an error of the work itself.
+    error,
+    /// The dependency did not run the call.
+    rejected,
+    /// No answer in time; it may have run.
+    timeout,
+    /// No connection: it did not run.
+    connect_failed,
+    /// The connection ended before the answer; it may have run.
+    reset,
+    /// Nobody waited for it any more.
+    cancelled,
+    /// The run never began.
+    not_started
+};
 
 /// Rules of one kind of request.
 struct RequestClass {
+    /// Unique among the classes.
     std::string name;
     Idempotency idempotency = Idempotency::never;
     /// What an answer within the latency objective earns.
@@ -111,9 +160,16 @@
     double worst_class_weight = 0.0, worst_tenant_weight = 0.0, worst_window_weight = 0.0;
 };
 
-/// What the host measures: utilization and memory as shares, runnable threads, connections.
+/// What the host measures; nothing where it cannot.
 struct Gauges {
-    std::optional<double> cpu_utilization, runnable, memory_used, connections;
+    /// Share of the cores in use (0 to 1).
+    std::optional<double> cpu_utilization;
+    /// Runnable threads.
+    std::optional<double> runnable;
+    /// Share of the memory in use (0 to 1).
+    std::optional<double> memory_used;
+    /// Connections open.
+    std::optional<double> connections;
 };
 
 // Events.
@@ -153,9 +209,11 @@
     RequestId id = 0;
 };
 
+/// The call that `CallDependency` asked for ended.
 struct DependencyCallFinished {
     RequestId id = 0;
     Outcome outcome = Outcome::ok;
+    /// From the issue of the call to its end.
     Duration duration{0};
 };
 
@@ -166,20 +224,25 @@
 
 /// This process ends at the deadline.
 struct DrainStarted {
+    /// When the process ends.
     Timestamp deadline{0};
 };
 
+/// A timer that `ScheduleTimer` asked for has come.
 struct TimerFired {
     /// Of the `ScheduleTimer` that asked for it.
     std::uint32_t token = 0;
+    /// Measured now, as far as the host can.
     Gauges gauges;
 };
 
+/// What a host tells the controller.
 using Event = std::variant<Started, RequestArrived, RunFinished, DependencyCallRequested,
                            DependencyCallFinished, Cancelled, DrainStarted, TimerFired>;
 
 // Actions.
 
+/// Start work on a queued request.
 struct Run {
     RequestId id = 0;
 };
@@ -187,7 +250,9 @@
 /// Final answer: it never ran.
 struct Reject {
     RequestId id = 0;
+    /// The caller should not come back before; 0: no advice.
     Duration retry_after{0};
+    /// A retry, here or elsewhere, is not worth its cost.
     bool do_not_retry = false;
 };
 
@@ -201,8 +266,10 @@
     RequestId id = 0;
 };
 
+/// Issue the dependency call at which the run stands.
 struct CallDependency {
     RequestId id = 0;
+    /// The call is abandoned after this.
     Duration timeout{0};
 };
 
@@ -214,9 +281,11 @@
 /// Remember the key of the request, and with it the request that a repeat names.
 struct RetainKey {
     RequestId id = 0;
+    /// For how long from now.
     Duration duration{0};
 };
 
+/// Forget the key of the request: it did not run, and a repeat may.
 struct ReleaseKey {
     RequestId id = 0;
 };
@@ -226,6 +295,7 @@
     RequestId id = 0;
 };
 
+/// Answer health checks so from now on.
 struct SetHealth {
     bool healthy = true;
     /// Health checks may be answered without work.
@@ -237,20 +307,25 @@
     Duration timeout{0};
 };
 
-/// Only where `Settings::load_advertisement` is not none.
+/// Advertise this load to callers; only where `Settings::load_advertisement` is not none.
 struct AdvertiseLoad {
+    /// A level or a weight from 0 to 1, or a credit in requests, by the setting.
     double value = 0.0;
 };
 
+/// Deliver a `TimerFired` no earlier than after the delay.
 struct ScheduleTimer {
     Duration delay{0};
+    /// Comes back in `TimerFired`.
     std::uint32_t token = 0;
 };
 
+/// Write a line to the log; at most one a second is asked for.
 struct WriteLog {
     std::string text;
 };
 
+/// What the controller tells its host to do.
 using Action =
     std::variant<Run, Reject, Fail, Suspend, CallDependency, SkipDependencyCall, RetainKey, ReleaseKey,
                  ReplayResult, SetHealth, SetIdleTimeout, AdvertiseLoad, ScheduleTimer, WriteLog>;
@@ -259,6 +334,7 @@
 /// confidence that the host has in it, 0 to 1: it is moved that far from the cold start's guess, and weighs
 /// no more than the guess did.
 struct Estimates {
+    /// Of the class with this name.
     struct ClassEstimate {
         std::string name;
         /// Core seconds of a run, and its latency with calls.
@@ -267,6 +343,7 @@
         double completions = 0.0;
         double confidence = 0.0;
     };
+    /// Of the priority band with this weight.
     struct BandEstimate {
         double priority_weight = 0.0;
         /// Quanta asked for in a period.
@@ -289,6 +366,7 @@
 class AdmissionController {
 public:
     virtual ~AdmissionController() = default;
+    /// What it has learned up to now; confidences are 0.
     virtual Estimates estimates() const { return {}; }
     /// Before `Started`; later it changes nothing.
     virtual void restore(const Estimates&) {}
@@ -296,6 +374,8 @@
     virtual void handle(Timestamp now, const Event& event, std::vector<Action>& actions) = 0;
 };
 
+/// The controller of one server. Decisions depend on nothing but settings and events; `seed` is for controllers
+/// that draw random numbers, which this one does not.
 std::unique_ptr<AdmissionController> make_admission_controller(const Settings& settings, std::uint64_t seed);
 
 }  // namespace cressledge::policy
--- a/src/policy/load_advertiser.cpp
+++ b/src/policy/load_advertiser.cpp
@@ -1,4 +1,3 @@
-// The load that this server advertises to its callers. README.md has the reason for each tuned value.
 #include "policy/load_advertiser.hpp"
 
 #include <algorithm>
@@ -8,9 +7,17 @@
 namespace cressledge::policy::aces {
 namespace {
 
-constexpr double min_rejected_share = 0.05, full_pressure = 1.05, overload_excess = 2.0;
-constexpr double weight_gain = 0.5, min_weight = 0.05, min_advertised = 0.02, overload_level = 0.95;
-constexpr double level_rise = 0.2, level_fall = 0.08, max_pressure_level = 0.4;
+constexpr double min_rejected_share = 0.05;  // of the arrivals: fewer are no overload
+constexpr double full_pressure = 1.05;  // ratio
+constexpr double overload_excess = 2.0;  // pressure beyond full that an overloaded intake counts for
+constexpr double weight_gain = 0.5;  // share a reading
+constexpr double min_weight = 0.05;
+constexpr double min_advertised = 0.02;  // weight or credit
+constexpr double min_price_quanta = 1e-3;
+constexpr double overload_level = 0.95;
+constexpr double level_rise = 0.2;  // a reading
+constexpr double level_fall = 0.08;  // a reading
+constexpr double max_pressure_level = 0.4;
 
 }  // namespace
 
@@ -44,7 +51,7 @@
 
 double LoadAdvertiser::credit(const LoadReading& reading) const {
     const double answerable = reading.capacity_quanta_per_second * reading.min_objective_seconds /
-                              std::max(1e-3, reading.mean_price_quanta);
+                              std::max(min_price_quanta, reading.mean_price_quanta);
     const double credit = answerable / std::max(1, caller_count_) / std::max(1.0, reading.pressure);
     return reading.unavailable ? min_advertised : std::max(min_advertised, credit);
 }
--- a/src/policy/repeat_resolver.cpp
+++ b/src/policy/repeat_resolver.cpp
@@ -5,7 +5,7 @@
 namespace cressledge::policy::aces {
 namespace {
 
-constexpr double max_replay_memory = 0.93;  // of memory
+constexpr double max_replay_memory = 0.93;  // of memory, as for a run
 constexpr double max_result_memory = 0.7;  // of memory
 constexpr Duration min_key_lifetime{1'000};
 
--- a/src/policy/time_table.hpp
+++ b/src/policy/time_table.hpp
@@ -17,6 +17,7 @@
     struct Entry {
         Timestamp at{0};
         RequestId id = 0;
+        // NOLINTNEXTLINE(modernize-use-nullptr): the literal 0 is the compiler's own.
         auto operator<=>(const Entry&) const = default;
     };
 
--- a/src/policy/tracked_request.hpp
+++ b/src/policy/tracked_request.hpp
@@ -21,6 +21,7 @@
     std::ptrdiff_t negative_band = 0;
     Timestamp arrived_at{0};
     RequestId id = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): the literal 0 is the compiler's own.
     auto operator<=>(const QueuePosition&) const = default;
 };
 
--- a/tests/cressledge/admin_server_test.cpp
+++ b/tests/cressledge/admin_server_test.cpp
@@ -34,7 +34,7 @@
           server(test_loop.loop, test_loop.timers, descriptors, net::ListenEndpoint{loopback_address(0)},
                  source) {}
     // The whole reply, once the server has closed the connection.
-    std::string ask(const std::string& call) {
+    std::string exchange(const std::string& call) {
         auto peer = connect_peer(test_loop, server.port());
         peer->send(call);
         test_loop.run_until([&] { return peer->is_closed; });
@@ -50,24 +50,25 @@
 
 TEST_CASE("admin: readyz follows the source's readiness, and metrics writes its figures") {
     AdminServerFixture fixture;
-    CHECK(fixture.ask(get("/v1/readyz")).rfind("HTTP/1.1 503 ", 0) == 0);
+    CHECK(fixture.exchange(get("/v1/readyz")).rfind("HTTP/1.1 503 ", 0) == 0);
     fixture.source.ready_to_serve = true;
-    const std::string yes = fixture.ask(get("/v1/readyz"));
+    const std::string yes = fixture.exchange(get("/v1/readyz"));
     CHECK(yes.rfind("HTTP/1.1 200 OK\r\n", 0) == 0);
     CHECK(yes.find("Connection: close\r\n") != std::string::npos);
     fixture.source.served_count = 812;
-    const std::string figures = fixture.ask(get("/v1/metrics?all"));
+    const std::string figures = fixture.exchange(get("/v1/metrics?all"));
     CHECK(figures.rfind("HTTP/1.1 200 OK\r\n", 0) == 0);
     CHECK(figures.substr(figures.find("\r\n\r\n") + 4) == "node.responses.map-order.ok=812\nnode.active=2\n");
 }
 
 TEST_CASE("admin: a bad request gets a 4xx or a close, each in time") {
     AdminServerFixture fixture;
-    CHECK(fixture.ask(get("/v1/nothing")).rfind("HTTP/1.1 404 ", 0) == 0);
-    CHECK(fixture.ask("POST /v1/readyz HTTP/1.1\r\nContent-Length: 0\r\n\r\n").rfind("HTTP/1.1 405 ", 0) ==
-          0);
-    CHECK(fixture.ask("GARBLE\x01\x02 \r\n\r\n").rfind("HTTP/1.1 400 ", 0) == 0);
-    CHECK(fixture.ask("GET /v1/readyz HTTP/1.1\r\nX: " + std::string(5000, 'a') + "\r\n\r\n")
+    CHECK(fixture.exchange(get("/v1/nothing")).rfind("HTTP/1.1 404 ", 0) == 0);
+    CHECK(
+        fixture.exchange("POST /v1/readyz HTTP/1.1\r\nContent-Length: 0\r\n\r\n").rfind("HTTP/1.1 405 ", 0) ==
+        0);
+    CHECK(fixture.exchange("GARBLE\x01\x02 \r\n\r\n").rfind("HTTP/1.1 400 ", 0) == 0);
+    CHECK(fixture.exchange("GET /v1/readyz HTTP/1.1\r\nX: " + std::string(5000, 'a') + "\r\n\r\n")
               .rfind("HTTP/1.1 431 ", 0) == 0);
     {  // cut short: the caller sends half a call and its last byte
         auto p = connect_peer(fixture.test_loop, fixture.server.port());
@@ -95,7 +96,7 @@
     }
     for (int n = 0; n < 5; ++n) {
         const Timestamp from = wall_clock_now();
-        CHECK(fixture.ask(get("/v1/readyz")).rfind("HTTP/1.1 200 OK", 0) == 0);
+        CHECK(fixture.exchange(get("/v1/readyz")).rfind("HTTP/1.1 200 OK", 0) == 0);
         CHECK(wall_clock_now() - from < Duration(1'000'000));
     }
     CHECK(fixture.server.evicted_count() >= admin::AdminServer::max_connections);
--- a/tests/cressledge/balancer_test.cpp
+++ b/tests/cressledge/balancer_test.cpp
@@ -67,10 +67,10 @@
     for (const auto i : before)
         names_before.insert(names[i]);
     names.erase(names.begin() + before[0]);
-    int kept_count = 0;
+    int unchanged_count = 0;
     for (const auto i : rendezvous_subset("n3", names, 20))
-        kept_count += names_before.count(names[i]) != 0 ? 1 : 0;
-    CHECK(kept_count == 19);
+        unchanged_count += names_before.count(names[i]) != 0 ? 1 : 0;
+    CHECK(unchanged_count == 19);
     MaglevTable table;
     MaglevTable smaller_table;
     table.build(names);
--- a/tests/cressledge/connection_shutdown_test.cpp
+++ b/tests/cressledge/connection_shutdown_test.cpp
@@ -64,13 +64,13 @@
     "connection shutdown: connections in the backlog are answered before the listening socket is closed") {
     for (const Protocol protocol : all_protocols) {
         FrontendFixture fixture(protocol);
-        RawClient asked(fixture.frontend().port());
+        RawClient awaiting(fixture.frontend().port());
         RawClient silent(fixture.frontend().port());
-        asked.send(fixture.request());
+        awaiting.send(fixture.request());
         // Neither has been accepted yet.
         fixture.frontend().start_drain();
         fixture.finish_all();
-        fixture.expect_served(asked);
+        fixture.expect_served(awaiting);
         fixture.expect_clean_close(silent);
         RawClient late(fixture.frontend().port());
         CHECK((late.connect_refused || late.is_over()));
--- a/tests/cressledge/gossip_test.cpp
+++ b/tests/cressledge/gossip_test.cpp
@@ -145,18 +145,21 @@
     GossipFixture fixture;
     gossip::GossipNode& n1 = fixture.add("n1");
     const int port = n1.membership().local_member().endpoint.port;
-    std::vector<std::unique_ptr<StreamPeer>> bad;
+    std::vector<std::unique_ptr<StreamPeer>> malformed_peers;
     for (std::size_t i = 0; i < gossip::GossipNode::max_exchanges_per_direction + 4; ++i)
-        bad.push_back(connect_peer(fixture.loop, port));
-    bad[0]->send(binary_literal("\x7F\xFF\xFF\xFF"));
-    bad[1]->send(
+        malformed_peers.push_back(connect_peer(fixture.loop, port));
+    malformed_peers[0]->send(binary_literal("\x7F\xFF\xFF\xFF"));
+    malformed_peers[1]->send(
         binary_literal("\0\0\0\x03"
                        "abc"));
-    bad[2]->send(
+    malformed_peers[2]->send(
         binary_literal("\0\0\0\x03"
                        "abcd"));
-    bad[3]->send(binary_literal("\0\0"));
-    fixture.run_until([&] { return bad[0]->is_closed && bad[1]->is_closed && bad[2]->is_closed; });
+    malformed_peers[3]->send(binary_literal("\0\0"));
+    fixture.run_until([&] {
+        return malformed_peers[0]->is_closed && malformed_peers[1]->is_closed &&
+               malformed_peers[2]->is_closed;
+    });
     fixture.add("n2");
     fixture.run_until([&] { return fixture.agreed(2); });  // once the silent ones have had their time
     CHECK(fixture.metric(n1, "dropped.oversized") == 2);
--- a/tests/cressledge/idempotency_test.cpp
+++ b/tests/cressledge/idempotency_test.cpp
@@ -165,11 +165,11 @@
         using Field = std::pair<std::string, std::string>;
         // None is closed while another is counted.
         std::vector<std::unique_ptr<RawClient>> clients;
-        for (const Field& bad :
+        for (const Field& malformed_field :
              {Field{"Max-Wait-Ms", "soon"}, Field{"Max-Wait-Ms", "-1"}, Field{"Is-Retry", "perhaps"},
               Field{"Replay-Key", "a key"}, Field{"Replay-Key", std::string(129, 'k')}}) {
             clients.push_back(fixture.open_idle_connection());
-            clients.back()->send(fixture.request("map-order", "x", {bad}));
+            clients.back()->send(fixture.request("map-order", "x", {malformed_field}));
             fixture.expect_response(*clients.back(), " 400 ");
         }
         CHECK(fixture.running_ids.empty());
--- a/tests/cressledge/load_balancing_test.cpp
+++ b/tests/cressledge/load_balancing_test.cpp
@@ -156,9 +156,10 @@
             std::sort(row.begin(), row.end());
             CHECK(std::adjacent_find(row.begin(), row.end()) == row.end());
         }
-        const auto [fewest, most] = std::minmax_element(processes_of_host.begin(), processes_of_host.end());
-        CHECK(*most - *fewest <= 2);
-        CHECK(*most <= (sizes.processes * row_size + sizes.hosts - 1) / sizes.hosts + 1);
+        const auto [min_processes, max_processes] =
+            std::minmax_element(processes_of_host.begin(), processes_of_host.end());
+        CHECK(*max_processes - *min_processes <= 2);
+        CHECK(*max_processes <= (sizes.processes * row_size + sizes.hosts - 1) / sizes.hosts + 1);
     }
     struct Lists {
         std::vector<std::string> processes;
@@ -256,8 +257,9 @@
         for (const HostId host_id : balancer.candidates())
             ++processes_of_host[host_id];
     }
-    const auto [fewest, most] = std::minmax_element(processes_of_host.begin(), processes_of_host.end());
-    CHECK((*fewest >= 1 && *most <= 3));  // 2 each, to one
+    const auto [min_processes, max_processes] =
+        std::minmax_element(processes_of_host.begin(), processes_of_host.end());
+    CHECK((*min_processes >= 1 && *max_processes <= 3));  // 2 each, to one
 }
 
 TEST_CASE(
--- a/tests/cressledge/membership_codec_test.cpp
+++ b/tests/cressledge/membership_codec_test.cpp
@@ -55,8 +55,8 @@
           membership::DropReason::other_fleet);
     CHECK(std::get<membership::DropReason>(membership::decode(std::string(1401, 'a'), "maps", 1400)) ==
           membership::DropReason::oversized);
-    for (const json& bad : {json(7), json::array(), json::object({{"a", 1}}), json::array({1, "maps"})})
-        CHECK(std::get<membership::DropReason>(as(bad)) == membership::DropReason::malformed);
+    for (const json& malformed : {json(7), json::array(), json::object({{"a", 1}}), json::array({1, "maps"})})
+        CHECK(std::get<membership::DropReason>(as(malformed)) == membership::DropReason::malformed);
     for (std::size_t field = 2; field < 8; ++field) {
         json wrong = j;
         wrong[field] = -1;
--- a/tests/cressledge/membership_wire_fixture_test.cpp
+++ b/tests/cressledge/membership_wire_fixture_test.cpp
@@ -98,12 +98,12 @@
 
 TEST_CASE("membership codec: a datagram with too many updates is cut where the version before cut it") {
     const std::string bytes = fixture_bytes("truncated_gossip.datagram");
-    Message whole = with_many_updates(MessageType::gossip);
-    CHECK(membership::encode(whole, fleet_name) == bytes);
+    Message full_message = with_many_updates(MessageType::gossip);
+    CHECK(membership::encode(full_message, fleet_name) == bytes);
     const Message read = decoded(bytes, membership::max_datagram_bytes);
-    REQUIRE(read.updates.size() < whole.updates.size());
-    whole.updates.resize(read.updates.size());
-    CHECK(read == whole);
+    REQUIRE(read.updates.size() < full_message.updates.size());
+    full_message.updates.resize(read.updates.size());
+    CHECK(read == full_message);
 }
 
 TEST_CASE("gossip frame: a full exchange of the version before is read and written byte for byte") {
--- a/tests/cressledge/process_lifecycle_test.cpp
+++ b/tests/cressledge/process_lifecycle_test.cpp
@@ -11,7 +11,7 @@
 using namespace cressledge::testing;
 using supervisor::ChangeStatus, supervisor::LifecycleAction, supervisor::ProcessLifecycle;
 
-const char* word(LifecycleAction::Type type) {
+const char* name_of(LifecycleAction::Type type) {
     switch (type) {
         case LifecycleAction::Type::start:
             return "start";
@@ -34,7 +34,7 @@
     std::string take_actions() {
         std::string text;
         for (const LifecycleAction& action : actions)
-            text += std::string(word(action.type)) + ' ' + std::to_string(action.generation) + ' ' +
+            text += std::string(name_of(action.type)) + ' ' + std::to_string(action.generation) + ' ' +
                     action.spec.program + action.spec.overlay + ';';
         actions.clear();
         return text;
--- a/tests/cressledge/protocol_parity_test.cpp
+++ b/tests/cressledge/protocol_parity_test.cpp
@@ -84,10 +84,10 @@
     void read_calls() {
         for (auto& call : calls_) {
             const std::string& received = call->peer.received;
-            if (call->left_ms >= 0.0 || received.empty() || received.back() != '.')
+            if (call->remaining_ms >= 0.0 || received.empty() || received.back() != '.')
                 continue;
             call->body = received.substr(received.rfind(uses_scgi_ ? ',' : '\n') + 1);
-            call->left_ms = std::stod(call->body);
+            call->remaining_ms = std::stod(call->body);
             ++received_calls_;
         }
     }
@@ -96,8 +96,8 @@
         for (auto& call : calls_) {
             if (!call->is_running())
                 continue;
-            call->left_ms = std::max(0.0, call->left_ms - ms * core_share);
-            if (call->left_ms <= 0.0)
+            call->remaining_ms = std::max(0.0, call->remaining_ms - ms * core_share);
+            if (call->remaining_ms <= 0.0)
                 respond(*call);
         }
     }
@@ -108,10 +108,10 @@
     struct Call {
         StreamPeer peer;
         /// Below 0: the call is incomplete.
-        double left_ms = -1.0;
+        double remaining_ms = -1.0;
         std::string body;
         bool has_response = false;
-        bool is_running() const { return left_ms >= 0.0 && !has_response && !peer.is_closed; }
+        bool is_running() const { return remaining_ms >= 0.0 && !has_response && !peer.is_closed; }
     };
 
     void accept() {
--- a/tests/cressledge/rollout_state_machine_test.cpp
+++ b/tests/cressledge/rollout_state_machine_test.cpp
@@ -41,11 +41,11 @@
 TEST_CASE(
     "rollout state machine: worse metrics, repeated crashes, a rejected update or a request roll the change "
     "back") {
-    FakeFleet bad(10);
-    bad.error_rates["new"] = 5.0;
-    REQUIRE(bad.step_until(Phase::rolled_back));
-    CHECK((bad.updated_count() == 0 && bad.state_machine->reports().size() == 1));
-    CHECK(bad.state_machine->state().rollback_reason.rfind("errors of trail-sheet", 0) == 0);
+    FakeFleet faulty(10);
+    faulty.error_rates["new"] = 5.0;
+    REQUIRE(faulty.step_until(Phase::rolled_back));
+    CHECK((faulty.updated_count() == 0 && faulty.state_machine->reports().size() == 1));
+    CHECK(faulty.state_machine->state().rollback_reason.rfind("errors of trail-sheet", 0) == 0);
 
     FakeFleet crash(60);
     crash.step_until(Phase::baking);
@@ -134,8 +134,8 @@
     FakeFleet fleet(4);
     CHECK_THROWS_AS(RolloutStateMachine(test_plan({{1.0, 0}}), fleet.state_machine->state()),
                     std::runtime_error);
-    for (const char* bad :
+    for (const char* malformed :
          {"{}", "[]", R"({"version":2})",
           R"({"version":1,"name":"r","digest":"","phase":"flying","stage":0,"why":"","members":[]})"})
-        CHECK_THROWS_AS(rollout::from_json(nlohmann::json::parse(bad)), std::runtime_error);
+        CHECK_THROWS_AS(rollout::from_json(nlohmann::json::parse(malformed)), std::runtime_error);
 }
--- a/tests/cressledge/scgi_test.cpp
+++ b/tests/cressledge/scgi_test.cpp
@@ -96,7 +96,7 @@
         "CONTENT_LENGTH\0"
         "0\0SCGI\0"
         "1\0");
-    const std::string bads[] = {
+    const std::string malformed_requests[] = {
         "x",
         ":",
         "012:",
@@ -116,9 +116,9 @@
         net(start + binary_literal("\0b\0")),  // no name
         net(start + "A"),  // not ended
     };
-    for (const std::string& bad : bads) {
-        INFO(bad);
-        auto c = fixture.send_request(bad);
+    for (const std::string& malformed_request : malformed_requests) {
+        INFO(malformed_request);
+        auto c = fixture.send_request(malformed_request);
         CHECK(fixture.read_status(*c) == "Status: 400 Bad Request");
     }
     auto large =
--- a/tests/cressledge/slow_start_test.cpp
+++ b/tests/cressledge/slow_start_test.cpp
@@ -114,25 +114,25 @@
     "SlowStartLimiter: calls of 1, 10, 20 and 30 processes stay within the sum allowed, over 20 seeds") {
     for (const std::size_t count : process_counts) {
         double worst = -1e9;
-        double least_used = 1e9;
+        double min_utilization = 1e9;
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             SlowStartSimulation simulation(count, seed);
             simulation.update_all_peers();
             simulation.begin();
             simulation.run(simulation.settings.warm_up_time);
             worst = std::max(worst, simulation.excess());
-            least_used = std::min(least_used,
-                                  static_cast<double>(simulation.calls.size()) / simulation.allowed_calls());
+            min_utilization = std::min(
+                min_utilization, static_cast<double>(simulation.calls.size()) / simulation.allowed_calls());
         }
         // One process alone counts the configured 32: it cannot know that nobody else sends.
         std::printf(
             "slow start: %2zu processes, 20 seeds: at most %.1f calls of a window against N + 2 root N + 2; "
             "used "
             "%.0f%% at least\n",
-            count, worst, 100.0 * least_used);
+            count, worst, 100.0 * min_utilization);
         CHECK(worst <= 0.0);
         if (count > 1)
-            CHECK(least_used > 0.9);
+            CHECK(min_utilization > 0.9);
     }
 }
 
