--- a/bench/calls.py
+++ b/bench/calls.py
@@ -22,11 +22,19 @@
 import time
 from dataclasses import dataclass, field
 
-from fakes import HOST, FakeEngine, free_port, port_of, read_http_message, serve_directory, serve_records
+from fakes import (
+    HOST,
+    FakeEngine,
+    free_port,
+    port_of,
+    read_http_message,
+    serve_directory,
+    serve_records,
+    wait_until_listening,
+)
 
 BODY = b"x" * 64
-LISTEN_ATTEMPTS = 200
-LISTEN_RETRY_S = 0.05
+LISTEN_TIMEOUT_S = 10.0
 SETTLE_S = 1.0  # the engine is attached and the first report made
 ATTACH_S = 0.5  # strace is attached
 LOAD_TIMEOUT_S = 120
@@ -81,17 +89,6 @@
     return calls
 
 
-async def wait_until_listening(port):
-    """Returns when the port accepts a connection, or after ten seconds."""
-    for _ in range(LISTEN_ATTEMPTS):
-        try:
-            _, writer = await asyncio.open_connection(HOST, port)
-            writer.close()
-            return
-        except OSError:
-            await asyncio.sleep(LISTEN_RETRY_S)
-
-
 def stop(process):
     """Ends the node, by force if it takes too long."""
     process.send_signal(signal.SIGINT)
@@ -110,7 +107,7 @@
         environment.update(LD_PRELOAD=args.preload, CLOCKS_OUT=trace + ".clocks")
     with open(trace + ".log", "w") as log:
         node = subprocess.Popen([args.binary], env=environment, stdout=subprocess.DEVNULL, stderr=log)
-    await wait_until_listening(port)
+    await wait_until_listening(port, LISTEN_TIMEOUT_S)
     await asyncio.sleep(SETTLE_S)
     tracer = subprocess.Popen(
         ["strace", "-f", "-c", "-o", trace, "-p", str(node.pid)],
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -8,6 +8,7 @@
 HOST = "127.0.0.1"
 CONTENT_LENGTH = re.compile(rb"(?i)content-length: *(\d+)")
 END_OF_HEAD = b"\r\n\r\n"
+LISTEN_RETRY_S = 0.05
 
 
 def free_port():
@@ -21,6 +22,17 @@
     return server.sockets[0].getsockname()[1]
 
 
+async def wait_until_listening(port, timeout_s):
+    """Returns when the port accepts a connection, or after that many seconds of retries."""
+    for _ in range(round(timeout_s / LISTEN_RETRY_S)):
+        try:
+            _, writer = await asyncio.open_connection(HOST, port)
+            writer.close()
+            return
+        except OSError:
+            await asyncio.sleep(LISTEN_RETRY_S)
+
+
 async def read_http_message(reader):
     """Reads one HTTP message with a Content-Length or without a body; returns its head."""
     head = await reader.readuntil(END_OF_HEAD)
--- a/bench/restart.py
+++ b/bench/restart.py
@@ -18,15 +18,14 @@
 import tempfile
 from dataclasses import dataclass
 
-from fakes import HOST, FakeUpstream, free_port, port_of
+from fakes import HOST, FakeUpstream, free_port, port_of, wait_until_listening
 
 CORES = 4
 MEASURED_S = 10.0
 LEARNING_S = 12.0
 OFFERED_LOAD = 1.2  # of what the cores do
 DEFAULT_REPEATS = 3
-LISTEN_ATTEMPTS = 100
-LISTEN_RETRY_S = 0.05
+LISTEN_TIMEOUT_S = 5.0
 REQUEST_TIMEOUT_S = 20
 EXIT_TIMEOUT_S = 10
 LATE_WEIGHT_FACTOR = 0.2
@@ -90,17 +89,6 @@
     return path
 
 
-async def wait_until_listening(port):
-    """Returns when the port accepts a connection, or after five seconds."""
-    for _ in range(LISTEN_ATTEMPTS):
-        try:
-            _, writer = await asyncio.open_connection(HOST, port)
-            writer.close()
-            return
-        except OSError:
-            await asyncio.sleep(LISTEN_RETRY_S)
-
-
 async def send_request(port, class_name, totals):
     """Sends one request and counts what became of it."""
     request_class = CLASSES[class_name]
@@ -157,7 +145,7 @@
     with open(os.path.join(folder, name + ".log"), "w") as log:
         program = subprocess.Popen([binary, "serve", "--operator", path], stderr=log)
         try:
-            await wait_until_listening(port)
+            await wait_until_listening(port, LISTEN_TIMEOUT_S)
             await send_load(port, seconds, rate, seed, totals)
         finally:
             program.send_signal(signal.SIGTERM)
