--- a/src/request/connection_settings_sink.hpp
+++ b/src/request/connection_settings_sink.hpp
@@ -1,16 +1,16 @@
-/// The interface by which admission decisions reach the settings of connections.
+/// The interface through which the request manager changes the settings of caller connections.
 #pragma once
 
 #include "base/clock.hpp"
 
 namespace cressledge::request {
 
-/// Takes settings that apply to the connections of callers.
+/// Receives settings that apply to the connections of callers.
 class ConnectionSettingsSink {
 public:
     virtual ~ConnectionSettingsSink() = default;
 
-    /// Connections that are idle for this long are closed; 0: idle connections stay open.
+    /// Sets after how long an idle connection is closed. 0 keeps idle connections open.
     virtual void set_idle_timeout(base::Duration timeout) = 0;
 };
 
--- a/src/request/dependency_client.hpp
+++ b/src/request/dependency_client.hpp
@@ -1,4 +1,4 @@
-/// The interface to the shared dependency that runs may call.
+/// The interface to the shared dependency that runs can call.
 #pragma once
 
 #include <string_view>
@@ -7,16 +7,18 @@
 
 namespace cressledge::request {
 
-/// Makes dependency calls. Reports to `RequestManager::dependency_call_finished`, later or from within the call.
+/// Makes dependency calls. Reports each outcome to `RequestManager::dependency_call_finished`, either later or before
+/// `call` returns.
 class DependencyClient {
 public:
     virtual ~DependencyClient() = default;
 
-    /// Starts the call of a run; a run makes one call at a time. The views are valid during the call only.
+    /// Starts a dependency call for a run. A run makes one dependency call at a time. The views are valid only until
+    /// this function returns.
     virtual void call(RequestId request_id, std::string_view external_id, std::string_view body,
                       Timestamp deadline) = 0;
 
-    /// The outcome of the request's call is no longer wanted and must not be reported.
+    /// Abandons the dependency call of a request. Its outcome must not be reported afterwards.
     virtual void abandon(RequestId request_id) = 0;
 };
 
--- a/src/request/executor.hpp
+++ b/src/request/executor.hpp
@@ -1,4 +1,4 @@
-/// The interface to whatever runs requests: the engine of the platform, or hosts of an inventory.
+/// The interface to the component that runs requests: the platform's engine or the upstream hosts of an inventory.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,14 @@
 
 namespace cressledge::request {
 
-/// A request to run. The views are valid during `Executor::run` only.
+/// A request as passed to the executor. The views are valid only until `Executor::run` returns.
 struct Work {
     RequestId request_id = 0;
     std::string_view external_id, class_name, body;
-    /// Memory that the request takes while it is queued.
+    /// Memory that the request uses while it is queued, in kilobytes.
     double reserved_kb = 0.0;
     Timestamp accepted_at{0}, deadline{0};
-    /// What a read is about: requests of one key may be sent to one host. Empty: none.
+    /// Requests with the same key may be sent to the same host. Empty if the request has no key.
     std::string_view affinity_key;
 };
 
@@ -23,14 +23,14 @@
 enum class RunResult {
     succeeded,
     failed,
-    /// Stopped, on a `suspend` or otherwise.
+    /// The run was stopped, by `Executor::suspend` or otherwise.
     killed,
-    /// There was nothing to run or to stop.
+    /// The run did not start, or there was no run to stop.
     noop
 };
 
-/// Runs requests. Reports back to the `RequestManager` (`run_finished`, `dependency_call_requested`, `gauges_received`,
-/// `health_check_finished`), later or from within the call.
+/// Runs requests. Reports to the `RequestManager` through `run_finished`, `dependency_call_requested`,
+/// `gauges_received` and `health_check_finished`, either later or before the function that was called returns.
 class Executor {
 public:
     virtual ~Executor() = default;
@@ -38,25 +38,27 @@
     /// Starts a run.
     virtual void run(const Work& work) = 0;
 
-    /// Asks for a run to be stopped; it ends with `RunResult::killed`, or as it would have ended.
+    /// Requests that a run be stopped. The run ends with `RunResult::killed`, or with its own result if it finishes
+    /// first.
     virtual void suspend(RequestId request_id) = 0;
 
-    /// Goes on with a run that was stopped and had been paused.
+    /// Continues a run that was paused by `suspend`.
     virtual void resume(RequestId request_id) = 0;
 
-    /// Goes on with a run that waits for its dependency call, with the reply to it.
+    /// Continues a run that waits for its dependency call, with the reply to that call.
     virtual void deliver_call_reply(RequestId request_id, std::string_view reply) = 0;
 
-    /// Goes on with a run that waits for its dependency call, without a reply.
+    /// Continues a run that waits for dependency call `call_id`, without a reply.
     virtual void skip_call(RequestId request_id, std::uint64_t call_id) = 0;
 
-    /// Asks for `RequestManager::gauges_received`. False: there are no gauges to be had now.
+    /// Requests a report through `RequestManager::gauges_received`. Returns false if no gauges are available now.
     virtual bool request_gauges(std::uint64_t query_id) = 0;
 
-    /// Asks for `RequestManager::health_check_finished`. False: no check can be made now.
+    /// Requests a health check, reported through `RequestManager::health_check_finished`. Returns false if no check
+    /// can be made now.
     virtual bool request_health_check(std::uint64_t query_id) = 0;
 
-    /// The request has ended and its id will not be used again.
+    /// Releases what is held for a request that has ended. Its id is not used again.
     virtual void release(RequestId request_id) = 0;
 };
 
--- a/src/request/executor_queries.cpp
+++ b/src/request/executor_queries.cpp
@@ -5,10 +5,11 @@
 namespace cressledge::request {
 namespace {
 
+/// Bounds the memory of pending health checks.
 constexpr std::size_t max_pending_health_checks = 64;
-/// Shorter than the delay of a timer from which the admission controller concludes that the process stood still.
-constexpr Duration gauges_timeout{15'000};
-constexpr Duration health_check_timeout{2'000'000};
+/// Must stay below the timer delay from which the admission controller infers that the process was stalled.
+constexpr Duration gauges_timeout{15'000};  // microseconds
+constexpr Duration health_check_timeout{2'000'000};  // microseconds
 
 }  // namespace
 
--- a/src/request/executor_queries.hpp
+++ b/src/request/executor_queries.hpp
@@ -1,4 +1,4 @@
-/// Questions to the executor that have not been answered yet: gauges and health checks.
+/// Pending queries to the executor, for gauges and for health checks.
 #pragma once
 
 #include <cstddef>
@@ -11,28 +11,29 @@
 
 namespace cressledge::request {
 
-/// Asks the executor and calls a handler exactly once for each question: with the answer, or without one where the
-/// executor cannot say or takes too long. A late answer is dropped. Query ids are unique over both kinds of question.
+/// Sends queries to the executor and calls the handler of each exactly once: with the reply, or with a default where
+/// the executor cannot reply or the query times out. A late reply is dropped. Query ids are unique across both kinds
+/// of query.
 class ExecutorQueries {
 public:
     using GaugesHandler = std::function<void(const policy::Gauges&)>;
     using HealthHandler = std::function<void(bool passed)>;
 
-    /// `timers` holds the time-out of each question.
+    /// `timers` runs the timeout of each query and must outlive this object.
     explicit ExecutorQueries(base::TimerQueue& timers) : timers_(timers) {}
 
-    /// Asks for gauges. Without an answer the handler gets empty ones.
+    /// Queries the gauges. Without a reply, `handler` is called with default-constructed gauges.
     void query_gauges(Executor& executor, Timestamp now, GaugesHandler handler);
 
-    /// Asks for a health check. Without an answer the check has not passed.
+    /// Queries a health check. Without a reply, `handler` is called with false.
     void query_health(Executor& executor, Timestamp now, HealthHandler handler);
 
-    /// Whether as many health checks are pending as memory is set aside for.
+    /// Whether the number of pending health checks has reached its limit.
     bool health_checks_full() const;
 
-    /// The answers of the executor.
+    /// Handles the executor's reply to gauge query `query_id`. A late or unknown one is dropped.
     void gauges_received(std::uint64_t query_id, const policy::Gauges& gauges);
-    /// The executor's answer to health check `query_id`; a late or unknown one is dropped.
+    /// Handles the executor's reply to health check `query_id`. A late or unknown one is dropped.
     void health_check_finished(std::uint64_t query_id, bool passed);
 
 private:
--- a/src/request/idempotency_store.cpp
+++ b/src/request/idempotency_store.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::size_t max_keys = 65'536;
-/// A part of the memory that the process may use in all.
-constexpr std::size_t max_retained_result_bytes = 24U << 20U;
+/// Counts towards the memory limit of the whole process.
+constexpr std::size_t max_retained_result_bytes = 24U << 20U;  // 24 MiB
 
 }  // namespace
 
@@ -40,8 +40,8 @@
 void IdempotencyStore::retain(const std::string& key, RequestId owner_id, const PayloadDigest& payload_digest,
                               Timestamp now, Timestamp retained_until, Timestamp expires_at) {
     IdempotencyRecord& record = records_[key];
-    const bool is_over = record.finished || now > record.retained_until;
-    if (record.owner_id != owner_id && is_over)
+    const bool is_concluded = record.finished || now > record.retained_until;
+    if (record.owner_id != owner_id && is_concluded)
         discard_result(record);
     record.owner_id = owner_id;
     record.payload_digest = payload_digest;
@@ -49,7 +49,7 @@
     record.expiry_timer = timers_.schedule(expires_at, [this, key] { forget(key); });
 }
 
-// Later requests repeat the new owner and must not get the result of the former one.
+// Later requests are repeats of the new owner and must not get the result of the previous owner.
 void IdempotencyStore::discard_result(IdempotencyRecord& record) {
     for (const RequestId waiter_id : std::exchange(record.waiter_ids, {}))
         replay_(waiter_id, IdempotencyRecord{});
--- a/src/request/idempotency_store.hpp
+++ b/src/request/idempotency_store.hpp
@@ -1,9 +1,9 @@
-/// Remembers keys, so that requests with the same key share one run and its result.
+/// Stores keys, so that requests with the same key share one run and its result.
 ///
-/// Two kinds of classes use it: those that must run once within a window (the key is an idempotency key), and reads
-/// whose result may be shared for a while (the key is what the read is about). The store decides nothing: the admission
-/// controller says what is retained, released and replayed. It answers no request either: it hands results to the
-/// replay handler.
+/// Two kinds of request class use it: classes whose requests must run once within a window, where the key is an
+/// idempotency key, and reads whose result may be shared for the result TTL, where the key is the lookup key. The
+/// admission controller decides which keys are retained and released and which results are replayed. The store responds
+/// to no request itself: it passes results to the replay handler.
 #pragma once
 
 #include <cstddef>
@@ -20,78 +20,83 @@
 
 namespace cressledge::request {
 
-/// A 128-bit digest (XXH3) of a payload. Not cryptographic: it tells mistakes from repeats, not attacks.
+/// A 128-bit XXH3 digest of a payload. Not cryptographic: it detects keys reused by mistake, not attacks.
 struct PayloadDigest {
     std::uint64_t high = 0, low = 0;
 
     bool operator==(const PayloadDigest&) const = default;
 };
 
-/// The 128-bit XXH3 hash of a request's payload, to tell a repeat from another request under the same key.
+/// Computes the 128-bit XXH3 digest by which a repeat is distinguished from another request with the same key.
 PayloadDigest digest_payload(std::string_view payload);
 
 /// A retained key.
 struct IdempotencyRecord {
-    /// The request whose run counts for the key.
+    /// The request whose run determines the result for the key.
     RequestId owner_id = 0;
-    /// Of the owner's payload; a repeat has the same.
+    /// Digest of the owner's payload. A repeat has the same digest.
     PayloadDigest payload_digest;
-    /// Requests accepted until then repeat the owner.
+    /// A request with this key that was accepted no later than this is a repeat of the owner.
     Timestamp retained_until{0};
-    /// Whether the owner's run has ended, and when.
+    /// Whether the owner's run has ended.
     bool finished = false;
+    /// When the owner's run ended; valid only if `finished`.
     Timestamp finished_at{0};
     /// Whether the run succeeded and `result` is available.
     bool succeeded = false;
     std::string result;
-    /// Repeats that wait for the result.
+    /// Repeats that wait for the owner's run to end.
     std::vector<RequestId> waiter_ids;
     base::TimerHandle expiry_timer;
 
-    /// Whether a read's result may still be shared at `now`.
+    /// Whether the result of a read may still be shared at `now`.
     bool is_fresh(Timestamp now, Duration result_ttl) const {
         return succeeded && now - finished_at <= result_ttl;
     }
 };
 
-/// The table of retained keys. Bounded in keys and in bytes of results.
+/// The table of retained keys. The number of keys and the total size of the results are bounded.
 class IdempotencyStore {
 public:
-    /// Called once for each repeat: with a record that succeeded and its result, or with one that did not.
+    /// Called once for each repeat. If `record.succeeded`, `record.result` is the result to replay; else the repeat
+    /// fails.
     using ReplayHandler = std::function<void(RequestId repeat_id, const IdempotencyRecord& record)>;
 
-    /// `timers` holds the expiry of each record; `replay` is told of each repeat.
+    /// `timers` runs the expiry of each record and must outlive the store. `replay` is called for each repeat.
     IdempotencyStore(base::TimerQueue& timers, ReplayHandler replay)
         : timers_(timers), replay_(std::move(replay)) {}
 
-    /// The key in this table of a key as the caller gave it. It holds the name of the class, not the settings
-    /// generation: what has run under older settings has run all the same, and a repeat shares its outcome.
+    /// The key of the record for a key sent by a caller. Contains the class name but not the settings generation, so
+    /// that a repeat that arrives after a change of settings shares the outcome of the earlier run.
     static std::string record_key(std::string_view class_name, std::string_view key);
 
-    /// Whether there is no capacity for another key.
+    /// Whether the table has reached its maximum number of keys.
     bool is_full() const;
 
-    /// Whether this key is retained. Its window may be over.
+    /// Whether the table has a record for this key, even if its window is over.
     bool contains(const std::string& key) const { return records_.count(key) != 0; }
 
-    /// The record of a key that was retained when the request was accepted, else null. How late the request is read
-    /// does not matter.
+    /// Returns the record of a key that was retained at `accepted_at`, else null. Only the time of acceptance counts,
+    /// not the time at which the request is read.
     const IdempotencyRecord* find(const std::string& key, Timestamp accepted_at) const;
 
-    /// Retains a key for its owner until `retained_until` and forgets it at `expires_at`. A record of an earlier owner
-    /// is replaced once it has finished or its time is over; its waiting repeats then fail. Needs capacity for the key.
+    /// Retains a key for its owner until `retained_until` and removes the record at `expires_at`. Replaces the record
+    /// of an earlier owner. If that owner's run has finished or its window is over, its result is discarded and its
+    /// waiting repeats fail; otherwise they wait for the new owner. Precondition: the table has a record for the key
+    /// or is not full.
     void retain(const std::string& key, RequestId owner_id, const PayloadDigest& payload_digest,
                 Timestamp now, Timestamp retained_until, Timestamp expires_at);
 
-    /// Forgets a key if that request owns it.
+    /// Removes the record of a key if `owner_id` owns it.
     void release(const std::string& key, RequestId owner_id);
 
-    /// The run of a request has ended. If it owns the key, its repeats get the result. A result for which there is no
-    /// memory is not kept, and counts as failed for the repeats.
+    /// Records that the run of `owner_id` has ended and replays its result to the waiting repeats. Does nothing if
+    /// another request owns the key. A result that would exceed the size limit is not stored, and the repeats fail.
     void finish(const std::string& key, RequestId owner_id, Timestamp now, bool succeeded,
                 std::string_view result);
 
-    /// Has the result of the key replayed to a repeat, now or when the owner's run has ended.
+    /// Replays the result of a key to a repeat, at once or when the owner's run ends. Without a record the repeat
+    /// fails.
     void replay_to(const std::string& key, RequestId repeat_id);
 
 private:
--- a/src/request/open_request.hpp
+++ b/src/request/open_request.hpp
@@ -1,4 +1,4 @@
-/// A request between its submission and its release.
+/// The state of a request between its submission and its release.
 #pragma once
 
 #include <cstdint>
@@ -9,52 +9,53 @@
 
 namespace cressledge::request {
 
-/// Where an open request stands.
+/// The lifecycle state of an open request.
 enum class RequestState {
-    /// Submitted, and not running: it never ran, or its run was discarded.
+    /// Not running: either it never ran, or its run was discarded.
     queued,
     running,
-    /// Its run is paused and can be resumed.
+    /// The run is paused and can be resumed.
     suspended,
-    /// Its run waits until the controller decides on a dependency call.
+    /// The run waits for the admission controller's decision on a dependency call.
     awaiting_call_decision,
-    /// Its run waits for the reply to a dependency call.
+    /// The run waits for the reply to a dependency call.
     awaiting_call_reply,
-    /// It waits for the result of the request that it repeats.
+    /// The request waits for the result of the request that it repeats.
     awaiting_shared_result,
-    /// Its run has ended; it stays open until the controller has been told.
+    /// The run has ended. The request stays open until the admission controller has handled that event.
     finished
 };
 
-/// Everything the request manager knows of one open request.
+/// The request manager's record of an open request.
 struct OpenRequest {
     IncomingRequest incoming;
     Responder* responder = nullptr;
     std::uint64_t ticket = 0;
-    /// The settings generation that it came in with, and keeps.
+    /// Serial number of the settings generation under which the request was submitted. Does not change.
     std::uint64_t generation = 0;
     RequestState state = RequestState::queued;
 
-    /// A response has been given, or the caller no longer waits for one.
+    /// Whether a response was sent or the caller no longer waits for one.
     bool answered = false;
-    /// A run was started or shared: from then on it must not be rejected, and must not run again unless it is a read.
+    /// Whether a run was started for the request or shared by it. Such a request must not be rejected, and must not run
+    /// again unless it is a read.
     bool has_run = false;
-    /// Its own run or dependency call failed.
+    /// Whether its run, the run it shares or its dependency call failed.
     bool has_failed = false;
-    /// The dependency may have carried out its last call: only a read may repeat it.
+    /// Whether the last dependency call may have taken effect. If so, only a read may repeat it.
     bool call_may_have_effect = false;
-    /// The executor was asked to suspend the run.
+    /// Whether the executor was asked to suspend the run.
     bool suspend_requested = false;
 
     Timestamp deadline{0};
-    /// The dependency call of its run: id, payload, start, and the timer that ends it.
+    /// The dependency call of the run: its id, payload, start time and timeout.
     std::uint64_t call_id = 0;
     std::string call_body;
-    Timestamp called_at{0};
+    Timestamp call_started_at{0};
     base::TimerHandle call_timer;
 
-    /// Whether neither the executor nor the dependency is at work on it, so that it can be released at once.
-    bool is_waiting() const {
+    /// Whether neither the executor nor the dependency is processing the request, so that it can be released at once.
+    bool is_releasable() const {
         return state == RequestState::queued || state == RequestState::suspended ||
                state == RequestState::awaiting_shared_result;
     }
--- a/src/request/request_counters.hpp
+++ b/src/request/request_counters.hpp
@@ -1,4 +1,4 @@
-/// Counts what became of requests, in total and by class, from 0 at the start of the process.
+/// Counters of request outcomes, in total and by request class. They start at 0 when the process starts.
 #pragma once
 
 #include <cstddef>
@@ -11,56 +11,56 @@
 
 namespace cressledge::request {
 
-/// Totals over all classes.
+/// Totals over all request classes.
 struct RequestCounts {
-    /// Requests that were submitted, or rejected before admission.
+    /// Requests that were submitted or rejected before admission.
     std::uint64_t received = 0;
     std::uint64_t served = 0;
     std::uint64_t rejected = 0;
-    /// Every response that is neither served nor rejected.
+    /// Requests whose response was neither served nor rejected.
     std::uint64_t failed = 0;
     /// Requests whose callers stopped waiting.
     std::uint64_t cancelled = 0;
-    /// Runs handed to the executor, and runs that it reported as ended.
+    /// Runs passed to the executor, and runs that it reported as ended.
     std::uint64_t runs_started = 0, runs_finished = 0;
-    /// Of the rejected requests: those that the controller has not seen.
+    /// Those of the rejected requests that were never passed to the admission controller.
     std::uint64_t rejected_before_admission = 0;
 };
 
-/// The figures of one class.
+/// Counts and latencies of one request class.
 struct ClassCounts {
     std::uint64_t served = 0, rejected = 0, failed = 0, runs_started = 0;
-    /// Of the served requests: those later than the latency objective of the class.
+    /// Those of the served requests whose latency exceeded the latency objective of the class.
     std::uint64_t served_late = 0;
-    /// Of the served requests, from `IncomingRequest::accepted_at` to the response.
+    /// Latency of the served requests, from `IncomingRequest::accepted_at` to the response.
     base::LatencyHistogram latency;
 };
 
-/// Counts by the names of classes, so that a class keeps its figures over changes of the settings.
+/// Counts requests by class name, so that the counts of a class continue across changes of settings.
 class RequestCounters {
 public:
     /// Counts a request that was submitted.
     void count_received() { ++totals_.received; }
-    /// Counts a request that its caller gave up.
+    /// Counts a request that its caller cancelled.
     void count_cancelled() { ++totals_.cancelled; }
     /// Counts a run that the executor reported as ended.
     void count_run_finished() { ++totals_.runs_finished; }
 
-    /// Counts a run handed to the executor. An unknown class index counts as class "unknown", here as below.
+    /// Counts a run passed to the executor. Here and below, an unknown class index counts as class "unknown".
     void count_run_started(const policy::Settings& settings, std::size_t class_index);
 
-    /// Counts a rejection that the controller has not seen.
+    /// Counts a request that was rejected without reaching the admission controller.
     void count_rejected_before_admission(const policy::Settings& settings, std::size_t class_index);
 
     /// Counts a response by its status.
     void count_response(const policy::Settings& settings, std::size_t class_index, ResponseStatus status);
 
-    /// Counts the latency of a served request.
+    /// Records the latency of a served request.
     void count_latency(const policy::Settings& settings, std::size_t class_index, Duration latency);
 
-    /// Counts of all classes together since the start.
+    /// Counts over all classes since the start of the process.
     const RequestCounts& totals() const { return totals_; }
-    /// Counts by the names of classes since the start.
+    /// Counts by class name since the start of the process.
     const std::map<std::string, ClassCounts>& by_class() const { return by_class_; }
 
 private:
--- a/src/request/request_manager.cpp
+++ b/src/request/request_manager.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 template <class Named>
-std::size_t index_of(const std::vector<Named>& all, std::string_view name) {
+std::size_t index_of(const std::vector<Named>& items, std::string_view name) {
     const auto it =
-        std::find_if(all.begin(), all.end(), [name](const Named& one) { return one.name == name; });
-    return it != all.end() ? static_cast<std::size_t>(it - all.begin()) : policy::unknown_index;
+        std::find_if(items.begin(), items.end(), [name](const Named& item) { return item.name == name; });
+    return it != items.end() ? static_cast<std::size_t>(it - items.begin()) : policy::unknown_index;
 }
 
-/// The request that an event is about; 0: none.
+/// Returns the id of the request that an event concerns, or 0 if it concerns none.
 policy::RequestId request_id_of(const policy::Event& event) {
     return std::visit(
         [](const auto& alternative) -> policy::RequestId {
@@ -55,7 +55,7 @@
     if (started_)
         return;
     started_ = true;
-    // A cold server has been warming up since the start of its executor.
+    // The controller is given the start of the executor as its start time, since the server warms up from then on.
     latest_time_ = std::min(executor_started_at, clock_.unix_now());
     actions_.clear();
     dispatching_ = true;
@@ -80,8 +80,8 @@
                                  std::unique_ptr<policy::AdmissionController> controller) {
     generations_.add(std::move(settings), std::move(controller));
     const std::uint64_t serial = generations_.newest_serial();
-    base::log_info("settings: generation {} in force with {} classes; {} requests open with the older",
-                   serial, generations_.newest().settings.classes.size(), unanswered_count_);
+    base::log_info("settings: generation applied generation={} classes={} unanswered={}", serial,
+                   generations_.newest().settings.classes.size(), unanswered_count_);
     if (started_)
         post_event_to(serial, policy::Started{}, 0);
     if (draining_)
@@ -125,8 +125,8 @@
     executor_queries_.gauges_received(query_id, gauges);
 }
 
-// An event of a request goes to the controller that the request came in with, the shutdown goes to all controllers, and
-// anything else to the newest.
+// An event that concerns a request is passed to the controller under which the request was submitted, the start of the
+// graceful shutdown to all controllers, and any other event to the newest controller.
 void RequestManager::post_event(policy::Event event, RequestId released_id) {
     if (std::holds_alternative<policy::DrainStarted>(event)) {
         for (std::uint64_t serial = generations_.oldest_serial(); serial <= generations_.newest_serial();
@@ -171,7 +171,7 @@
         std::visit([this](const auto& alternative) { apply(alternative); }, action);
 }
 
-// ---- ends of requests ----
+// ---- completion of requests ----
 
 void RequestManager::respond(OpenRequest& request, const Response& response) {
     if (request.answered)
@@ -192,7 +192,8 @@
     OpenRequest* request = open_requests_.find(request_id);
     if (request == nullptr)
         return;
-    // The run is over either way: a response that is still owed must not be lost with the request.
+    // The run has ended; the caller must get a response before the request is removed. Does nothing if it already has
+    // one.
     respond(*request, Response{});
     if (request->state != RequestState::finished)
         finish_record(*request, request_id, false, {});
--- a/src/request/request_manager.hpp
+++ b/src/request/request_manager.hpp
@@ -1,16 +1,17 @@
-/// The request manager: every open request, and the one final response that each of them gets.
+/// The request manager: tracks every open request and sends its single response.
 ///
-/// It owns the open requests, their idempotency records, the settings generations and the counts. It does not decide to
-/// run, reject or fail a request: every event goes to the admission controller, whose actions are applied in order
-/// before the next event. It knows no protocol, no socket and no event loop: frontends, executor and dependency stand
-/// behind interfaces, time comes from a `Clock` and a `TimerQueue`.
+/// It owns the open requests, their idempotency records, the settings generations and the counters. The decision to
+/// run, reject or fail a request is the admission controller's: every event is passed to it, and its actions are
+/// applied in order before the next event is handled. The request manager is independent of protocols, sockets and
+/// the event loop: it reaches frontends, executor and dependency through interfaces and gets the time from a `Clock`
+/// and a `TimerQueue`.
 ///
-/// Invariants, whatever the controller says and whatever the executor reports:
+/// Invariants, for any actions of the controller and any reports of the executor:
 /// - a request gets at most one response, and exactly one unless its caller stops waiting;
 /// - a request that has run is never rejected;
 /// - only a read runs, or makes the same dependency call, more than once.
 ///
-/// Not thread-safe: everything happens on the thread of the event loop.
+/// Not thread-safe: all calls are made on the thread of the event loop.
 #pragma once
 
 #include <cstddef>
@@ -47,133 +48,139 @@
 using base::SlotMap;
 using base::TimerQueue;
 
-/// See the head of this file. Use: construct, `attach`, optionally `restore`, `start`, then submit requests.
+/// Manages open requests as described at the top of this file. Usage: construct, `attach`, optionally `restore`,
+/// `start`, then submit requests.
 class RequestManager {
 public:
     using ClassCounts = request::ClassCounts;
 
-    /// `controller` was made for `settings`. The clock and the timers must outlive the manager.
+    /// `controller` must have been created for `settings`. The clock and the timers must outlive the manager.
     RequestManager(policy::Settings settings, std::unique_ptr<policy::AdmissionController> controller,
                    Clock& clock, TimerQueue& timers);
 
-    /// Connects the manager with what it drives; all three must outlive it. Required before `start`.
+    /// Sets the interfaces that the manager calls. All three must outlive it. Must be called before `start`.
     void attach(Executor& executor, DependencyClient& dependency_client,
                 ConnectionSettingsSink& connection_settings);
 
-    /// Begins to admit requests: the executor is up. Its start may lie back a little. Later calls do nothing.
+    /// Starts to admit requests. The executor must be running; `executor_started_at` may lie in the past. Later calls
+    /// do nothing.
     void start(Timestamp executor_started_at);
     /// Whether `start` has been called.
     bool started() const { return started_; }
 
     // ---- settings ----
 
-    /// The index of a class or tenant in the newest settings; `policy::unknown_index` where there is none.
+    /// Returns the index of a class in the newest settings, or `policy::unknown_index` if there is no such class.
     std::size_t class_index_of(std::string_view name) const;
-    /// As `class_index_of`, for a tenant.
+    /// Returns the index of a tenant in the newest settings, or `policy::unknown_index` if there is no such tenant.
     std::size_t tenant_index_of(std::string_view name) const;
 
     /// The newest settings.
     const policy::Settings& settings() const { return generations_.newest().settings; }
 
-    /// Adds a settings generation with a controller made for it. The controller gets the estimates of the one before
-    /// and every new request; each open request stays with the controller and the class that it came in with.
+    /// Adds a settings generation with a controller created for it. The controller takes over the estimates of the
+    /// previous one and handles every new request. Each open request keeps the controller and the class it was
+    /// submitted under.
     void reconfigure(policy::Settings settings, std::unique_ptr<policy::AdmissionController> controller);
 
-    /// How many settings generations are in use: those with open requests, and the newest.
+    /// Number of settings generations kept. An older one is kept while it, or one before it, has open requests.
     std::size_t generation_count() const { return generations_.size(); }
 
     // ---- for frontends ----
 
-    /// Takes a request in. The response may come before this returns. Returns 0 where the request is not open any more.
-    /// `request.class_index` must be valid. Throws `std::out_of_range` where it is not.
+    /// Submits a request. The response may be given before this returns; returns 0 if the request is then no longer
+    /// open. Throws `std::out_of_range` if `request.class_index` is not valid.
     RequestId submit(IncomingRequest request, Responder& responder, std::uint64_t ticket);
 
-    /// Rejects a request that was read whole but is beyond a bound of the program itself; the controller does not see it.
-    /// `class_index` may be `policy::unknown_index`.
+    /// Rejects a request that was read completely but exceeds a limit of the program itself. The request is not
+    /// passed to the admission controller. `class_index` may be `policy::unknown_index`.
     void reject_before_admission(Responder& responder, std::uint64_t ticket, Duration retry_after,
                                  std::size_t class_index);
 
-    /// The caller no longer waits for a response.
+    /// Cancels a request whose caller no longer waits for a response. Ignored if it was already answered.
     void cancel(RequestId request_id);
 
-    /// Begins the graceful shutdown: the process ends at `deadline`. Later calls do nothing.
+    /// Starts the graceful shutdown. The process exits at `deadline`. Later calls do nothing.
     void drain(Timestamp deadline);
-    /// Whether the graceful shutdown has begun.
+    /// Whether the graceful shutdown has started.
     bool draining() const { return draining_; }
-    /// The absolute time at which the process ends; meaningful while draining only.
+    /// The absolute time at which the process exits. Valid only while draining.
     Timestamp shutdown_deadline() const { return shutdown_deadline_; }
 
-    /// Reports whether the process is healthy, at once or later. A deep check asks the executor where the controller
-    /// wants that; any other gives the last known state.
+    /// Calls `on_result` with whether the process is healthy, at once or later. A deep check queries the executor
+    /// unless the controller has requested cached results or too many checks are pending. Any other check reports the
+    /// last known state.
     void check_health(bool deep, std::function<void(bool)> on_result);
 
-    /// How many open requests still owe a response.
+    /// Number of open requests that have not been answered.
     std::size_t unanswered_count() const { return unanswered_count_; }
 
-    // ---- for executor and dependency client ----
+    // ---- for the executor and the dependency client ----
 
-    /// A run has ended; `body` is its result where it succeeded. Ignored where no run is in progress.
+    /// Handles the end of a run. `body` is its result if it succeeded. Ignored if the request has no run in progress.
     void run_finished(RequestId request_id, RunResult run_result, std::string_view body);
 
-    /// A run waits for a dependency call with this payload. `call_id` names the call for `Executor::skip_call`.
+    /// Handles a run's request for a dependency call with payload `body`. `call_id` identifies the call for
+    /// `Executor::skip_call`.
     void dependency_call_requested(RequestId request_id, std::uint64_t call_id, std::string body);
 
-    /// A dependency call has ended; `reply` is valid where the outcome is ok.
+    /// Handles the end of a dependency call. `reply` is valid only if `outcome` is ok.
     void dependency_call_finished(RequestId request_id, policy::Outcome outcome, std::string_view reply);
 
-    /// Answers to `Executor::request_gauges` and `Executor::request_health_check`.
+    /// Handles the executor's reply to `Executor::request_gauges`.
     void gauges_received(std::uint64_t query_id, const policy::Gauges& gauges);
-    /// The executor's answer to health check `query_id`.
+    /// Handles the executor's reply to `Executor::request_health_check`.
     void health_check_finished(std::uint64_t query_id, bool passed);
 
-    // ---- estimates and figures ----
+    // ---- time, estimates and counts ----
 
-    /// The controller's clock: the latest Unix time seen. It stands still where the system clock is set back.
+    /// The controller's clock: the latest Unix time read. It does not go backwards when the system clock is set back.
     Timestamp now();
 
-    /// The estimates of the newest controller.
+    /// The current estimates of the newest controller.
     policy::Estimates learned() const { return generations_.newest().controller->estimates(); }
 
-    /// Gives saved estimates to the newest controller. Has an effect before `start` only.
+    /// Restores saved estimates in the newest controller. Has an effect only before `start`.
     void restore(const policy::Estimates& estimates) { generations_.newest().controller->restore(estimates); }
 
-    /// Counts of all classes together since the start.
+    /// Counts over all classes since the start of the process.
     const RequestCounts& counts() const { return counters_.totals(); }
-    /// By the names of classes.
+    /// Counts by class name since the start of the process.
     const std::map<std::string, ClassCounts>& counts_by_class() const { return counters_.by_class(); }
 
 private:
-    /// An event that waits until the one before it has been handled.
+    /// An event to be handled after the previous ones.
     struct QueuedEvent {
         policy::Event event;
-        /// This request is released once the event has been handled; 0: none.
+        /// The request to release after the event has been handled. 0 if none.
         RequestId released_id = 0;
+        /// Serial number of the settings generation whose controller handles the event.
         std::uint64_t generation = 0;
     };
 
     // Submission.
-    std::optional<std::string_view> exceeded_bound(const IncomingRequest& request) const;
+    std::optional<std::string_view> rejection_reason(const IncomingRequest& request) const;
     bool lacks_capacity_for_key(const IncomingRequest& request) const;
-    void log_rejection(std::string_view bound);
-    bool contradicts(const IdempotencyRecord& record, const IncomingRequest& request) const;
+    void log_rejection(std::string_view reason);
+    bool has_payload_conflict(const IdempotencyRecord& record, const IncomingRequest& request) const;
     RequestId reject_malformed(Responder& responder, std::uint64_t ticket, std::size_t class_index);
     RequestId open(IncomingRequest request, Responder& responder, std::uint64_t ticket,
                    Timestamp received_at);
     policy::RequestArrived arrival_event(RequestId request_id, RequestId repeated_id, Timestamp received_at);
 
-    // Events.
+    // Event dispatch.
     void post_event(policy::Event event, RequestId released_id = 0);
     void post_event_to(std::uint64_t generation, policy::Event event, RequestId released_id);
     void dispatch(const QueuedEvent& queued_event);
     void apply_actions();
 
-    // Ends of requests.
+    // Completion of requests.
     void respond(OpenRequest& request, const Response& response);
     void release(RequestId request_id);
     void mark_suspended(OpenRequest& request, RequestId request_id);
     policy::Outcome respond_to_run(OpenRequest& request, RunResult run_result, std::string_view body);
 
-    // Settings of a request.
+    // Settings under which a request was submitted.
     const policy::Settings& settings_of(const OpenRequest& request);
     const policy::RequestClass& class_of(const OpenRequest& request);
 
@@ -188,7 +195,7 @@
     void time_out_call(RequestId request_id);
     void request_timer_gauges(std::uint64_t generation, std::uint32_t timer_token);
 
-    // Actions: request_manager_actions.cpp.
+    // Actions; defined in request_manager_actions.cpp.
     void apply(const policy::Run& action);
     void apply(const policy::Reject& action);
     void apply(const policy::Fail& action);
@@ -212,7 +219,7 @@
 
     SettingsGenerations generations_;
     SlotMap<OpenRequest> open_requests_;
-    /// Of all open requests.
+    /// Contains every open request.
     std::unordered_map<std::string, RequestId> ids_by_external_id_;
     IdempotencyStore idempotency_store_;
     ExecutorQueries executor_queries_;
@@ -220,17 +227,19 @@
     std::size_t unanswered_count_ = 0;
 
     std::deque<QueuedEvent> event_queue_;
-    /// The actions that are being applied, and the generation of the controller that asked for them.
+    /// The actions being applied.
     std::vector<policy::Action> actions_;
+    /// Serial number of the generation whose controller returned `actions_`.
     std::uint64_t handling_generation_ = 0;
-    /// Whether events are being handled: further ones are queued.
+    /// Whether an event is being handled. New events are queued meanwhile.
     bool dispatching_ = false;
 
+    /// The latest time returned by `now`.
     Timestamp latest_time_{0};
     bool started_ = false;
     bool draining_ = false;
     Timestamp shutdown_deadline_{0};
-    /// The controller's last word on the health of the process.
+    /// The health of the process as last set by the controller.
     policy::SetHealth health_;
 
     LogRateLimiter rejection_log_limiter_;
--- a/src/request/request_manager_actions.cpp
+++ b/src/request/request_manager_actions.cpp
@@ -1,5 +1,6 @@
-// How the request manager applies the actions of an admission controller. An action on a request that is no longer open,
-// or not in a state that the action is meant for, does nothing.
+// Applies the actions of the admission controller. An action on a request that is no longer open, or that is not in a
+// state in which the action is allowed, does nothing; `policy::Run` on a closed request is reported back as not
+// started.
 
 #include <algorithm>
 
@@ -25,8 +26,8 @@
         return;
     const policy::RequestClass& request_class = class_of(*request);
     if (request->has_run && request_class.idempotency != Idempotency::always) {
-        // A run that was discarded half-way may have had its effect.
-        base::log_error("second run withheld: {}", request->incoming.external_id);
+        // A run that was discarded before its end may already have taken effect.
+        base::log_error("request: second run prevented request={}", request->incoming.external_id);
         request->has_failed = true;
         return post_event(policy::RunFinished{action.id, Outcome::error}, action.id);
     }
@@ -61,8 +62,8 @@
     if (request == nullptr)
         return;
     if (request->has_run) {
-        // A rejection promises that the request never ran.
-        base::log_error("refusal of a request that ran turned into a failure: {}",
+        // A rejection guarantees to the caller that the request never ran.
+        base::log_error("request: rejection changed to failure request={} reason=\"the request has run\"",
                         request->incoming.external_id);
         return apply(policy::Fail{action.id});
     }
@@ -77,7 +78,7 @@
     const bool is_late = request->has_run && !request->has_failed;
     const ResponseStatus status = is_late ? ResponseStatus::deadline_exceeded : ResponseStatus::failed;
     respond(*request, Response{status, {}, Duration(0), false});
-    if (request->is_waiting())
+    if (request->is_releasable())
         release(action.id);
 }
 
@@ -88,15 +89,16 @@
     if (request == nullptr || request->state != RequestState::awaiting_call_decision)
         return;
     if (request->call_may_have_effect && class_of(*request).idempotency != Idempotency::always) {
-        base::log_error("second call withheld, the first may have had its effect: {}",
-                        request->incoming.external_id);
+        base::log_error(
+            "request: second dependency call prevented request={} reason=\"the first may have taken effect\"",
+            request->incoming.external_id);
         return post_event(policy::DependencyCallFinished{action.id, Outcome::error, Duration(0)});
     }
     request->state = RequestState::awaiting_call_reply;
-    request->called_at = now();
+    request->call_started_at = now();
     Timestamp deadline = request->deadline;
     if (action.timeout > Duration(0))
-        deadline = std::min(deadline, request->called_at + action.timeout);
+        deadline = std::min(deadline, request->call_started_at + action.timeout);
     const RequestId request_id = action.id;
     request->call_timer = timers_.schedule(deadline, [this, request_id] { time_out_call(request_id); });
     dependency_client_->call(request_id, request->incoming.external_id, request->call_body, deadline);
@@ -128,13 +130,13 @@
         return;
     const std::string key = record_key(settings_of(*request), request->incoming);
     if (idempotency_store_.is_full() && !idempotency_store_.contains(key)) {
-        base::log_warning("key not kept: the table of keys is full");
+        base::log_warning("request: idempotency key not retained reason=\"idempotency key table full\"");
         return;
     }
     const Timestamp retained_at = now();
     const Timestamp retained_until = retained_at + action.duration;
-    // A request that came within the window may be read after it: what must run once stays known for as long as such a
-    // request could still be run.
+    // A request accepted within the window may be read after its end. The key of a request that must run once is
+    // therefore kept for as long as such a repeat could still be run.
     Timestamp expires_at = retained_until;
     if (request_class.idempotency == Idempotency::with_key)
         expires_at += request_class.answer_deadline;
@@ -154,7 +156,7 @@
     if (request == nullptr || request->state != RequestState::queued)
         return;
     request->state = RequestState::awaiting_shared_result;
-    // It shares the outcome of a run: from here on it must not be rejected.
+    // The request shares the outcome of a run, so it must not be rejected from here on.
     request->has_run = true;
     idempotency_store_.replay_to(record_key(settings_of(*request), request->incoming), action.id);
 }
@@ -163,7 +165,7 @@
 
 void RequestManager::apply(const policy::SetHealth& action) {
     if (action.healthy != health_.healthy)
-        base::log_info("health: {}", action.healthy ? "good" : "bad");
+        base::log_info("health: state changed healthy={}", action.healthy ? "true" : "false");
     health_ = action;
 }
 
@@ -171,7 +173,7 @@
     connection_settings_->set_idle_timeout(action.timeout);
 }
 
-// No response has a field for it in either protocol.
+// Neither protocol has a response field for the load advertisement.
 void RequestManager::apply(const policy::AdvertiseLoad&) {}
 
 void RequestManager::apply(const policy::WriteLog& action) {
@@ -187,7 +189,7 @@
     });
 }
 
-// Each timer fires once, with gauges read for it where the executor can say in time.
+// Each timer fires once, with current gauges if the executor reports them before the query times out.
 void RequestManager::request_timer_gauges(std::uint64_t generation, std::uint32_t timer_token) {
     if (generations_.find(generation) == nullptr)
         return;
--- a/src/request/request_manager_runs.cpp
+++ b/src/request/request_manager_runs.cpp
@@ -1,4 +1,4 @@
-// What the executor, the dependency client and callers tell the request manager of open requests.
+// Handles reports of the executor and the dependency client, and cancellations by callers.
 
 #include <utility>
 
@@ -10,7 +10,7 @@
 
 void RequestManager::run_finished(RequestId request_id, RunResult run_result, std::string_view body) {
     OpenRequest* request = open_requests_.find(request_id);
-    // The end of a run may be reported twice across a broken link.
+    // The end of a run may be reported twice when the link to the executor is interrupted.
     if (request == nullptr || request->state == RequestState::finished ||
         request->state == RequestState::queued)
         return;
@@ -29,7 +29,7 @@
     post_event(policy::RunFinished{request_id, outcome}, request_id);
 }
 
-// The request stays open, with its progress where the run was paused, until the controller runs it again.
+// The request stays open until the controller runs it again. A paused run keeps its progress; a discarded one does not.
 void RequestManager::mark_suspended(OpenRequest& request, RequestId request_id) {
     const bool is_paused = settings_of(request).preemption == policy::Preemption::pause;
     request.suspend_requested = false;
@@ -37,7 +37,7 @@
     post_event(policy::RunFinished{request_id, Outcome::cancelled});
 }
 
-// A run that was killed or not started gets its response when the request is released.
+// A request whose run was killed or did not start is answered when it is released.
 Outcome RequestManager::respond_to_run(OpenRequest& request, RunResult run_result, std::string_view body) {
     switch (run_result) {
         case RunResult::succeeded:
@@ -81,11 +81,11 @@
     } else {
         request->state = RequestState::awaiting_call_decision;
         request->has_failed = true;
-        // Only these prove that the dependency carried nothing out.
+        // Only these outcomes prove that the call had no effect at the dependency.
         const bool had_no_effect = outcome == Outcome::rejected || outcome == Outcome::connect_failed;
         request->call_may_have_effect = !had_no_effect;
     }
-    post_event(policy::DependencyCallFinished{request_id, outcome, now() - request->called_at});
+    post_event(policy::DependencyCallFinished{request_id, outcome, now() - request->call_started_at});
 }
 
 // ---- callers ----
@@ -97,7 +97,7 @@
     request->answered = true;
     --unanswered_count_;
     counters_.count_cancelled();
-    post_event(policy::Cancelled{request_id}, request->is_waiting() ? request_id : 0);
+    post_event(policy::Cancelled{request_id}, request->is_releasable() ? request_id : 0);
 }
 
 // ---- repeats ----
--- a/src/request/request_manager_submission.cpp
+++ b/src/request/request_manager_submission.cpp
@@ -1,4 +1,4 @@
-// How the request manager takes requests in.
+// Submission of requests to the request manager.
 
 #include <algorithm>
 #include <memory>
@@ -12,32 +12,31 @@
 
 using policy::Idempotency;
 
-/// Far beyond what the memory of a server holds as requests.
+/// Far more than the requests that fit into the memory of a server.
 constexpr std::size_t max_open_requests = 4096;
 
 }  // namespace
 
 RequestId RequestManager::submit(IncomingRequest request, Responder& responder, std::uint64_t ticket) {
-    if (const auto bound = exceeded_bound(request)) {
-        log_rejection(*bound);
+    if (const auto reason = rejection_reason(request)) {
+        log_rejection(*reason);
         reject_before_admission(responder, ticket, settings().max_retry_after, request.class_index);
         return 0;
     }
     counters_.count_received();
-    // Executor and dependency know requests by their external ids: of two with the same id, one would get the outcome
-    // of the other.
+    // The executor and the dependency identify requests by their external ids. If two open requests had the same id,
+    // one could get the outcome of the other.
     if (ids_by_external_id_.count(request.external_id) != 0)
         return reject_malformed(responder, ticket, request.class_index);
     const Timestamp received_at = now();
     const policy::RequestClass& request_class = settings().classes.at(request.class_index);
-    // The caller's clock may be ahead: nothing is accepted later than it is read.
+    // The caller's clock may be ahead. A request cannot have been accepted later than it is read.
     request.accepted_at = std::min(request.accepted_at, received_at);
     const IdempotencyRecord* record = find_record(request);
-    if (record != nullptr && contradicts(*record, request)) {
+    if (record != nullptr && has_payload_conflict(*record, request)) {
         std::uint64_t suppressed = 0;
         if (key_mismatch_log_limiter_.try_acquire(received_at, suppressed))
-            base::log_info("idempotency key used for another payload: refused as malformed; {} more like it",
-                           suppressed);
+            base::log_info("request: idempotency key reused with another payload suppressed={}", suppressed);
         return reject_malformed(responder, ticket, request.class_index);
     }
     const RequestId repeated_id = record != nullptr ? repeated_request_id(*record, request_class) : 0;
@@ -46,18 +45,19 @@
     return open_requests_.find(request_id) != nullptr ? request_id : 0;
 }
 
-// The bounds of the program itself; they protect its memory.
-std::optional<std::string_view> RequestManager::exceeded_bound(const IncomingRequest& request) const {
+// Returns why the request must be rejected before admission, if it must. The limits on keys and on open requests bound
+// the memory of the program.
+std::optional<std::string_view> RequestManager::rejection_reason(const IncomingRequest& request) const {
     if (!started_)
-        return "engine not up yet";
+        return "executor not started";
     if (lacks_capacity_for_key(request))
-        return "the table of keys is full";
+        return "idempotency key table full";
     if (open_requests_.size() >= max_open_requests)
-        return "the table of requests is full";
+        return "open request table full";
     return std::nullopt;
 }
 
-// What must run once is not admitted where there is no capacity to remember that it did.
+// A request that must run once is not admitted if the key table has no capacity to record that it ran.
 bool RequestManager::lacks_capacity_for_key(const IncomingRequest& request) const {
     if (!idempotency_store_.is_full() || request.idempotency_key.empty())
         return false;
@@ -66,10 +66,11 @@
            !idempotency_store_.contains(record_key(settings(), request));
 }
 
-void RequestManager::log_rejection(std::string_view bound) {
+void RequestManager::log_rejection(std::string_view reason) {
     std::uint64_t suppressed = 0;
     if (rejection_log_limiter_.try_acquire(clock_.unix_now(), suppressed))
-        base::log_warning("refused unseen: {}; {} more like it", bound, suppressed);
+        base::log_warning("request: rejected before admission reason=\"{}\" suppressed={}", reason,
+                          suppressed);
 }
 
 void RequestManager::reject_before_admission(Responder& responder, std::uint64_t ticket, Duration retry_after,
@@ -78,8 +79,9 @@
     responder.respond(ticket, Response{ResponseStatus::rejected, {}, retry_after, false});
 }
 
-// A request with the key of another must not be answered with the result of what it is not.
-bool RequestManager::contradicts(const IdempotencyRecord& record, const IncomingRequest& request) const {
+// A request that reuses the idempotency key of a different request must not get the result of that request.
+bool RequestManager::has_payload_conflict(const IdempotencyRecord& record,
+                                          const IncomingRequest& request) const {
     const policy::RequestClass& request_class = settings().classes[request.class_index];
     return request_class.idempotency == Idempotency::with_key &&
            record.payload_digest != digest_payload(request.body);
@@ -142,7 +144,7 @@
     return idempotency_store_.find(record_key(settings(), request), request.accepted_at);
 }
 
-// The request whose outcome is shared; 0 where the result of a read is too old to be shared.
+// Returns the request whose outcome is shared, or 0 if the result of a read is older than the result TTL.
 RequestId RequestManager::repeated_request_id(const IdempotencyRecord& record,
                                               const policy::RequestClass& request_class) {
     const bool is_read = request_class.idempotency == Idempotency::always;
--- a/src/request/settings_generations.hpp
+++ b/src/request/settings_generations.hpp
@@ -1,4 +1,4 @@
-/// The settings in force and those before them that open requests still need.
+/// The current settings and the earlier ones that open requests still use.
 #pragma once
 
 #include <cstddef>
@@ -10,40 +10,40 @@
 
 namespace cressledge::request {
 
-/// Settings, the admission controller made for them, and how many requests depend on both.
+/// Settings, the admission controller created for them, and the number of open requests that use both.
 struct SettingsGeneration {
     policy::Settings settings;
     std::unique_ptr<policy::AdmissionController> controller;
-    /// Requests that came in with this generation and have not been released.
+    /// Number of requests that were submitted under this generation and have not been released.
     std::size_t open_requests = 0;
 };
 
-/// All generations in use, addressed by serial numbers. The newest takes new requests; an older one is kept until its
-/// last request has been released. There is always at least one.
+/// All settings generations in use, identified by serial numbers. New requests use the newest; an older one is kept
+/// until its last request has been released. There is always at least one.
 class SettingsGenerations {
 public:
-    /// The first generation, with serial number 0.
+    /// Creates the first generation, with serial number 1.
     SettingsGenerations(policy::Settings settings, std::unique_ptr<policy::AdmissionController> controller);
 
-    /// Adds a newest generation and gives its controller the estimates of the one before.
+    /// Adds a generation as the newest and restores the estimates of the previous controller in `controller`.
     void add(policy::Settings settings, std::unique_ptr<policy::AdmissionController> controller);
 
-    /// The generation of that serial number; null where it has been dropped.
+    /// Returns the generation with serial number `serial`, or null if there is none or it was dropped.
     SettingsGeneration* find(std::uint64_t serial);
 
-    /// The generation that takes new requests.
+    /// The generation that new requests use.
     SettingsGeneration& newest() { return generations_.back(); }
-    /// The generation that takes new requests.
+    /// The generation that new requests use.
     const SettingsGeneration& newest() const { return generations_.back(); }
 
-    /// Serial number of the oldest generation that is kept.
+    /// Serial number of the oldest generation still kept.
     std::uint64_t oldest_serial() const { return oldest_serial_; }
-    /// Serial number of the newest generation; serial numbers have no gaps.
+    /// Serial number of the newest generation. Serial numbers have no gaps.
     std::uint64_t newest_serial() const { return oldest_serial_ + generations_.size() - 1; }
-    /// Generations kept; at least one.
+    /// Number of generations kept; at least 1.
     std::size_t size() const { return generations_.size(); }
 
-    /// Drops the oldest generations as far as they have no open request. The newest always stays.
+    /// Drops the oldest generations up to the first that has open requests. The newest is always kept.
     void drop_unused();
 
 private:
