--- a/tests/cressledge/idempotency_test.cpp
+++ b/tests/cressledge/idempotency_test.cpp
@@ -1,5 +1,5 @@
-// Tests of idempotency keys on both frontends: a request that must run once within a window is known by its key, up to
-// the last instant of the window that the settings give.
+// Tests of idempotency keys on both frontends: a request that must run once within a window is identified by its key,
+// up to and including the end of the window given in the settings.
 #include "frontend_fixture.hpp"
 
 namespace {
@@ -10,7 +10,7 @@
 constexpr Duration default_window(900'000);
 constexpr Duration stop_delay(3'000'000);
 
-// Class 2 must run once within the window: its name says nothing of that, only the settings do.
+// Requests of class 2 must run once within the window. This depends on the settings only, not on the name of the class.
 policy::Settings settings_with_keys() {
     policy::Settings settings = test_settings();
     settings.classes[2].idempotency = Idempotency::with_key;
@@ -31,10 +31,10 @@
         client->send(request("map-order", body, {{"Replay-Key", key}, {"Accepted-At-Ms", accepted_at_ms}}));
         return client;
     }
-    void expect_response(RawClient& client, const std::string& part) {
+    void expect_response(RawClient& client, const std::string& expected_text) {
         test_loop.run_until([&] { return client.has_received("\r\n\r\n"); });
         INFO(client.received);
-        CHECK(client.has_received(part));
+        CHECK(client.has_received(expected_text));
     }
 };
 
@@ -51,7 +51,7 @@
         fixture.finish_all();
         for (RawClient* client : {first.get(), second.get(), other.get()})
             fixture.expect_response(*client, "a whole map");
-        // The run is over, the window is not.
+        // The run has ended, but the window has not.
         auto third = fixture.send_request("c2b3952039f261d01566c845da2b2120", "seat 4");
         fixture.expect_response(*third, "a whole map");
         CHECK(fixture.running_ids.empty());
@@ -68,34 +68,38 @@
         fixture.expect_response(*while_open, " 400 ");
         fixture.finish_all();
         fixture.expect_response(*first, "a whole map");
-        auto afterwards = fixture.send_request("k1", "seat 5");
-        fixture.expect_response(*afterwards, " 400 ");
+        auto after_end = fixture.send_request("k1", "seat 5");
+        fixture.expect_response(*after_end, " 400 ");
         CHECK(fixture.server.counts().runs_started == 1);
         CHECK(fixture.server.counts().failed == 2);
         CHECK(fixture.server.counts_by_class().at("map-order").failed == 2);
     }
 }
 
-TEST_CASE(
-    "idempotency: a request accepted at the window's last instant is a repeat however late it is read") {
+TEST_CASE("idempotency: a request accepted at the end of the window is a repeat, no matter when it is read") {
     for (const Protocol protocol : all_protocols) {
         IdempotencyFixture fixture(protocol);
-        // All are read after the window: the time of acceptance counts. In whole milliseconds, as on the wire.
-        const Timestamp from = Timestamp(wall_clock_now().count() / 1000 * 1000) - Duration(1'000'000);
-        auto first = fixture.send_request("k1", "seat 4", from);
+        // All requests are read after the window, but the time of acceptance counts. The wire has whole milliseconds.
+        const Timestamp first_accepted_at =
+            Timestamp(wall_clock_now().count() / 1000 * 1000) - Duration(1'000'000);
+        auto first = fixture.send_request("k1", "seat 4", first_accepted_at);
         fixture.test_loop.run_until([&] { return fixture.running_ids.size() == 1; });
         fixture.finish_all();
         fixture.expect_response(*first, "a whole map");
         auto in_time = fixture.open_idle_connection();
         auto late = fixture.open_idle_connection();
-        const auto at_ms = [&](Duration after) { return std::to_string((from + after).count() / 1000); };
-        in_time->send(fixture.request("map-order", "seat 4",
-                                      {{"Replay-Key", "k1"}, {"Accepted-At-Ms", at_ms(Duration(900'000))}}));
+        const auto ms_after_first = [&](Duration offset) {
+            return std::to_string((first_accepted_at + offset).count() / 1000);
+        };
+        in_time->send(
+            fixture.request("map-order", "seat 4",
+                            {{"Replay-Key", "k1"}, {"Accepted-At-Ms", ms_after_first(Duration(900'000))}}));
         fixture.test_loop.timers.run_due(wall_clock_now());
         fixture.expect_response(*in_time, "a whole map");
         CHECK(fixture.running_ids.empty());
-        late->send(fixture.request("map-order", "seat 4",
-                                   {{"Replay-Key", "k1"}, {"Accepted-At-Ms", at_ms(Duration(901'000))}}));
+        late->send(
+            fixture.request("map-order", "seat 4",
+                            {{"Replay-Key", "k1"}, {"Accepted-At-Ms", ms_after_first(Duration(901'000))}}));
         fixture.test_loop.run_until([&] { return fixture.running_ids.size() == 1; });
         fixture.finish_all();
         fixture.expect_response(*late, "a whole map");
@@ -103,7 +107,7 @@
     }
 }
 
-TEST_CASE("idempotency: a repeat after a reload shares the run of the former settings generation") {
+TEST_CASE("idempotency: a repeat after a reload shares the run of the previous settings generation") {
     for (const Protocol protocol : all_protocols) {
         IdempotencyFixture fixture(protocol);
         auto first = fixture.send_request("k1", "seat 4");
@@ -120,7 +124,7 @@
     }
 }
 
-TEST_CASE("idempotency: the settings decide which classes use keys, and a key is known per class") {
+TEST_CASE("idempotency: the settings determine which classes use keys, and keys are separate per class") {
     for (const Protocol protocol : all_protocols) {
         IdempotencyFixture fixture(protocol, [] {
             policy::Settings settings = settings_with_keys();
@@ -132,16 +136,16 @@
         auto first = fixture.send_request("k1", "seat 4");
         auto second = fixture.send_request("k1", "seat 4");
         fixture.test_loop.run_until([&] { return fixture.requests_read() == 2; });
-        // A class without keys ignores the key.
+        // A class that does not use keys ignores the key.
         CHECK(fixture.running_ids.size() == 2);
-        auto sheet = fixture.open_idle_connection();
-        auto again = fixture.open_idle_connection();
-        for (RawClient* client : {sheet.get(), again.get()})
+        auto owner = fixture.open_idle_connection();
+        auto repeat = fixture.open_idle_connection();
+        for (RawClient* client : {owner.get(), repeat.get()})
             client->send(fixture.request("trail-sheet", "x", {{"Replay-Key", "k1"}}));
         fixture.test_loop.run_until([&] { return fixture.requests_read() == 4; });
         CHECK(fixture.running_ids.size() == 3);
         fixture.finish_all();
-        fixture.expect_response(*again, "a whole map");
+        fixture.expect_response(*repeat, "a whole map");
     }
 }
 
@@ -149,21 +153,23 @@
     "request fields: tenant, max wait and retry mark reach the controller, and malformed ones get 400") {
     for (const Protocol protocol : all_protocols) {
         IdempotencyFixture fixture(protocol);
-        const Timestamp from = Timestamp(wall_clock_now().count() / 1000 * 1000);
-        const std::string at_ms = std::to_string(from.count() / 1000);
+        const Timestamp sent_accepted_at = Timestamp(wall_clock_now().count() / 1000 * 1000);
+        const std::string sent_accepted_at_ms = std::to_string(sent_accepted_at.count() / 1000);
         auto client = fixture.open_idle_connection();
-        client->send(fixture.request(
-            "trail-sheet", "x",
-            {{"Accepted-At-Ms", at_ms}, {"Project", "south"}, {"Max-Wait-Ms", "700"}, {"Is-Retry", "1"}}));
+        client->send(fixture.request("trail-sheet", "x",
+                                     {{"Accepted-At-Ms", sent_accepted_at_ms},
+                                      {"Project", "south"},
+                                      {"Max-Wait-Ms", "700"},
+                                      {"Is-Retry", "1"}}));
         fixture.test_loop.run_until([&] { return fixture.running_ids.size() == 1; });
         REQUIRE(fixture.controller->last_request);
         CHECK(fixture.controller->last_request->tenant_index == 1);
         CHECK(fixture.controller->last_request->is_retry);
         REQUIRE(fixture.controller->last_request->caller_deadline);
-        CHECK(*fixture.controller->last_request->caller_deadline == from + Duration(700'000));
+        CHECK(*fixture.controller->last_request->caller_deadline == sent_accepted_at + Duration(700'000));
         fixture.finish_all();
         using Field = std::pair<std::string, std::string>;
-        // None is closed while another is counted.
+        // Keeps each connection open until all malformed requests have been answered.
         std::vector<std::unique_ptr<RawClient>> clients;
         for (const Field& malformed_field :
              {Field{"Max-Wait-Ms", "soon"}, Field{"Max-Wait-Ms", "-1"}, Field{"Is-Retry", "perhaps"},
--- a/tests/cressledge/milliseconds.hpp
+++ b/tests/cressledge/milliseconds.hpp
@@ -1,4 +1,4 @@
-// Short durations in tests.
+// Durations in milliseconds for tests.
 #pragma once
 
 #include <cstdint>
--- a/tests/cressledge/request_manager_test.cpp
+++ b/tests/cressledge/request_manager_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the request manager without any I/O: the controller is scripted, the executor and the dependency client record
-// what they are told, and the clock is set by hand.
+// Tests of the request manager without I/O: the controller is scripted, the executor and the dependency client record
+// their calls, and the clock is set by hand.
 #include "request/request_manager.hpp"
 
 #include "support.hpp"
@@ -10,7 +10,7 @@
 using cressledge::policy::Action, cressledge::policy::Event, cressledge::policy::Outcome;
 using request::ResponseStatus, request::RunResult;
 
-// Answers events by a handler of the test and keeps what it has been told.
+// Handles events with a handler that the test sets, and records them.
 struct ScriptedController final : policy::AdmissionController {
     using Handler = std::function<void(const Event&, std::vector<Action>&)>;
 
@@ -26,19 +26,19 @@
     }
     template <class T>
     std::size_t count() const {
-        std::size_t found = 0;
+        std::size_t event_count = 0;
         for (const Event& event : events)
-            found += std::holds_alternative<T>(event);
-        return found;
+            event_count += std::holds_alternative<T>(event);
+        return event_count;
     }
     template <class T>
     T last() const {
         REQUIRE(count<T>() > 0);
-        T found;
+        T last_event;
         for (const Event& event : events)
             if (const T* alternative = std::get_if<T>(&event))
-                found = *alternative;
-        return found;
+                last_event = *alternative;
+        return last_event;
     }
 };
 
@@ -58,7 +58,7 @@
     // Owned by the manager.
     ScriptedController* controller = new ScriptedController;
     request::RequestManager manager;
-    // Calls to the executor and the dependency client, in order.
+    // Calls made to the executor and the dependency client, in order.
     std::vector<std::string> calls;
     std::vector<RecordedResponse> responses;
     bool has_gauges = true;
@@ -110,23 +110,23 @@
     std::size_t call_count(const std::string& call) const {
         return static_cast<std::size_t>(std::count(calls.begin(), calls.end(), call));
     }
-    void advance(Duration by) {
-        clock.now += by;
+    void advance(Duration duration) {
+        clock.now += duration;
         timers.run_due(clock.now);
     }
-    // The controller answers events of this type with these actions, and all others with none.
+    // Makes the controller return the actions of `actions_for` for events of type E, and none for any other event.
     template <class E>
-    void on(std::function<std::vector<Action>(const E&)> answer) {
-        controller->handler = [answer](const Event& event, std::vector<Action>& actions) {
+    void on(std::function<std::vector<Action>(const E&)> actions_for) {
+        controller->handler = [actions_for](const Event& event, std::vector<Action>& actions) {
             if (const E* alternative = std::get_if<E>(&event))
-                actions = answer(*alternative);
+                actions = actions_for(*alternative);
         };
     }
     void run_every_request() {
         on<policy::RequestArrived>(
             [](const auto& event) { return std::vector<Action>{policy::Run{event.id}}; });
     }
-    // Has the controller ask for these actions now, by a timer that it has scheduled.
+    // Makes the controller return these actions now, in response to a timer that it has scheduled.
     void apply(std::vector<Action> actions) {
         on<policy::RequestArrived>([](const auto& event) {
             return std::vector<Action>{policy::Reject{event.id, Duration(0), false},
@@ -222,8 +222,8 @@
 }
 
 TEST_CASE(
-    "RequestManager: each scheduled timer fires once, never early, without gauges if the executor is "
-    "silent") {
+    "RequestManager: each scheduled timer fires once, never early, and without gauges if the executor does "
+    "not reply") {
     RequestManagerFixture fixture;
     fixture.on<policy::RequestArrived>([](const auto& event) {
         return std::vector<Action>{policy::Reject{event.id, Duration(0), false},
@@ -234,14 +234,14 @@
     CHECK(fixture.last_query_id == 0);
     fixture.advance(Duration(1));
     REQUIRE(fixture.last_query_id != 0);
-    CHECK(fixture.controller->count<policy::TimerFired>() == 0);  // waits for fresh gauges
+    CHECK(fixture.controller->count<policy::TimerFired>() == 0);  // waits for the gauges
     fixture.advance(Duration(15'000));
     CHECK(fixture.controller->count<policy::TimerFired>() == 1);
-    fixture.manager.gauges_received(fixture.last_query_id, {});  // too late: it has had its timer
+    fixture.manager.gauges_received(fixture.last_query_id, {});  // late gauges do not fire the timer again
     CHECK(fixture.controller->count<policy::TimerFired>() == 1);
 }
 
-TEST_CASE("RequestManager: the controller's clock stands still when the Unix clock is set back") {
+TEST_CASE("RequestManager: the controller's clock does not go back when the Unix clock is set back") {
     RequestManagerFixture fixture;
     fixture.submit();
     fixture.clock.now -= Duration(60'000'000);
@@ -259,14 +259,14 @@
     });
     for (std::size_t n = 0; n < 65'536; ++n)
         fixture.manager.run_finished(fixture.submit(2, "k" + std::to_string(n)), RunResult::succeeded, "");
-    const std::size_t runs = fixture.calls.size();
+    const std::size_t calls_before = fixture.calls.size();
     fixture.responses.clear();
     CHECK(fixture.submit(2, "one more") == 0);
     REQUIRE(fixture.responses.size() == 1);
     CHECK(fixture.responses[0].status == ResponseStatus::rejected);
-    CHECK(fixture.calls.size() == runs);
-    CHECK(fixture.submit(0, "a read") != 0);  // what needs no memory of it goes on
-    CHECK(fixture.submit(2, "k7") != 0);  // and so does what is known
+    CHECK(fixture.calls.size() == calls_before);
+    CHECK(fixture.submit(0, "a read") != 0);  // a read needs no record and is admitted
+    CHECK(fixture.submit(2, "k7") != 0);  // a repeat of a retained key is admitted
     fixture.advance(Duration(20'000'000));
     CHECK(fixture.submit(2, "one more") != 0);
 }
@@ -280,30 +280,30 @@
             return std::vector<Action>{policy::ReplayResult{event.id}};
         return std::vector<Action>{policy::RetainKey{event.id, Duration(5'000'000)}, policy::Run{event.id}};
     });
-    const auto first = fixture.submit(0, "k");
+    const auto first_id = fixture.submit(0, "k");
     fixture.submit(0, "k");
     CHECK(fixture.call_count("run r0") + fixture.call_count("run r1") == 1);
-    fixture.manager.run_finished(first, RunResult::succeeded, "map");
+    fixture.manager.run_finished(first_id, RunResult::succeeded, "map");
     REQUIRE(fixture.responses.size() == 2);
     CHECK(fixture.responses[1] == RecordedResponse{ResponseStatus::served, "map"});
-    fixture.submit(0, "k");  // ended well a moment ago: answered from the result
+    fixture.submit(0, "k");  // the result is fresh: replayed without a run
     CHECK(fixture.responses.size() == 3);
     fixture.advance(Duration(1'000'001));
-    fixture.submit(0, "k");  // no longer fresh
+    fixture.submit(0, "k");  // the result is older than the result TTL: runs
     CHECK(fixture.responses.size() == 3);
 }
 
 TEST_CASE(
     "RequestManager: cancelling releases a queued request at once and a running one when its run ends") {
     RequestManagerFixture fixture;
-    const auto queued = fixture.submit();
-    fixture.manager.cancel(queued);
+    const auto queued_id = fixture.submit();
+    fixture.manager.cancel(queued_id);
     CHECK(fixture.call_count("release") == 1);
     fixture.run_every_request();
-    const auto running = fixture.submit();
-    fixture.manager.cancel(running);
+    const auto running_id = fixture.submit();
+    fixture.manager.cancel(running_id);
     CHECK(fixture.call_count("release") == 1);
-    fixture.manager.run_finished(running, RunResult::succeeded, "nobody reads it");
+    fixture.manager.run_finished(running_id, RunResult::succeeded, "unread result");
     CHECK(fixture.call_count("release") == 2);
     CHECK(fixture.responses.empty());
 }
--- a/tests/cressledge/support.hpp
+++ b/tests/cressledge/support.hpp
@@ -1,4 +1,4 @@
-/// Scripted peers on loopback, all on the event loop of what is tested, and what many tests share.
+/// Helpers shared by many tests: scripted peers on loopback that run on the event loop of the code under test.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -20,13 +20,13 @@
 using namespace cressledge;
 using base::Duration, base::Timestamp;
 
-/// A literal with its zero bytes.
+/// A string of a literal that may contain zero bytes.
 template <std::size_t N>
 std::string binary_literal(const char (&literal)[N]) {
     return {literal, N - 1};
 }
 
-/// What the program has logged since the last call.
+/// Returns the program's log output since the last call.
 std::string take_log();
 
 inline Timestamp wall_clock_now() {
@@ -38,21 +38,21 @@
     base::TimerQueue timers;
     net::Loop loop{timers};
 
-    /// Runs until `is_done`, which is asked once a turn. Without events to wait for, `is_done` has to move things on. The
-    /// bound ends only a test that has failed.
+    /// Runs the loop until `is_done`, which is called before the first turn and after each, returns true. If
+    /// `wait_for_events` is false, `is_done` must make progress itself. Fails the test after 10 seconds.
     void run_until(const std::function<bool()>& is_done, bool wait_for_events = true) {
-        const Timestamp end = wall_clock_now() + Duration(10'000'000);
-        const base::TimerHandle wake_up = timers.schedule(end, [] {});
-        bool reached = is_done();
-        while (!reached && wall_clock_now() < end) {
+        const Timestamp deadline = wall_clock_now() + Duration(10'000'000);
+        const base::TimerHandle wake_up = timers.schedule(deadline, [] {});
+        bool done = is_done();
+        while (!done && wall_clock_now() < deadline) {
             loop.run_once(wait_for_events);
-            reached = is_done();
+            done = is_done();
         }
-        REQUIRE(reached);
+        REQUIRE(done);
     }
 };
 
-/// One end of a connection.
+/// One end of a connection, which records what it receives.
 struct StreamPeer final : net::Stream::Owner {
     net::Stream* stream = nullptr;
     std::string received;
@@ -73,13 +73,15 @@
         if (stream != nullptr)
             std::exchange(stream, nullptr)->close();
     }
-    bool has_received(const std::string& part) const { return received.find(part) != std::string::npos; }
-    /// Takes what stands before and including `part` out of what was received.
-    std::string take_through(const std::string& part) {
-        const std::size_t end = received.find(part) + part.size();
-        const std::string front = received.substr(0, end);
+    bool has_received(const std::string& expected) const {
+        return received.find(expected) != std::string::npos;
+    }
+    /// Removes the received bytes up to the end of the first `delimiter` and returns them.
+    std::string take_through(const std::string& delimiter) {
+        const std::size_t end = received.find(delimiter) + delimiter.size();
+        const std::string taken = received.substr(0, end);
         received.erase(0, end);
-        return front;
+        return taken;
     }
 };
 
@@ -94,7 +96,7 @@
     return peer;
 }
 
-/// A listener whose connections are peers.
+/// A listener that accepts each connection as a peer.
 struct ListeningPeer {
     std::vector<std::unique_ptr<StreamPeer>> peers;
     std::unique_ptr<net::Listener> listener;
@@ -109,12 +111,12 @@
     int port() const { return listener->port(); }
     std::string address() const { return "127.0.0.1:" + std::to_string(port()); }
     StreamPeer& latest_peer() { return *peers.back(); }
-    bool has_received(const std::string& part) const {
-        return !peers.empty() && peers.back()->has_received(part);
+    bool has_received(const std::string& expected) const {
+        return !peers.empty() && peers.back()->has_received(expected);
     }
 };
 
-/// A directory and files that are removed at the end of the test.
+/// A directory that is removed with its files at the end of the test.
 struct TemporaryDirectory {
     std::string path;
     std::vector<std::string> files;
@@ -141,7 +143,7 @@
     Timestamp unix_now() override { return now; }
 };
 
-/// The classes of the tests: two reads, and a write that must run once.
+/// Settings with three classes: two reads, and a write that must run once.
 inline policy::Settings test_settings() {
     policy::Settings settings;
     settings.cores = 4;
