--- a/src/learned_state/learned_state_saver.cpp
+++ b/src/learned_state/learned_state_saver.cpp
@@ -80,7 +80,7 @@
 }
 
 void LearnedStateSaver::save(Timestamp now) {
-    policy::Estimates estimates = request_manager_.learned();
+    policy::Estimates estimates = request_manager_.estimates();
     if (!planner_.update(now, estimates))
         return;
     writer_->commit(planner_.changes_for(now, std::move(estimates), collect_upstream_stats_()));
--- a/src/request/request_manager.hpp
+++ b/src/request/request_manager.hpp
@@ -138,7 +138,7 @@
     Timestamp now();
 
     /// The current estimates of the newest controller.
-    policy::Estimates learned() const { return generations_.newest().controller->estimates(); }
+    policy::Estimates estimates() const { return generations_.newest().controller->estimates(); }
 
     /// Restores saved estimates in the newest controller. Has an effect only before `start`.
     void restore(const policy::Estimates& estimates) { generations_.newest().controller->restore(estimates); }
--- a/tests/cressledge/learned_state_saver_test.cpp
+++ b/tests/cressledge/learned_state_saver_test.cpp
@@ -45,7 +45,7 @@
             server.latest_peer().send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok");
             test_loop.run_until([&] { return client->has_received("ok"); });
         }
-        learned_price = gateway.request_manager().learned().classes[0].price_seconds;
+        learned_price = gateway.request_manager().estimates().classes[0].price_seconds;
         // Its directory is locked: it serves all the same.
         UpstreamGateway second(test_loop.loop, test_loop.timers, test_loop.loop, config, gateway_seed);
         CHECK(has_logged("locked by another process"));
@@ -56,7 +56,7 @@
     UpstreamGateway restarted(test_loop.loop, test_loop.timers, test_loop.loop, config, gateway_seed);
     CHECK(has_logged("learned_state: restored classes=1 upstreams=1 generation=1 "));
     const double cold_start_guess = 0.17 * 2.9;
-    const double restored_price = restarted.request_manager().learned().classes[0].price_seconds;
+    const double restored_price = restarted.request_manager().estimates().classes[0].price_seconds;
     CHECK(restored_price < cold_start_guess);
     // Three completions give a confidence of three thirteenths.
     CHECK(restored_price > learned_price);
