--- a/src/load_balancing/balancer.cpp
+++ b/src/load_balancing/balancer.cpp
@@ -12,13 +12,14 @@
 using upstream_health::HostState;
 using upstream_health::HostStatus;
 
-/// Sizes of the Maglev table: primes, with about a hundred places for each host. The larger from so many hosts on.
-constexpr std::size_t small_table_size = 65'537;
-constexpr std::size_t large_table_size = 655'373;
-constexpr std::size_t large_table_min_hosts = 600;
-/// Least share of the traffic that a cost or a load is divided by.
-constexpr double min_traffic_fraction = 1e-3;
-/// A failure counts as at least so many typical latencies.
+/// Sizes of the Maglev table: primes that give each host about a hundred entries.
+constexpr std::size_t small_maglev_table_size = 65'537;
+constexpr std::size_t large_maglev_table_size = 655'373;
+/// Number of hosts from which the large table is used.
+constexpr std::size_t large_maglev_table_min_hosts = 600;
+/// Lower bound of the traffic fraction by which a cost is divided and a reported capacity is multiplied.
+constexpr double traffic_fraction_floor = 1e-3;
+/// A failed call is recorded with a latency of at least this multiple of the typical latency.
 constexpr double failure_latency_factor = 2.0;
 
 }  // namespace
@@ -28,8 +29,8 @@
     for (const HostId host_id : hosts_.listed_hosts())
         if (hosts_.at(host_id).state != HostState::draining)
             active_hosts.push_back(host_id);
-    // A subset whose hosts are all out falls back on the others.
-    candidates_.rebuild(hosts_, own_subset(active_hosts), active_hosts, settings_.local_data_centre);
+    // If no host of the subset is usable, all active hosts are candidates.
+    candidates_.rebuild(hosts_, select_subset(active_hosts), active_hosts, settings_.local_data_centre);
     host_loads_.resize(hosts_.slot_count());
     is_maglev_stale_ = true;
     are_slow_starts_stale_ = true;
@@ -38,8 +39,8 @@
         rebuild_probe_sampler();
 }
 
-std::vector<HostId> Balancer::own_subset(const std::vector<HostId>& active_hosts) {
-    // Copying the names takes time in a large fleet, and only a subset needs them.
+std::vector<HostId> Balancer::select_subset(const std::vector<HostId>& active_hosts) {
+    // The names are copied only for subsetting, because copying them is slow in a large fleet.
     if (settings_.subset_size == 0 || active_hosts.empty())
         return active_hosts;
     const auto& selected =
@@ -68,8 +69,9 @@
 }
 
 void Balancer::rebuild_maglev() {
-    const bool is_small = candidates().size() < large_table_min_hosts;
-    maglev_.build(names_of(candidates()), is_small ? small_table_size : large_table_size);
+    const bool use_small_table = candidates().size() < large_maglev_table_min_hosts;
+    maglev_.build(names_of(candidates()),
+                  use_small_table ? small_maglev_table_size : large_maglev_table_size);
     is_maglev_stale_ = false;
 }
 
@@ -90,7 +92,8 @@
         refresh();
 }
 
-// A host is in slow start from its announcement, and again when it comes back after failures, whose cause is not known.
+// A host is in slow start after it has been added, and again when it recovers from failures, because their cause is
+// unknown.
 void Balancer::update_slow_starts(Random& random) {
     if (!std::exchange(are_slow_starts_stale_, false) || !slow_start_.is_enabled())
         return;
@@ -106,11 +109,11 @@
 std::optional<LoadReport> Balancer::effective_load(Timestamp now, HostId host_id, LoadReport load) const {
     if (!slow_start_.allows(now, host_id))
         return std::nullopt;
-    // A suspect host, or one in slow start, has few calls and looks idle: it must not draw more by that.
+    // A suspect host or one in slow start gets few calls, so its report shows it idle and would attract more.
     const HostState state = hosts_.at(host_id).state;
     if (state != HostState::ready && state != HostState::warming_up)
         return std::nullopt;
-    load.capacity *= std::max(min_traffic_fraction, hosts_.traffic_fraction(now, host_id));
+    load.capacity *= std::max(traffic_fraction_floor, hosts_.traffic_fraction(now, host_id));
     return load;
 }
 
@@ -125,12 +128,12 @@
 
 void Balancer::pick_probe_targets(Random& random, std::vector<HostId>& targets) {
     targets.clear();
-    // Under `probe_first` a call may be placed without pick().
+    // Under `probe_first` a host may be chosen without pick().
     update_slow_starts(random);
     if (!sends_load_probes() || probe_sampler_.empty())
         return;
-    probe_sampler_.sample(random, probe_pool_.take_due_probes(), sampled_);
-    for (const std::uint32_t i : sampled_)
+    probe_sampler_.sample(random, probe_pool_.take_due_probes(), sampled_candidates_);
+    for (const std::uint32_t i : sampled_candidates_)
         targets.push_back(candidates()[i]);
 }
 
@@ -154,7 +157,7 @@
     release_call(now, host_id, latency);
     double latency_s = to_seconds(latency);
     if (result != CallResult::ok) {
-        // A host that fails fast is idle and looks quick: neither may draw calls to it.
+        // A host that fails fast is idle and answers quickly. Neither may attract more calls to it.
         probe_pool_.remove(host_id);
         latency_s = std::max(latency_s, failure_latency_factor * hosts_.typical_latency_s());
     }
@@ -171,7 +174,7 @@
     const double latency_s = host_loads_[host_id].latency.expected_s(
         now, hosts_.typical_latency_s(), host.calls_in_flight, settings_.peak_decay_time);
     const double fraction =
-        std::max(min_traffic_fraction, host.spec.weight * hosts_.traffic_fraction(now, host_id));
+        std::max(traffic_fraction_floor, host.spec.weight * hosts_.traffic_fraction(now, host_id));
     return latency_s * (host.calls_in_flight + 1.0) / fraction;
 }
 
--- a/src/load_balancing/balancer.hpp
+++ b/src/load_balancing/balancer.hpp
@@ -1,8 +1,8 @@
-// Which host a call goes to. `HostSet` says which hosts are usable; the calls themselves, and the load probes, are made
-// by the upstream executor. No I/O; time and randomness are arguments.
+// Chooses the host of each call. `HostSet` determines which hosts are usable; the upstream executor makes the calls and
+// the load probes. No I/O; time and randomness are passed as arguments.
 //
-// Invariants: no call goes to a host that is not usable, has been tried for the same request, or is at its bound of calls
-// in flight; a host in slow start gets no call beyond this process's share, whatever the policy.
+// Invariants: pick() returns no host that is unusable, has been tried for the same request or has reached its limit of
+// calls in flight. Under every policy, a host in slow start gets no more calls than this process's share.
 #pragma once
 
 #include <cstdint>
@@ -24,86 +24,92 @@
 
 using upstream_health::HostSet;
 
-/// Chooses the host of each call to an upstream by the policy of `BalancerSettings`, over the candidates of this process.
+/// Chooses the host of each call to an upstream among the candidates of this process, by the policy in
+/// `BalancerSettings`.
 class Balancer {
 public:
-    /// `hosts` has to outlive the balancer.
+    /// `hosts` must outlive the balancer.
     Balancer(HostSet& hosts, BalancerSettings settings)
         : hosts_(hosts),
           settings_(std::move(settings)),
           probe_pool_(settings_.probing, 0),
           slow_start_(settings_.slow_start) {}
 
-    /// To be called when the inventory or the state of a host has changed.
+    /// Recomputes the candidates. Call it after each change of the inventory or of a host's state.
     void refresh();
-    /// Takes effect with the next choice; what was learned of hosts stays.
+    /// Replaces the settings from the next pick on. Latencies and load reports of hosts are kept.
     void reconfigure(BalancerSettings settings);
 
-    /// The host for a call: none of `tried_hosts`, and a deprioritized one only if there is no other. `key`: affinity
-    /// key of the request; 0: none. `no_host` if no host is eligible.
+    /// Returns the host for a call, or `no_host` if none is eligible. Hosts in `tried_hosts` are excluded; a
+    /// deprioritized host is returned only if no other is eligible. `key` is the affinity key of the request, 0 for
+    /// none.
     HostId pick(Timestamp now, std::uint64_t key, const std::vector<HostId>& tried_hosts, Random& random);
 
-    /// To be called when a call to the host is sent.
+    /// Records that a call to the host has been sent.
     void on_call_started(Timestamp now, HostId host_id);
-    /// To be called before `HostSet::on_call_finished`.
+    /// Records the result of a call. Call it before `HostSet::on_call_finished`.
     void on_call_finished(Timestamp now, HostId host_id, upstream_health::CallResult result,
                           Duration latency);
-    /// To be called before `HostSet::on_call_cancelled`.
+    /// Records that a call was cancelled. Call it before `HostSet::on_call_cancelled`.
     void on_call_cancelled(Timestamp now, HostId host_id, Duration elapsed);
 
-    /// A load report as it counts here: with less capacity during slow start; none if the host may not be chosen by it.
+    /// Returns the load report with its capacity reduced during slow start, or none if the host must not be chosen by
+    /// its load report.
     std::optional<LoadReport> effective_load(Timestamp now, HostId host_id, LoadReport load) const;
-    /// Takes the load report of an answer or a probe.
+    /// Records a load report that came with an answer or a load probe.
     void on_load_report(Timestamp now, HostId host_id, const LoadReport& load);
-    /// Hosts to probe for their load beside one more call, or before it: random ones, by weight. None under a policy
-    /// without probes.
+    /// Fills `targets` with the hosts to probe for one more call: a random sample by weight, empty under a policy that
+    /// sends no load probes.
     void pick_probe_targets(Random& random, std::vector<HostId>& targets);
 
-    /// The live processes of the fleet, this one among them: subsets and the calls to hosts in slow start are shared out
-    /// among them. Empty: none is known. To be told again regularly, as it says who lives.
+    /// Sets the names of the live processes of the fleet, including this one; empty if unknown. Subsets and the
+    /// calls to hosts in slow start are divided among them. Call it regularly, also without a change: it renews the
+    /// time at which each process was last seen.
     void update_peers(Timestamp now, std::vector<std::string> names);
 
-    /// Has other hosts chosen first until then.
+    /// Prefers other hosts to this one until `until`.
     void deprioritize(HostId host_id, Timestamp until);
     /// Whether the host is deprioritized at `now`.
     bool is_deprioritized(Timestamp now, HostId host_id) const {
         return host_loads_[host_id].deprioritized_until > now;
     }
 
-    /// Cost of one more call to the host: expected seconds times calls in flight over its share of the traffic.
+    /// Cost of one more call to the host: expected latency (seconds) times calls in flight, including this one,
+    /// divided by weight times traffic fraction.
     double cost(Timestamp now, HostId host_id) const;
-    /// Hosts that this process uses now.
+    /// Hosts that this process uses at present.
     const std::vector<HostId>& candidates() const { return candidates_.usable(); }
     /// Whether the policy is `probe_first`: each call waits for its own load probes.
     bool probes_before_call() const { return settings_.policy == BalancingPolicy::probe_first; }
 
 private:
-    /// What this process knows of a host from its own calls.
+    /// The load of a host, estimated from this process's own calls.
     struct HostLoad {
         PeakLatency latency;
         Timestamp deprioritized_until{0};
         double round_robin_credit = 0.0;
     };
     enum class Deprioritized : std::uint8_t { exclude, include };
-    /// What one choice goes by.
-    struct Selection {
+    /// The arguments of a pick.
+    struct PickCriteria {
         Timestamp now;
         std::uint64_t key;
         const std::vector<HostId>& tried_hosts;
         Deprioritized deprioritized;
     };
 
-    HostId choose(const Selection& selection, Random& random);
-    HostId pick_least_in_flight(const Selection& selection);
-    HostId pick_round_robin(const Selection& selection);
-    HostId pick_by_key(const Selection& selection);
-    HostId pick_from_probe_pool(const Selection& selection);
-    HostId pick_of_two(const Selection& selection, const std::vector<HostId>& hosts, Random& random) const;
-    HostId pick_cheapest(const Selection& selection, const std::vector<HostId>& hosts,
+    HostId pick_by_policy(const PickCriteria& criteria, Random& random);
+    HostId pick_least_in_flight(const PickCriteria& criteria);
+    HostId pick_round_robin(const PickCriteria& criteria);
+    HostId pick_by_key(const PickCriteria& criteria);
+    HostId pick_from_probe_pool(const PickCriteria& criteria);
+    HostId pick_power_of_two(const PickCriteria& criteria, const std::vector<HostId>& hosts,
+                             Random& random) const;
+    HostId pick_cheapest(const PickCriteria& criteria, const std::vector<HostId>& hosts,
                          std::size_t start) const;
-    bool is_eligible(const Selection& selection, HostId host_id) const;
+    bool is_eligible(const PickCriteria& criteria, HostId host_id) const;
 
-    std::vector<HostId> own_subset(const std::vector<HostId>& active_hosts);
+    std::vector<HostId> select_subset(const std::vector<HostId>& active_hosts);
     std::vector<std::string> names_of(const std::vector<HostId>& hosts) const;
     void rebuild_maglev();
     void rebuild_probe_sampler();
@@ -115,21 +121,22 @@
 
     HostSet& hosts_;
     BalancerSettings settings_;
-    /// By host id.
+    /// Indexed by host id.
     std::vector<HostLoad> host_loads_;
     CandidateSet candidates_;
     SubsetSelector subset_selector_;
-    /// Of the candidates; built again when a key asks for it.
+    /// Maps keys to candidates; rebuilt by the first pick with a key after a change.
     MaglevTable maglev_;
     bool is_maglev_stale_ = true;
-    /// Where the next scan by least calls in flight begins.
+    /// Rotates the first candidate that `pick_least_in_flight` looks at, so that hosts with equal counts take turns.
     std::size_t scan_start_ = 0;
     ProbePool probe_pool_;
-    /// Over the candidates, by weight.
+    /// Samples candidates by weight.
     WeightedSampler probe_sampler_;
-    std::vector<std::uint32_t> sampled_;
+    /// Indices of the last sample; a member so that its memory is reused.
+    std::vector<std::uint32_t> sampled_candidates_;
     SlowStartLimiter slow_start_;
-    /// States have changed since slow starts were last begun and finished.
+    /// Whether host states have changed since the last `update_slow_starts`.
     bool are_slow_starts_stale_ = false;
 };
 
--- a/src/load_balancing/candidate_set.cpp
+++ b/src/load_balancing/candidate_set.cpp
@@ -55,7 +55,7 @@
     return !local_.empty() && has_capacity ? local_ : usable_;
 }
 
-double CandidateSet::mean_calls_with_next() const {
+double CandidateSet::mean_calls_including_next() const {
     return (static_cast<double>(calls_in_flight_) + 1.0) / static_cast<double>(usable_.size());
 }
 
--- a/src/load_balancing/candidate_set.hpp
+++ b/src/load_balancing/candidate_set.hpp
@@ -1,4 +1,4 @@
-// The hosts that this process may use now, those of its own data centre among them, and its calls in flight to them.
+// The hosts to which this process may send calls, and its calls in flight to them.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace cressledge::load_balancing {
 
-/// The hosts that this process may use now, the local ones apart, with its calls in flight to each.
+/// The usable hosts of this process, those of its own data centre among them, and the numbers of calls in flight.
 class CandidateSet {
 public:
-    /// Takes the usable hosts of `subset`, or those of `fallback` where the subset has none. `local_data_centre` may be
-    /// empty: no host is local then.
+    /// Recomputes the set from the usable hosts of `subset`, or of `fallback` if the subset has none. No host is local
+    /// if `local_data_centre` is empty.
     void rebuild(const upstream_health::HostSet& hosts, const std::vector<upstream_health::HostId>& subset,
                  const std::vector<upstream_health::HostId>& fallback, const std::string& local_data_centre);
 
@@ -24,13 +24,13 @@
 
     /// The usable hosts, as of the last `rebuild`.
     const std::vector<upstream_health::HostId>& usable() const { return usable_; }
-    /// The usable hosts of this process's data centre; empty where none is named.
+    /// The usable hosts in the local data centre; empty if no local data centre is configured.
     const std::vector<upstream_health::HostId>& local() const { return local_; }
-    /// The local hosts while their calls in flight stay below the bound for each unit of weight; all usable ones
-    /// otherwise.
+    /// The local hosts while their calls in flight are below `max_calls_per_weight` times their total weight; otherwise
+    /// all usable hosts.
     const std::vector<upstream_health::HostId>& preferred(double max_calls_per_weight) const;
-    /// Mean calls in flight to a usable host, with one more call; there must be a usable host.
-    double mean_calls_with_next() const;
+    /// Mean number of calls in flight per usable host with one more call added. Requires at least one usable host.
+    double mean_calls_including_next() const;
 
 private:
     void add(upstream_health::HostId host_id, const upstream_health::HostStatus& host,
@@ -38,7 +38,7 @@
 
     std::vector<upstream_health::HostId> usable_;
     std::vector<upstream_health::HostId> local_;
-    /// By host id.
+    /// Indexed by host id.
     std::vector<bool> is_local_;
     double local_weight_ = 0.0;
     std::uint64_t local_calls_in_flight_ = 0;
--- a/src/load_balancing/load_probes.cpp
+++ b/src/load_balancing/load_probes.cpp
@@ -7,10 +7,10 @@
 namespace cressledge::load_balancing {
 namespace {
 
-/// A choice among fewer answers is none.
+/// With fewer answers there is nothing to choose between.
 constexpr std::size_t min_pool_size = 2;
 
-/// Utilization with the call that is to be placed.
+/// Utilization of the host if it gets the call that is being placed.
 double utilization_with_call(const LoadReport& load) {
     return load.utilization(1.0);
 }
@@ -24,7 +24,7 @@
     return static_cast<unsigned>(probe_count);
 }
 
-// Equation 1 of the paper: an answer is used as often as it takes for the pool not to run dry.
+// Equation 1 of the Prequal paper: an answer is reused just often enough that the pool does not run empty.
 double ProbePool::max_uses() const {
     const double host_count = static_cast<double>(std::max<std::size_t>(host_count_, 1));
     const double pool_size = std::min(static_cast<double>(settings_.pool_size), host_count);
@@ -58,7 +58,7 @@
     pool_.erase(removed);
 }
 
-double ProbePool::hot_utilization() const {
+double ProbePool::hot_utilization_threshold() const {
     std::vector<double> utilizations;
     utilizations.reserve(pool_.size());
     for (const PooledReport& report : pool_)
@@ -69,9 +69,9 @@
     return *quantile;
 }
 
-// Hot-cold lexicographic: the lowest latency among the cold, and the lowest load only where all are hot.
+// Hot-cold lexicographic rule: the lowest latency among the cold hosts, or the lowest utilization if all are hot.
 ProbePool::Pool::iterator ProbePool::best_report() {
-    const auto is_better = [hot = hot_utilization()](const PooledReport& a, const PooledReport& b) {
+    const auto is_better = [hot = hot_utilization_threshold()](const PooledReport& a, const PooledReport& b) {
         const bool a_is_cold = a.load.utilization() < hot;
         const bool b_is_cold = b.load.utilization() < hot;
         if (a_is_cold != b_is_cold)
@@ -91,7 +91,7 @@
         return no_host;
     const auto best = best_report();
     const HostId host_id = best->host_id;
-    // Guards against one host for every call until its next report.
+    // Without this, every call would go to the same host until its next report.
     best->load.in_flight += 1.0;
     if (++best->uses >= max_uses())
         pool_.erase(best);
--- a/src/load_balancing/load_probes.hpp
+++ b/src/load_balancing/load_probes.hpp
@@ -1,10 +1,10 @@
-// Choice of a host by what a few hosts have just reported of their load: probing as in Prequal (Wydrowski, Kleinberg,
-// Rumble, Archer: "Load is not what you should balance", NSDI 2024). No I/O; time and randomness are arguments.
+// Chooses a host by recent load reports of a few hosts, which are probed as in Prequal (Wydrowski, Kleinberg, Rumble,
+// Archer: "Load is not what you should balance", NSDI 2024). No I/O; time and randomness are passed as arguments.
 //
-// Two ways to use it. Asynchronous (`ProbePool`): some probes go out beside each call, their answers wait in a small
-// pool, and the next call takes the best of them; it costs no time, and what is known is a few calls old. Synchronous
-// (`least_loaded`): a call's own probes go out before it and it goes where the best answer came from; it costs a round
-// trip, and what is known is as old as half of that.
+// Asynchronous probing (`ProbePool`): probes are sent along with each call, their answers are kept in a small pool,
+// and a later call uses the best of them. It adds no latency, but the reports are a few calls old. Synchronous
+// probing (`least_loaded`): probes are sent before the call, which goes to the host with the best answer. It adds a
+// round trip, and the reports are half a round trip old.
 #pragma once
 
 #include <algorithm>
@@ -25,47 +25,48 @@
 using upstream_health::no_host;
 using upstream_health::Random;
 
-/// How load probes are sent and their answers kept; read from `routing.probing` of an operator's file.
+/// Settings of load probes, from `routing.probing` of the operator's file.
 struct LoadProbeSettings {
-    /// Most answers in the pool.
+    /// Capacity of the pool, in answers.
     std::size_t pool_size = 16;
-    /// Probes sent for each call.
+    /// Probes sent per call.
     double probes_per_call = 3.0;
-    /// Answers removed from the pool for each call: the oldest and the worst in turn.
+    /// Answers removed from the pool per call, alternately the oldest and the one with the highest utilization.
     double removals_per_call = 1.0;
-    /// An older answer is not used.
+    /// Age beyond which an answer is discarded.
     Duration max_age{1'000'000};
-    /// Quantile of the utilizations from which on a host is hot, and only its load counts; 0: all are.
+    /// A host is hot from this quantile of the pooled utilizations on; hot hosts are compared by load alone. 0
+    /// makes all hosts hot.
     double hot_quantile = 0.0;
-    /// Delta in equation 1 of the paper: the pool grows by at least so many answers for each call.
+    /// Delta in equation 1 of the paper: minimum net growth of the pool, in answers per call.
     double min_pool_growth = 1.0;
 };
 
-/// Answers to probes that wait for a call.
+/// Pool of recent answers to load probes, from which calls choose their host.
 class ProbePool {
 public:
-    /// `host_count`: hosts that may be probed.
+    /// `host_count` is the number of hosts that may be probed.
     explicit ProbePool(const LoadProbeSettings& settings, std::size_t host_count)
         : settings_(settings), host_count_(host_count) {}
 
-    /// Hosts that may be probed, after a change of the inventory.
+    /// Sets the number of hosts that may be probed. Call it after a change of the inventory.
     void set_host_count(std::size_t host_count) { host_count_ = host_count; }
-    /// Takes effect with the next call; answers stay.
+    /// Replaces the settings from the next call on; pooled answers are kept.
     void reconfigure(const LoadProbeSettings& settings) { settings_ = settings; }
 
-    /// Number of probes to send for one more call; a fraction is carried over to the next.
+    /// Returns the number of probes to send for one more call. The fractional remainder carries over to the next call.
     unsigned take_due_probes();
 
-    /// Takes an answer; it replaces an earlier one of the same host, or the oldest of a full pool.
+    /// Adds an answer. It replaces an earlier answer of the same host, or the oldest one of a full pool.
     void add(Timestamp now, HostId host_id, const LoadReport& load);
-    /// Drops the answer of a host whose call or probe has failed.
+    /// Removes the answer of a host, for instance after a failed call or probe.
     void remove(HostId host_id);
 
-    /// Host with the best answer; the call that it will get is counted in that answer. `no_host` if fewer than two
-    /// answers of eligible hosts are known.
+    /// Returns the host with the best answer and adds the call to that answer's calls in flight. Returns `no_host` if
+    /// the pool has fewer than two answers of eligible hosts.
     HostId pick(Timestamp now, const std::function<bool(HostId)>& is_eligible);
 
-    /// Answers in the pool.
+    /// Number of answers in the pool.
     std::size_t size() const { return pool_.size(); }
 
 private:
@@ -78,7 +79,7 @@
     using Pool = std::vector<PooledReport>;
 
     double max_uses() const;
-    double hot_utilization() const;
+    double hot_utilization_threshold() const;
     Pool::iterator best_report();
     void remove_oldest_or_worst();
 
@@ -91,18 +92,18 @@
     bool remove_oldest_next_ = true;
 };
 
-/// What a host adds to its reported load when it is probed: the calls that probes of the last moments may still bring.
-/// Without it all who probe within one round trip would find the same host idle and send to it at once. A probe counts
-/// as 1 / `probes_per_call` calls.
+/// Estimates the calls that recent probes of a host may still bring; the host adds them to the load that it
+/// reports. Without them, all callers that probe an idle host within one round trip would send their calls to it at
+/// once. A probe counts as 1 / `probes_per_call` calls.
 class ExpectedCallEstimator {
 public:
-    /// `window`: how long a probe may still bring a call; `probes_per_call`: 0 counts as 1.
+    /// `window` is the time in which a call may follow a probe; a `probes_per_call` of 0 is treated as 1.
     ExpectedCallEstimator(Duration window, unsigned probes_per_call)
         : window_(window), calls_per_probe_(1.0 / std::max(1U, probes_per_call)) {}
 
-    /// Calls that probes within the window before `now` may bring.
+    /// Number of calls expected from probes within the window before `now`.
     double expected_calls(Timestamp now);
-    /// Counts a probe sent at `now`.
+    /// Records a probe at `now`; times must not decrease.
     void on_probe(Timestamp now) { probe_times_.push_back(now); }
 
 private:
@@ -111,14 +112,14 @@
     std::deque<Timestamp> probe_times_;
 };
 
-/// What a host answered to a load probe.
+/// A host's answer to a load probe.
 struct ProbeAnswer {
     HostId host_id = no_host;
     LoadReport load;
 };
 
-/// Of a call's own probes: the host with the lowest utilization, this call included, then the lowest latency, then the
-/// first one. `no_host` without an answer.
+/// Returns the host with the lowest utilization, including the call that is being placed. Ties go to the lower latency,
+/// then to the first answer. Returns `no_host` if there are no answers.
 HostId least_loaded(const std::vector<ProbeAnswer>& answers);
 
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/load_reports.cpp
+++ b/src/load_balancing/load_reports.cpp
@@ -20,7 +20,7 @@
     return text.substr(begin, text.find_last_not_of(blanks) - begin + 1);
 }
 
-/// Takes the part before the next comma off the front of `list`.
+/// Removes the entry before the first comma from `list` and returns it trimmed.
 std::string_view take_entry(std::string_view& list) {
     const std::size_t end = std::min(list.find(','), list.size());
     const std::string_view entry = trimmed(list.substr(0, end));
@@ -28,7 +28,7 @@
     return entry;
 }
 
-/// A finite number from 0 to the bound: a NaN would make every comparison of loads false.
+/// Parses a finite number from 0 to `max_metric_value`. NaN is rejected, as every comparison of loads with it is false.
 std::optional<double> parse_metric(std::string_view text) {
     double value = 0.0;
     const char* const end = text.data() + text.size();
--- a/src/load_balancing/maglev.cpp
+++ b/src/load_balancing/maglev.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint64_t offset_seed = 1;
 constexpr std::uint64_t skip_seed = 2;
 
-/// A host's order of preference over the places of the table.
+/// The order in which a host prefers the entries of the table.
 struct Permutation {
     std::uint64_t position;
     std::uint64_t step;
@@ -41,7 +41,7 @@
     constexpr std::uint32_t unset = ~std::uint32_t{0};
     table_.assign(size, unset);
     std::vector<Permutation> permutations = permutations_of(names, size);
-    // Each host in turn takes the next free place of its own permutation.
+    // The hosts take turns; each takes the next free entry of its permutation.
     for (std::size_t filled = 0; filled < size;) {
         for (std::uint32_t i = 0; i < permutations.size() && filled < size; ++i) {
             Permutation& permutation = permutations[i];
--- a/src/load_balancing/name_hash.hpp
+++ b/src/load_balancing/name_hash.hpp
@@ -1,4 +1,4 @@
-// Hashes of names that every process of a fleet computes alike.
+// Name hashes that are the same in every process of a fleet.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace cressledge::load_balancing {
 
-/// XXH3, 64 bits. One seed for each purpose.
+/// 64-bit XXH3 hash of a name. Each purpose uses its own seed.
 std::uint64_t hash_name(std::string_view name, std::uint64_t seed);
 
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/peak_latency.cpp
+++ b/src/load_balancing/peak_latency.cpp
@@ -8,9 +8,9 @@
 namespace cressledge::load_balancing {
 namespace {
 
-/// A lower latency counts for at least the rest, however soon after the peak it comes.
+/// Upper bound of the weight that a peak keeps when a lower latency follows it, however soon.
 constexpr double max_peak_retention = 0.95;
-/// A host is never expected to be faster than this fraction of the typical latency.
+/// The expected latency of a host is at least this fraction of the typical latency.
 constexpr double min_typical_fraction = 0.1;
 
 }  // namespace
@@ -21,7 +21,7 @@
 
 void PeakLatency::on_call_ended(base::Timestamp started_at, std::uint32_t calls_in_flight) {
     in_flight_start_sum_s_ -= to_seconds(started_at);
-    // Without calls in flight the sum is 0: no rounding error is carried on.
+    // Without calls in flight the sum is exactly 0; resetting it keeps rounding errors from accumulating.
     if (calls_in_flight <= 1)
         in_flight_start_sum_s_ = 0.0;
 }
@@ -40,9 +40,9 @@
                                base::Duration decay_time) const {
     double latency_s = typical_latency_s;
     if (peak_s_ > 0.0) {
-        const double faded_peak_s =
+        const double decayed_peak_s =
             peak_s_ * std::exp(-to_seconds(now - updated_at_) / to_seconds(decay_time));
-        latency_s = std::max(min_typical_fraction * typical_latency_s, faded_peak_s);
+        latency_s = std::max(min_typical_fraction * typical_latency_s, decayed_peak_s);
     }
     if (calls_in_flight > 0)
         latency_s = std::max(latency_s, to_seconds(now) - in_flight_start_sum_s_ / calls_in_flight);
--- a/src/load_balancing/seconds.hpp
+++ b/src/load_balancing/seconds.hpp
@@ -1,11 +1,11 @@
-// Seconds as the estimators of this module count them.
+// Conversion of durations to floating-point seconds.
 #pragma once
 
 #include "base/timer_queue.hpp"
 
 namespace cressledge::load_balancing {
 
-/// A duration, counted in microseconds, in seconds.
+/// Converts a duration in microseconds to seconds.
 inline double to_seconds(base::Duration duration) {
     constexpr double seconds_per_microsecond = 1e-6;
     return static_cast<double>(duration.count()) * seconds_per_microsecond;
--- a/src/load_balancing/slow_start.cpp
+++ b/src/load_balancing/slow_start.cpp
@@ -11,17 +11,18 @@
 namespace cressledge::load_balancing {
 namespace {
 
-/// Fraction of the window for which a call that was not sent stays allowed.
+/// Fraction of the window after which an unused call is no longer allowed.
 constexpr double carry_over_fraction = 0.1;
+/// Keeps the division by the warm-up time defined when it is 0.
 constexpr double min_warm_up_s = 1e-6;
-constexpr std::uint64_t rounding_seed = 1;
-/// Number of values of 32 random bits.
-constexpr double random_range = 4294967296.0;
+constexpr std::uint64_t rounding_offset_seed = 1;
+/// Number of different 32-bit values.
+constexpr double random_value_count = 4294967296.0;
 
 }  // namespace
 
-// The integral over time of the allowed fraction: a straight line up to 1 while the host warms up, and 1 after that.
-double SlowStartLimiter::warm_seconds(base::Duration since_announcement) const {
+// Integral of the allowed fraction over time. The fraction grows linearly to 1 during the warm-up and stays 1 after it.
+double SlowStartLimiter::full_rate_seconds(base::Duration since_announcement) const {
     const double warm_up_s = std::max(min_warm_up_s, to_seconds(settings_.warm_up_time));
     const double elapsed_s = std::max(0.0, to_seconds(since_announcement));
     const double warming_s = std::min(elapsed_s, warm_up_s);
@@ -32,18 +33,18 @@
 
 double SlowStartLimiter::allowed_calls(base::Timestamp announced_at, base::Timestamp from,
                                        base::Timestamp to) const {
-    const double warm_s = warm_seconds(to - announced_at) - warm_seconds(from - announced_at);
-    return settings_.calls_per_s * std::max(0.0, warm_s);
+    const double full_rate_s = full_rate_seconds(to - announced_at) - full_rate_seconds(from - announced_at);
+    return settings_.calls_per_s * std::max(0.0, full_rate_s);
 }
 
 void SlowStartLimiter::update_peers(base::Timestamp now, const std::vector<std::string>& names,
-                                    const std::string& self) {
+                                    const std::string& own_name) {
     for (const std::string& name : names)
         peer_last_seen_[name] = now;
-    // Guards against two halves of a fleet that do not hear each other, and would each take all of the calls.
+    // A partitioned fleet must not forget the other half at once: each half would send all of the allowed calls.
     const base::Duration max_unseen_time = settings_.warm_up_time + settings_.window;
     std::erase_if(peer_last_seen_, [&](const auto& peer) { return peer.second + max_unseen_time < now; });
-    const auto own_entry = peer_last_seen_.lower_bound(self);
+    const auto own_entry = peer_last_seen_.lower_bound(own_name);
     own_rank_ = static_cast<std::size_t>(std::distance(peer_last_seen_.begin(), own_entry));
 }
 
@@ -60,14 +61,14 @@
     slow_start.credit = initial_credit(spec.name, random);
 }
 
-// This process's part of the rounding, from 0 to 1. Where all know of each other, their parts lie evenly between 0 and 1,
-// from a point that the host's name gives: the sum is rounded once, not once for each process. Otherwise each draws its
-// own.
+// The fraction of a call, from 0 to 1, with which this process's credit starts. Processes that know each other spread
+// these fractions evenly, starting at an offset derived from the host name. The sum over all processes is then rounded
+// once instead of once per process. A process without known peers draws its fraction at random.
 double SlowStartLimiter::initial_credit(const std::string& host_name, upstream_health::Random& random) const {
-    if (!has_peers())
-        return static_cast<double>(random()) / random_range;
-    const std::uint64_t hash = XXH64(host_name.data(), host_name.size(), rounding_seed);
-    const double offset = static_cast<double>(hash >> 32U) / random_range;
+    if (!knows_peers())
+        return static_cast<double>(random()) / random_value_count;
+    const std::uint64_t hash = XXH64(host_name.data(), host_name.size(), rounding_offset_seed);
+    const double offset = static_cast<double>(hash >> 32U) / random_value_count;
     return std::fmod(offset + static_cast<double>(own_rank_) / process_count(), 1.0);
 }
 
@@ -81,8 +82,8 @@
            slow_starts_[host_id].announced_at == announced_at;
 }
 
-double SlowStartLimiter::own_allowance(const HostSlowStart& slow_start, base::Timestamp from,
-                                       base::Timestamp to) const {
+double SlowStartLimiter::own_allowed_calls(const HostSlowStart& slow_start, base::Timestamp from,
+                                           base::Timestamp to) const {
     return slow_start.weight * allowed_calls(slow_start.announced_at, from, to) / process_count();
 }
 
@@ -91,12 +92,12 @@
     HostSlowStart advanced = slow_start;
     if (now <= slow_start.updated_at)
         return advanced;
-    advanced.credit += own_allowance(slow_start, slow_start.updated_at, now);
+    advanced.credit += own_allowed_calls(slow_start, slow_start.updated_at, now);
     advanced.updated_at = now;
-    // Calls that were not sent in time are lost: guards against a burst of what many processes have saved up.
+    // Unused calls expire, so that many processes cannot save them up and send them in one burst.
     const double window_us = static_cast<double>(settings_.window.count());
     const base::Duration carry_over(std::llround(carry_over_fraction * window_us));
-    const double recent_credit = own_allowance(slow_start, now - carry_over, now);
+    const double recent_credit = own_allowed_calls(slow_start, now - carry_over, now);
     advanced.used_calls = std::max(advanced.used_calls, std::floor(advanced.credit - recent_credit));
     return advanced;
 }
--- a/src/load_balancing/subset.cpp
+++ b/src/load_balancing/subset.cpp
@@ -10,17 +10,17 @@
 namespace cressledge::load_balancing {
 namespace {
 
-constexpr std::uint64_t server_order_seed = 1;
+constexpr std::uint64_t host_order_seed = 1;
 constexpr std::uint64_t preference_seed = 2;
 constexpr std::uint64_t process_order_seed = 3;
 constexpr std::uint64_t rendezvous_seed = 3;
 
-/// Indices into `names`, by the hashes of the names.
+/// Returns the indices of `names`, sorted by the hashes of the names.
 std::vector<std::uint32_t> order_by_hash(const std::vector<std::string>& names, std::uint64_t seed) {
     struct HashedName {
         std::uint64_t hash;
         std::uint32_t index;
-        // NOLINTNEXTLINE(modernize-use-nullptr): the literal 0 is the compiler's own.
+        // NOLINTNEXTLINE(modernize-use-nullptr): the compiler generates the literal 0.
         auto operator<=>(const HashedName&) const = default;
     };
     std::vector<HashedName> hashed(names.size());
@@ -34,47 +34,47 @@
     return order;
 }
 
-/// An assignment under way.
+/// Computes the subsets of all processes; see `assign_subsets`.
 class SubsetAssignment {
 public:
-    SubsetAssignment(const std::vector<std::string>& processes, const std::vector<std::string>& servers,
+    SubsetAssignment(const std::vector<std::string>& processes, const std::vector<std::string>& hosts,
                      std::size_t size);
     void assign_in_rounds();
-    void fill_incomplete_rows();
-    std::vector<std::vector<std::uint32_t>> take_rows() { return std::move(rows_); }
+    void fill_incomplete_subsets();
+    std::vector<std::vector<std::uint32_t>> take_subsets() { return std::move(subsets_); }
 
 private:
     void assign_next(std::uint32_t process);
 
     const std::size_t size_;
-    /// Processes that each server may still be assigned to.
+    /// By host: number of processes that it may still be assigned to.
     std::vector<std::size_t> free_assignments_;
-    /// Of each process: all servers in its order of preference, and how many of them it has been through.
+    /// By process: all hosts in its order of preference, and the position of the next one to try.
     std::vector<std::vector<std::uint32_t>> preferences_;
     std::vector<std::size_t> next_preference_;
-    /// An order of the processes that no name chooses for itself.
+    /// The processes, ordered by hash so that no process gains by its name.
     const std::vector<std::uint32_t> process_order_;
-    std::vector<std::vector<std::uint32_t>> rows_;
+    std::vector<std::vector<std::uint32_t>> subsets_;
 };
 
 SubsetAssignment::SubsetAssignment(const std::vector<std::string>& processes,
-                                   const std::vector<std::string>& servers, std::size_t size)
+                                   const std::vector<std::string>& hosts, std::size_t size)
     : size_(size),
       preferences_(processes.size()),
       next_preference_(processes.size(), 0),
       process_order_(order_by_hash(processes, process_order_seed)),
-      rows_(processes.size()) {
-    // Places of each server: the mean, and one more for those that a hash of their names puts first.
+      subsets_(processes.size()) {
+    // Each host gets the mean number of assignments, rounded down; the remainder goes to the first hosts by name hash.
     const std::size_t assignment_count = processes.size() * size;
-    free_assignments_.assign(servers.size(), assignment_count / servers.size());
-    const auto server_order = order_by_hash(servers, server_order_seed);
-    for (std::size_t i = 0; i < assignment_count % servers.size(); ++i)
-        ++free_assignments_[server_order[i]];
+    free_assignments_.assign(hosts.size(), assignment_count / hosts.size());
+    const auto host_order = order_by_hash(hosts, host_order_seed);
+    for (std::size_t i = 0; i < assignment_count % hosts.size(); ++i)
+        ++free_assignments_[host_order[i]];
     for (std::size_t i = 0; i < processes.size(); ++i)
-        preferences_[i] = order_by_hash(servers, hash_name(processes[i], preference_seed));
+        preferences_[i] = order_by_hash(hosts, hash_name(processes[i], preference_seed));
 }
 
-// In rounds, so that every process has its first choice before any has a second.
+// Assigns in rounds, so that every process gets its first host before any process gets a second one.
 void SubsetAssignment::assign_in_rounds() {
     for (std::size_t round = 0; round < size_; ++round)
         for (const std::uint32_t process : process_order_)
@@ -88,21 +88,21 @@
         ++next;
     if (next == preferences.size())
         return;
-    const std::uint32_t server = preferences[next++];
-    --free_assignments_[server];
-    rows_[process].push_back(server);
+    const std::uint32_t host = preferences[next++];
+    --free_assignments_[host];
+    subsets_[process].push_back(host);
 }
 
-// The last places may be of servers that the processes which still lack one have already: these get their best
-// remaining preference beyond the places.
-void SubsetAssignment::fill_incomplete_rows() {
+// The last free assignments may be of hosts that the processes with incomplete subsets already have. Such a process
+// gets its most preferred remaining host even though that host has no free assignment.
+void SubsetAssignment::fill_incomplete_subsets() {
     for (const std::uint32_t process : process_order_) {
-        std::vector<std::uint32_t>& row = rows_[process];
-        for (const std::uint32_t server : preferences_[process]) {
-            if (row.size() >= size_)
+        std::vector<std::uint32_t>& subset = subsets_[process];
+        for (const std::uint32_t host : preferences_[process]) {
+            if (subset.size() >= size_)
                 break;
-            if (std::find(row.begin(), row.end(), server) == row.end())
-                row.push_back(server);
+            if (std::find(subset.begin(), subset.end(), host) == subset.end())
+                subset.push_back(host);
         }
     }
 }
@@ -110,30 +110,30 @@
 }  // namespace
 
 std::vector<std::vector<std::uint32_t>> assign_subsets(const std::vector<std::string>& processes,
-                                                       const std::vector<std::string>& servers,
+                                                       const std::vector<std::string>& hosts,
                                                        std::size_t size) {
-    size = std::min(size, servers.size());
+    size = std::min(size, hosts.size());
     if (size == 0)
         return std::vector<std::vector<std::uint32_t>>(processes.size());
-    SubsetAssignment assignment(processes, servers, size);
+    SubsetAssignment assignment(processes, hosts, size);
     assignment.assign_in_rounds();
-    assignment.fill_incomplete_rows();
-    return assignment.take_rows();
+    assignment.fill_incomplete_subsets();
+    return assignment.take_subsets();
 }
 
-std::vector<std::uint32_t> rendezvous_subset(const std::string& node, const std::vector<std::string>& names,
-                                             std::size_t size) {
+std::vector<std::uint32_t> rendezvous_subset(const std::string& process_name,
+                                             const std::vector<std::string>& names, std::size_t size) {
     std::vector<std::uint32_t> indices(names.size());
     std::iota(indices.begin(), indices.end(), 0U);
     if (size == 0 || size >= names.size())
         return indices;
-    const std::uint64_t seed = hash_name(node, rendezvous_seed);
-    std::vector<std::uint64_t> rank;
-    rank.reserve(names.size());
+    const std::uint64_t seed = hash_name(process_name, rendezvous_seed);
+    std::vector<std::uint64_t> scores;
+    scores.reserve(names.size());
     for (const std::string& name : names)
-        rank.push_back(hash_name(name, seed));
+        scores.push_back(hash_name(name, seed));
     const auto is_preferred = [&](std::uint32_t a, std::uint32_t b) {
-        return rank[a] != rank[b] ? rank[a] > rank[b] : names[a] < names[b];
+        return scores[a] != scores[b] ? scores[a] > scores[b] : names[a] < names[b];
     };
     std::nth_element(indices.begin(), indices.begin() + static_cast<std::ptrdiff_t>(size), indices.end(),
                      is_preferred);
@@ -153,18 +153,18 @@
 const std::vector<std::uint32_t>& SubsetSelector::select(const std::string& process_name,
                                                          const std::vector<std::string>& host_names,
                                                          std::size_t size) {
-    // A host's change of state comes often, and changes neither list.
-    if (!selected_from_.empty() && host_names == selected_from_)
-        return selected_;
-    selected_from_ = host_names;
-    const auto self = std::find(process_names_.begin(), process_names_.end(), process_name);
-    if (self == process_names_.end()) {
-        selected_ = rendezvous_subset(process_name, host_names, size);
+    // Changes of host states are frequent and leave both lists unchanged.
+    if (!subset_host_names_.empty() && host_names == subset_host_names_)
+        return subset_;
+    subset_host_names_ = host_names;
+    const auto own_entry = std::find(process_names_.begin(), process_names_.end(), process_name);
+    if (own_entry == process_names_.end()) {
+        subset_ = rendezvous_subset(process_name, host_names, size);
     } else {
-        const auto row = static_cast<std::size_t>(self - process_names_.begin());
-        selected_ = assign_subsets(process_names_, host_names, size)[row];
+        const auto own_index = static_cast<std::size_t>(own_entry - process_names_.begin());
+        subset_ = assign_subsets(process_names_, host_names, size)[own_index];
     }
-    return selected_;
+    return subset_;
 }
 
 }  // namespace cressledge::load_balancing
--- a/src/load_balancing/weighted_sampler.cpp
+++ b/src/load_balancing/weighted_sampler.cpp
@@ -6,8 +6,9 @@
 namespace cressledge::load_balancing {
 namespace {
 
-/// Up to so many indices a bit for each tells whether it has been drawn.
+/// Samplers of up to this size track the drawn indices in a 64-bit bitmap.
 constexpr std::size_t max_bitmap_size = 64;
+/// Bounds the draws that are repeated because they gave an index already drawn.
 constexpr unsigned max_draws_per_sample = 8;
 
 }  // namespace
@@ -17,7 +18,7 @@
     acceptance_.assign(size, 1.0);
     alias_.resize(size);
     const double sum = std::accumulate(weights.begin(), weights.end(), 0.0);
-    // Weights over their mean: those below 1 are filled up from those above it.
+    // Weights divided by their mean: entries below 1 are filled up from entries above 1.
     std::vector<double> scaled(size);
     std::vector<std::uint32_t> small_indices;
     std::vector<std::uint32_t> large_indices;
@@ -41,7 +42,8 @@
 }
 
 std::uint32_t WeightedSampler::sample(upstream_health::Random& random) const {
-    // One random number, times the size, gives both: its whole part the index, its fraction the draw there.
+    // One random number serves both draws: the integer part of its product with the size is the index, the fraction is
+    // compared with the acceptance probability.
     const std::uint64_t product = std::uint64_t{random()} * acceptance_.size();
     const auto index = static_cast<std::uint32_t>(product >> 32U);
     const double fraction = static_cast<double>(static_cast<std::uint32_t>(product)) * 0x1p-32;
--- a/src/load_balancing/weighted_sampler.hpp
+++ b/src/load_balancing/weighted_sampler.hpp
@@ -1,5 +1,5 @@
-// Random choice in proportion to weights: the alias method (Vose, "A linear algorithm for generating random numbers
-// with a given distribution", 1991). O(1) a sample, O(n) to build.
+// Weighted random sampling by the alias method (Vose, "A linear algorithm for generating random numbers with a given
+// distribution", 1991). O(1) per draw, O(n) to build.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,22 @@
 
 namespace cressledge::load_balancing {
 
-/// Draws indices in proportion to their weights. Load probes go out by capacity, so that what each host is offered
-/// keeps in step with what it can do.
+/// Draws indices with probabilities in proportion to their weights. Load probes are sampled by weight, so that the load
+/// offered to each host follows its capacity.
 class WeightedSampler {
 public:
-    /// Each weight is above 0.
+    /// Builds the sampler. Each weight must be above 0.
     void build(const std::vector<double>& weights);
-    /// One index; the sampler must not be empty.
+    /// Draws one index. The sampler must not be empty.
     std::uint32_t sample(upstream_health::Random& random) const;
-    /// Up to `count` different indices, into `sampled`; fewer where there are fewer, or where eight draws for each
-    /// wanted one have not found enough.
+    /// Fills `sampled` with up to `count` different indices. It gets fewer if the sampler has fewer, or if eight
+    /// draws per wanted index do not suffice.
     void sample(upstream_health::Random& random, unsigned count, std::vector<std::uint32_t>& sampled) const;
-    /// Whether it was built from no weights, or not built.
+    /// Whether the sampler has not been built, or was built from no weights.
     bool empty() const { return acceptance_.empty(); }
 
 private:
-    /// Of each index: the probability that a draw of it stands, and the index that it gives otherwise.
+    /// By index: the probability that a draw of it is kept, and the index that replaces it otherwise.
     std::vector<double> acceptance_;
     std::vector<std::uint32_t> alias_;
 };
