--- a/src/retry/hedge_policy.cpp
+++ b/src/retry/hedge_policy.cpp
@@ -6,6 +6,7 @@
 namespace cressledge::retry {
 namespace {
 
+/// Number of attempts before the quantile estimate is used.
 constexpr std::uint64_t min_hedge_samples = 50;
 
 }  // namespace
--- a/src/retry/hedge_policy.hpp
+++ b/src/retry/hedge_policy.hpp
@@ -1,4 +1,4 @@
-// When a hedged request is worth its cost ("The Tail at Scale", Dean and Barroso, 2013).
+// Determines when a hedged request is sent ("The Tail at Scale", Dean and Barroso, 2013).
 #pragma once
 
 #include <boost/accumulators/accumulators.hpp>
@@ -10,19 +10,20 @@
 
 namespace cressledge::retry {
 
-/// Learns, for one request class that may run twice, how long an attempt usually takes. The quantile is estimated in
-/// constant space (the P-square algorithm, Jain and Chlamtac, 1985).
+/// Estimates a quantile of the attempt latency of one request class that may be hedged. It uses constant space
+/// (P-square algorithm, Jain and Chlamtac, 1985).
 class HedgePolicy {
 public:
-    /// `settings.hedge_quantile`: the quantile of the latency after which a second attempt is sent.
+    /// `settings.hedge_quantile` is the latency quantile after which a second attempt is sent.
     explicit HedgePolicy(const RetrySettings& settings)
         : settings_(settings),
           quantile_(boost::accumulators::quantile_probability = settings.hedge_quantile) {}
 
-    /// Takes the latency of a successful attempt.
+    /// Records the latency of a successful attempt.
     void record(Duration latency);
 
-    /// How long an attempt is out before a second one is sent; `Duration::max()` until enough attempts are known.
+    /// Time after the start of an attempt at which a second one is sent; `Duration::max()` until enough latencies have
+    /// been recorded.
     Duration delay() const;
 
 private:
--- a/src/retry/retry_policy.hpp
+++ b/src/retry/retry_policy.hpp
@@ -1,5 +1,5 @@
-// When a failed request is attempted again, and how long an attempt may take. Whether it may be attempted again at all
-// is the caller's to say, with `RetryBudget` and `CircuitBreaker`. No I/O; time and randomness are arguments.
+// Times of retries and deadlines of attempts. The caller decides with `RetryBudget` and `CircuitBreaker` whether to
+// retry at all. No I/O; time and randomness are passed as arguments.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,14 @@
 
 using upstream_health::Random;
 
-/// Start of the attempt that follows `attempts` ones: exponential backoff with full jitter ("Exponential Backoff and
-/// Jitter", Brooker, 2015), or `retry_after` where that is longer.
-Timestamp next_retry_time(Timestamp now, std::uint32_t attempts, Duration retry_after,
+/// Returns the start time of the next attempt after `attempts_made` attempts: exponential backoff with full jitter
+/// ("Exponential Backoff and Jitter", Brooker, 2015), or `retry_after` if that is longer.
+Timestamp next_retry_time(Timestamp now, std::uint32_t attempts_made, Duration retry_after,
                           const RetrySettings& settings, Random& random);
 
-/// Deadline of an attempt, the `attempts`-th of its request. The last one may use all the time that is left.
-Timestamp attempt_deadline(Timestamp now, Timestamp request_deadline, std::uint32_t attempts,
+/// Returns the deadline of an attempt that starts at `now`; `attempt_number` counts from 1. The last attempt may
+/// use all of the remaining time.
+Timestamp attempt_deadline(Timestamp now, Timestamp request_deadline, std::uint32_t attempt_number,
                            const RetrySettings& settings);
 
 }  // namespace cressledge::retry
