--- a/src/upstream_health/health_settings.hpp
+++ b/src/upstream_health/health_settings.hpp
@@ -7,27 +7,27 @@
 
 namespace cressledge::upstream_health {
 
-/// When a host is suspect or ejected, for how long, and how it comes back.
+/// Thresholds and durations of host health states.
 struct HealthSettings {
-    /// Consecutive failures after which a host is suspect, and ejected.
+    /// Numbers of consecutive failures after which a host becomes suspect and is ejected.
     std::uint32_t suspect_after_failures = 2;
     std::uint32_t eject_after_failures = 5;
-    /// Smoothed fraction of failed calls above which a host is ejected.
+    /// Smoothed failure rate above which a host is ejected.
     double max_failure_rate = 0.5;
-    /// A host that takes more than so many times the median latency of its peers is ejected.
+    /// A host is ejected if its mean latency is above this multiple of the median over the ready hosts.
     double max_latency_ratio = 3.0;
-    /// Of the hosts in the inventory at most this fraction is ejected at a time.
+    /// Maximum fraction of the hosts in the inventory that are ejected at a time.
     double max_ejected_fraction = 0.3;
-    /// Below this fraction of usable hosts all are used (panic mode).
+    /// Panic mode uses ejected hosts too while the fraction of ready and warming-up hosts is below this threshold.
     double panic_threshold = 0.5;
-    /// Length of the first ejection, doubled with each consecutive one up to the second figure.
+    /// Duration of the first ejection; it doubles with each consecutive ejection up to `max_ejection_time`.
     base::Duration base_ejection_time{5'000'000};
     base::Duration max_ejection_time{60'000'000};
-    /// How long a host warms up.
+    /// Duration of slow start.
     base::Duration slow_start_time{10'000'000};
-    /// Shortest time between two checks of a host; as much again is added at random.
+    /// Minimum time between two health checks of a host; a random time of up to the same length is added.
     base::Duration health_check_interval{2'000'000};
-    /// Fraction of its regular traffic that a suspect host gets, and that slow start begins with.
+    /// Fraction of its regular traffic that a suspect host gets, and with which slow start begins.
     double min_traffic_fraction = 0.05;
 };
 
--- a/src/upstream_health/host.hpp
+++ b/src/upstream_health/host.hpp
@@ -1,5 +1,5 @@
-// One upstream host: what the inventory says of it, its health state, and what calls and health checks have shown.
-// Plain data; `HostSet` owns and changes it.
+// Data of one upstream host: its inventory entry, its health state and statistics of its calls and health checks.
+// `HostSet` owns and updates it.
 #pragma once
 
 #include <cstdint>
@@ -12,23 +12,24 @@
 
 using base::Duration;
 using base::Timestamp;
-/// The generator of all random choices among hosts (PCG, O'Neill 2014); its caller seeds it.
+/// Random generator for choices among hosts (PCG, O'Neill 2014); seeded by the caller.
 using Random = pcg32;
 
-/// Index of a host in its `HostSet`: its own until it is removed, then used again for another one.
+/// Index of a host in its `HostSet`. It is reused for another host after this one is removed.
 using HostId = std::uint32_t;
+/// The id that stands for no host.
 constexpr HostId no_host = ~HostId{0};
 
 /// Health state of a host; see `HostSet` for the transitions.
 enum class HostState : std::uint8_t { warming_up, ready, suspect, ejected, draining, removed };
 
-/// The state's word in log lines.
+/// Name of the state in log lines: `warming_up` is "joining" and `removed` is "gone".
 const char* to_string(HostState state);
 
-/// How a call or a health check ended.
+/// Result of a call or a health check.
 enum class CallResult : std::uint8_t { ok, error, connection_refused, timeout };
 
-/// A host as the inventory has it.
+/// The inventory entry of a host.
 struct HostSpec {
     std::string name;
     std::string address;
@@ -36,12 +37,12 @@
     std::string data_centre;
     std::string machine_model;
     double weight = 1.0;
-    /// It stays in the inventory, and gets no new calls.
+    /// The host is in the inventory but must not get new calls.
     bool drain_requested = false;
     bool operator==(const HostSpec&) const = default;
 };
 
-/// A host and what is known of its health.
+/// A host with its health state and statistics.
 struct HostStatus {
     HostSpec spec;
     HostState state = HostState::removed;
@@ -49,23 +50,23 @@
     std::uint32_t consecutive_failures = 0;
     std::uint32_t consecutive_ejections = 0;
     std::uint32_t calls_in_flight = 0;
-    /// Fraction of calls that fail, 0 to 1, and the latency of successful ones; both exponentially weighted.
+    /// Fraction of failed calls, 0 to 1, and mean latency of successful calls; both exponentially weighted.
     double failure_rate = 0.0;
     double mean_latency_s = 0.0;
-    /// Calls behind these two figures.
+    /// Number of calls in these two averages.
     double sample_calls = 0.0;
     Timestamp ejected_until{0};
     Timestamp next_health_check{0};
-    /// The inventory that last listed the host.
+    /// Version of the last inventory that listed the host.
     std::uint64_t inventory_version = 0;
 };
 
-/// A transition, for the log and for owners of data about the host.
+/// A transition between health states, for the log and for owners of per-host data.
 struct HostStateChange {
     HostId host_id = no_host;
     HostState old_state = HostState::removed;
     HostState new_state = HostState::removed;
-    /// A constant phrase for the log.
+    /// Constant phrase for the log.
     const char* reason = "";
 };
 
--- a/src/upstream_health/host_set.cpp
+++ b/src/upstream_health/host_set.cpp
@@ -15,11 +15,11 @@
                                              Random& random) {
     Changes changes;
     const HostState initial_state = inventory_version_ == 0 ? HostState::ready : HostState::warming_up;
-    const IdsByName known = hosts_of_last_inventory();
+    const IdsByName known_hosts = hosts_of_last_inventory();
     ++inventory_version_;
     listed_hosts_.clear();
     for (const HostSpec& spec : specs) {
-        const HostId host_id = find_or_add(now, spec, known, random);
+        const HostId host_id = find_or_add(now, spec, known_hosts, random);
         apply_spec(now, host_id, spec, initial_state, changes);
         listed_hosts_.push_back(host_id);
     }
@@ -29,19 +29,21 @@
 }
 
 HostSet::IdsByName HostSet::hosts_of_last_inventory() const {
-    IdsByName known;
+    IdsByName known_hosts;
     for (HostId host_id = 0; host_id < hosts_.size(); ++host_id) {
         const HostStatus& host = hosts_[host_id];
         if (host.state != HostState::removed && host.inventory_version == inventory_version_)
-            known[host.spec.name] = host_id;
+            known_hosts[host.spec.name] = host_id;
     }
-    return known;
+    return known_hosts;
 }
 
-HostId HostSet::find_or_add(Timestamp now, const HostSpec& spec, const IdsByName& known, Random& random) {
-    const auto it = known.find(spec.name);
-    // Another address is another host, whatever its name: guards against two that swap their addresses.
-    const bool is_same_host = it != known.end() && hosts_[it->second].spec.address == spec.address &&
+HostId HostSet::find_or_add(Timestamp now, const HostSpec& spec, const IdsByName& known_hosts,
+                            Random& random) {
+    const auto it = known_hosts.find(spec.name);
+    // An entry with another address or protocol is another host, even under the same name: two hosts may swap
+    // addresses.
+    const bool is_same_host = it != known_hosts.end() && hosts_[it->second].spec.address == spec.address &&
                               hosts_[it->second].spec.protocol == spec.protocol;
     if (is_same_host)
         return it->second;
@@ -68,11 +70,11 @@
     host.spec = spec;
     host.inventory_version = inventory_version_;
     if (host.state == HostState::removed)
-        transition(now, host_id, initial_state, "in the inventory", changes);
+        transition(now, host_id, initial_state, "added to the inventory", changes);
     if (spec.drain_requested)
-        transition(now, host_id, HostState::draining, "drained by the inventory", changes);
+        transition(now, host_id, HostState::draining, "drain requested in the inventory", changes);
     if (!spec.drain_requested && host.state == HostState::draining)
-        transition(now, host_id, HostState::warming_up, "no longer drained", changes);
+        transition(now, host_id, HostState::warming_up, "drain request withdrawn", changes);
 }
 
 void HostSet::drain_unlisted(Timestamp now, Changes& changes) {
@@ -80,7 +82,7 @@
         const HostStatus& host = hosts_[host_id];
         if (host.state == HostState::removed || host.inventory_version == inventory_version_)
             continue;
-        transition(now, host_id, HostState::draining, "not in the inventory", changes);
+        transition(now, host_id, HostState::draining, "removed from the inventory", changes);
         remove_if_drained(now, host_id, changes);
     }
 }
@@ -90,7 +92,7 @@
     const bool is_listed = host.inventory_version == inventory_version_;
     if (host.state != HostState::draining || host.calls_in_flight != 0 || is_listed)
         return;
-    transition(now, host_id, HostState::removed, "nothing is in hand", changes);
+    transition(now, host_id, HostState::removed, "no calls in flight", changes);
     free_ids_.push_back(host_id);
 }
 
@@ -103,7 +105,7 @@
     OutlierDetector::record_call(host, result, latency);
     if (result == CallResult::ok && host.state == HostState::ready)
         host.consecutive_ejections = 0;
-    evaluate(now, host_id, changes);
+    apply_assessment(now, host_id, changes);
     remove_if_drained(now, host_id, changes);
     if (!changes.empty())
         update_panic_mode();
@@ -126,10 +128,10 @@
         return changes;
     if (result != CallResult::ok) {
         ++host.consecutive_failures;
-        evaluate(now, host_id, changes);
+        apply_assessment(now, host_id, changes);
     } else if (host.state == HostState::suspect) {
         host.consecutive_failures = 0;
-        evaluate(now, host_id, changes);
+        apply_assessment(now, host_id, changes);
     }
     if (!changes.empty())
         update_panic_mode();
@@ -150,21 +152,21 @@
     host.state_since = now;
 }
 
-void HostSet::evaluate(Timestamp now, HostId host_id, Changes& changes) {
+void HostSet::apply_assessment(Timestamp now, HostId host_id, Changes& changes) {
     const HostState state = hosts_[host_id].state;
     switch (outlier_detector_.assess(hosts_[host_id])) {
         case HealthAssessment::too_many_consecutive_failures:
-            return eject(now, host_id, "failures in a row", changes);
+            return eject(now, host_id, "too many consecutive failures", changes);
         case HealthAssessment::failure_rate_too_high:
-            return eject(now, host_id, "most calls fail", changes);
+            return eject(now, host_id, "failure rate too high", changes);
         case HealthAssessment::failing:
             if (state == HostState::ready || state == HostState::warming_up)
-                transition(now, host_id, HostState::suspect, "failures", changes);
+                transition(now, host_id, HostState::suspect, "consecutive failures", changes);
             return;
         case HealthAssessment::succeeding:
-            // Through slow start: all processes would send to it at once otherwise.
+            // The host returns through slow start; otherwise all processes would send calls to it at once.
             if (state == HostState::suspect)
-                transition(now, host_id, HostState::warming_up, "calls go well again", changes);
+                transition(now, host_id, HostState::warming_up, "calls succeed again", changes);
             return;
         case HealthAssessment::inconclusive:
             return;
@@ -176,7 +178,7 @@
     if (host.state == HostState::ejected || host.state == HostState::draining ||
         host.state == HostState::removed)
         return;
-    // Guards against ejecting all hosts when what fails is a dependency that they share.
+    // Prevents ejecting all hosts when a dependency that they share fails.
     if (!outlier_detector_.can_eject(listed_hosts_.size(), ejected_count_)) {
         transition(now, host_id, HostState::suspect, reason, changes);
         return;
@@ -199,15 +201,15 @@
 void HostSet::end_expired_state(Timestamp now, HostId host_id, Changes& changes) {
     HostStatus& host = hosts_[host_id];
     if (host.state == HostState::ejected && now >= host.ejected_until) {
-        // Some more failures in a row eject it again: its past is not forgiven at once.
+        // The count starts at the suspect threshold, so that fewer further failures eject the host again.
         host.consecutive_failures = settings_.suspect_after_failures;
         host.failure_rate = 0.0;
         host.sample_calls = 0.0;
         host.mean_latency_s = 0.0;
-        transition(now, host_id, HostState::suspect, "its time is over", changes);
+        transition(now, host_id, HostState::suspect, "ejection time elapsed", changes);
     }
     if (host.state == HostState::warming_up && now - host.state_since >= settings_.slow_start_time)
-        transition(now, host_id, HostState::ready, "slow start is over", changes);
+        transition(now, host_id, HostState::ready, "slow start finished", changes);
 }
 
 void HostSet::eject_slow_hosts(Timestamp now, Changes& changes) {
@@ -223,7 +225,7 @@
     for (const HostId host_id : listed_hosts_) {
         const HostStatus& host = hosts_[host_id];
         if (host.state == HostState::ready && OutlierDetector::is_slow(host, *limit_s))
-            eject(now, host_id, "far slower than its peers", changes);
+            eject(now, host_id, "latency too high", changes);
     }
 }
 
@@ -235,7 +237,7 @@
         if (host.state == HostState::draining || now < host.next_health_check)
             continue;
         host.next_health_check = now + settings_.health_check_interval + Duration(random(interval + 1U));
-        // Hosts that carry calls are judged by them.
+        // Ready hosts with calls are assessed by their calls and need no health check.
         if (host.state != HostState::ready || host.sample_calls == 0.0)
             due.push_back(host_id);
     }
--- a/src/upstream_health/outlier_detector.cpp
+++ b/src/upstream_health/outlier_detector.cpp
@@ -5,15 +5,17 @@
 namespace cressledge::upstream_health {
 namespace {
 
-/// Weight of the newest call in the figures of a host, and of the newest median in the typical latency.
+/// Minimum weight of the newest call in the averages of a host.
 constexpr double min_smoothing_factor = 0.1;
+/// Weight of the newest median in the typical latency.
 constexpr double median_smoothing_factor = 0.2;
-/// Bounds the count of calls, which only weighs the first ones.
+/// Upper bound of the call count, which affects only the weights of the first calls.
 constexpr double max_sample_calls = 1e6;
-/// With fewer calls a failure rate or a mean latency says little.
+/// Number of calls below which a failure rate or a mean latency is not used.
 constexpr double min_sample_calls = 10.0;
-/// With fewer peers the median is one of those that it would judge.
+/// With fewer hosts, the median may be the latency of an outlier itself.
 constexpr std::size_t min_latency_peers = 4;
+/// Typical latency before any has been measured.
 constexpr double default_latency_s = 0.1;
 constexpr double seconds_per_microsecond = 1e-6;
 
--- a/src/upstream_health/outlier_detector.hpp
+++ b/src/upstream_health/outlier_detector.hpp
@@ -1,5 +1,5 @@
-// Passive outlier detection: which host fails, or is slow beside its peers. It assesses figures and changes no state:
-// what follows from an assessment is up to `HostSet`. No I/O.
+// Passive outlier detection: finds hosts that fail or are much slower than the others. It does not change health
+// states; `HostSet` applies the assessments. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,54 +12,55 @@
 
 namespace cressledge::upstream_health {
 
-/// What the recent calls and health checks of a host say of it.
+/// Assessment of a host by its recent calls and health checks.
 enum class HealthAssessment : std::uint8_t {
-    /// The last one succeeded.
+    /// The last call or check succeeded.
     succeeding,
-    /// Some failed in a row, too few to suspect it.
+    /// There are consecutive failures, but too few to suspect the host.
     inconclusive,
-    /// Enough failed in a row to suspect it.
+    /// There are enough consecutive failures to suspect the host.
     failing,
-    /// An outlier: too many failed in a row.
+    /// Outlier: too many consecutive failures.
     too_many_consecutive_failures,
-    /// An outlier: too large a fraction fails.
+    /// Outlier: the failure rate is too high.
     failure_rate_too_high,
 };
 
-/// Keeps the smoothed figures of hosts and tells outliers by them; holds no host itself.
+/// Updates the call statistics of hosts and finds outliers by them. It stores the typical latency but no hosts.
 class OutlierDetector {
 public:
     explicit OutlierDetector(const HealthSettings& settings) : settings_(settings) {}
 
-    /// Takes effect with the next assessment; the typical latency stays.
+    /// Replaces the settings from the next assessment on; the typical latency is kept.
     void reconfigure(const HealthSettings& settings) { settings_ = settings; }
 
-    /// Takes the result of a call into the smoothed figures of its host. `latency` counts where it succeeded.
+    /// Updates the statistics of a host with the result of a call. `latency` is used only if the call succeeded.
     static void record_call(HostStatus& host, CallResult result, Duration latency);
 
-    /// What the failures of a host, in a row and as a fraction, say of it.
+    /// Assesses a host by its consecutive failures and its failure rate.
     HealthAssessment assess(const HostStatus& host) const;
 
-    /// Takes the latencies (seconds) of all hosts that serve regularly, in any order. Returns the latency above which
-    /// a host is an outlier among them; none where there are too few to compare.
+    /// Updates the typical latency from the mean latencies (seconds) of all ready hosts, in any order. Returns the
+    /// latency above which a host is an outlier, or none if there are too few hosts to compare.
     std::optional<double> update_latency_limit_s(std::vector<double> peer_latencies_s);
 
-    /// Whether the mean latency of a host, over enough calls, is above the limit.
+    /// Whether a host has enough calls and its mean latency is above the limit.
     static bool is_slow(const HostStatus& host, double latency_limit_s);
 
-    /// Whether another of `host_count` hosts may be ejected, with `ejected_count` ejected already. One always may, of
-    /// two or more.
+    /// Whether one more of `host_count` hosts may be ejected when `ejected_count` are ejected already. Of two or more
+    /// hosts, one may always be ejected.
     bool can_eject(std::size_t host_count, std::size_t ejected_count) const;
 
-    /// Length of an ejection: doubles with each consecutive one (counted from 1) up to its bound.
+    /// Duration of the `consecutive_ejections`-th ejection (counted from 1). It doubles with each one, up to
+    /// `max_ejection_time`.
     Duration ejection_time(std::uint32_t consecutive_ejections) const;
 
-    /// Smoothed median latency of all hosts, seconds; a default before anything is known.
+    /// Smoothed median latency of the ready hosts in seconds; a default value before the first update.
     double typical_latency_s() const;
 
 private:
     HealthSettings settings_;
-    /// 0: nothing is known yet.
+    /// 0 before the first update.
     double typical_latency_s_ = 0.0;
 };
 
