--- a/tests/cressledge/host_set_fixture.hpp
+++ b/tests/cressledge/host_set_fixture.hpp
@@ -1,4 +1,4 @@
-// A HostSet and a Balancer on a manual clock.
+// Test fixture: a HostSet and a Balancer on a manual clock.
 #pragma once
 
 #include <memory>
@@ -24,7 +24,7 @@
 using upstream_health::no_host;
 using upstream_health::Random;
 
-/// Hosts "tiles-N", in two data centres by turns.
+/// Hosts "tiles-N", alternately in two data centres.
 struct HostSetFixture {
     Timestamp now{1'764'576'000'000'000};
     Random random{7, 7};
@@ -40,7 +40,7 @@
                              i % 2 == 0 ? "thies" : "plateau", "", 1.0, false});
         hosts.update(now, specs, random);
     }
-    /// Made on first use: `settings` may be changed until then.
+    /// Returns the balancer, which is created on first use; `settings` may be changed until then.
     Balancer& balancer() {
         if (!lazy_balancer) {
             lazy_balancer = std::make_unique<Balancer>(hosts, settings);
@@ -48,13 +48,14 @@
         }
         return *lazy_balancer;
     }
-    /// Tells the balancer of changes.
+    /// Refreshes the balancer if there are changes.
     void apply(const std::vector<HostStateChange>& changes) {
         if (!changes.empty())
             balancer().refresh();
     }
+    /// Applies `specs` as the new inventory.
     void update_inventory() { apply(hosts.update(now, specs, random)); }
-    /// A call from its choice to its end, on the host given or the balancer's choice. Advances the clock.
+    /// Makes one call to `fixed_host`, or to the host that the balancer picks, and advances the clock by `latency`.
     HostId call(CallResult result, Duration latency, HostId fixed_host = no_host) {
         const HostId host_id = fixed_host != no_host ? fixed_host : balancer().pick(now, 0, {}, random);
         balancer().on_call_started(now, host_id);
@@ -63,6 +64,7 @@
         apply(hosts.on_call_finished(now, host_id, result, latency));
         return host_id;
     }
+    /// Health state of a host.
     HostState state(HostId host_id) const { return hosts.at(host_id).state; }
 };
 
--- a/tests/cressledge/host_set_test.cpp
+++ b/tests/cressledge/host_set_test.cpp
@@ -1,4 +1,4 @@
-// Health states of hosts by calls, health checks and inventories, on a manual clock.
+// Health state transitions of hosts from calls, health checks and inventories, on a manual clock.
 #include <set>
 #include <string>
 #include <utility>
@@ -22,7 +22,7 @@
     CHECK(fixture.state(3) == HostState::ejected);
     CHECK(fixture.hosts.traffic_fraction(fixture.now, 3) == 0.0);
     Duration last_ejection_time{0};
-    for (int flap = 1; flap <= 6; ++flap) {  // it fails again each time that it returns
+    for (int flap = 1; flap <= 6; ++flap) {  // fails again after each ejection
         const Duration ejection_time = fixture.hosts.at(3).ejected_until - fixture.now;
         CHECK(ejection_time >= last_ejection_time);
         last_ejection_time = ejection_time;
@@ -46,7 +46,7 @@
     CHECK(fixture.state(3) == HostState::ready);
 }
 
-TEST_CASE("HostSet: ejections stay within their fraction, and in panic mode all hosts are used") {
+TEST_CASE("HostSet: ejections stay within the maximum fraction, and panic mode uses all hosts") {
     HostSetFixture fixture(10);
     for (HostId host_id = 0; host_id < 10; ++host_id)
         for (int i = 0; i < 6; ++i)
@@ -61,13 +61,13 @@
         picked.insert(fixture.balancer().pick(fixture.now, 0, {}, fixture.random));
     CHECK(fixture.balancer().candidates().size() == 10);
     CHECK(picked.size() > 7);
-    HostSetFixture slow(10);  // far slower than its peers
+    HostSetFixture slow(10);  // one host is much slower than the others
     for (int i = 0; i < 20; ++i)
         for (HostId host_id = 0; host_id < 10; ++host_id)
             slow.call(CallResult::ok, ms(host_id == 4 ? 400 : 50), host_id);
     slow.apply(slow.hosts.tick(slow.now));
     CHECK(slow.state(4) == HostState::ejected);
-    HostSetFixture same(10);  // all slow at once: none is an outlier
+    HostSetFixture same(10);  // all hosts become slow at once: none is an outlier
     for (int i = 0; i < 20; ++i)
         for (HostId host_id = 0; host_id < 10; ++host_id)
             same.call(CallResult::ok, ms(i < 10 ? 50 : 500), host_id);
@@ -76,13 +76,13 @@
         CHECK(same.state(host_id) == HostState::ready);
 }
 
-TEST_CASE("HostSet: an inventory adds, drains and replaces hosts, and a restarted host returns") {
+TEST_CASE("HostSet: an inventory adds, drains, replaces and reweights hosts; a restarted host recovers") {
     HostSetFixture fixture(4);
     fixture.balancer().on_call_started(fixture.now, 1);
-    // Two swap their addresses: both are other hosts now.
+    // Two hosts swap addresses: both entries become new hosts.
     std::swap(fixture.specs[1].address, fixture.specs[2].address);
     fixture.update_inventory();
-    CHECK(fixture.state(1) == HostState::draining);  // its call ends there
+    CHECK(fixture.state(1) == HostState::draining);  // until its call ends
     CHECK(fixture.state(2) == HostState::removed);
     CHECK(fixture.hosts.listed_hosts().size() == 4);
     std::set<std::string> addresses;
@@ -101,8 +101,8 @@
     fixture.specs[0].drain_requested = false;
     fixture.specs[0].weight = 2.0;
     fixture.update_inventory();
-    CHECK(fixture.state(0) == HostState::warming_up);  // the same host with another weight
-    // A restart: it refuses connections, then answers again, and returns through slow start.
+    CHECK(fixture.state(0) == HostState::warming_up);  // the same host with a new weight
+    // A restarting host refuses connections, then answers again and returns through slow start.
     for (int i = 0; i < 2; ++i)
         fixture.call(CallResult::connection_refused, ms(1), 3);
     CHECK(fixture.state(3) == HostState::suspect);
--- a/tests/cressledge/load_balancing_test.cpp
+++ b/tests/cressledge/load_balancing_test.cpp
@@ -1,4 +1,4 @@
-// Choice by load reports and probes, subsets by the membership table, and how evenly they spread the load.
+// Choice of hosts by load reports and probes, subsets from the membership table, and the evenness of the load.
 #include <algorithm>
 #include <cmath>
 #include <set>
@@ -24,7 +24,7 @@
     return true;
 }
 
-/// Answers stay until they are used or too old.
+/// Settings under which answers stay in the pool until they are used up or too old.
 LoadProbeSettings settings_without_removals() {
     LoadProbeSettings settings;
     settings.removals_per_call = 0.0;
@@ -32,7 +32,7 @@
     return settings;
 }
 
-std::vector<std::string> names(const char* prefix, std::size_t count) {
+std::vector<std::string> numbered_names(const char* prefix, std::size_t count) {
     std::vector<std::string> result;
     for (std::size_t i = 0; i < count; ++i)
         result.push_back(prefix + std::to_string(i));
@@ -49,42 +49,43 @@
 
 }  // namespace
 
-TEST_CASE("ProbePool: picks the quickest cold host, and the least loaded one where all are hot") {
+TEST_CASE("ProbePool: picks the cold host with the lowest latency, or the least loaded host if all are hot") {
     ProbePool pool(settings_without_removals(), 100);
     CHECK(pool.pick(Timestamp(0), any_host) == no_host);
     pool.add(Timestamp(0), 1, {2.0, 4.0, 0.9});
-    CHECK(pool.pick(Timestamp(0), any_host) == no_host);  // one answer is no choice
+    CHECK(pool.pick(Timestamp(0), any_host) == no_host);  // a single answer is not used
     pool.add(Timestamp(0), 2, {3.0, 4.0, 0.1});
     pool.add(Timestamp(0), 3, {16.0, 4.0, 0.01});
     pool.add(Timestamp(0), 4, {12.0, 4.0, 0.02});
-    // The only one below the median; that 3 is quick does not count.
+    // The only host below the median utilization; host 3 has a lower latency but is hot.
     CHECK(pool.pick(Timestamp(0), any_host) == 1);
     ProbePool hot(settings_without_removals(), 100);
     for (HostId host_id = 1; host_id < 4; ++host_id)
         hot.add(Timestamp(0), host_id, {8.0, host_id == 2 ? 4.0 : 2.0, host_id == 1 ? 0.1 : 0.5});
     CHECK(hot.pick(Timestamp(0), [](HostId host_id) { return host_id != 2; }) == 1);
-    CHECK(hot.size() == 1);  // an ineligible one is dropped, and the one picked has had its use
+    CHECK(hot.size() == 1);  // the ineligible host's answer is removed, and the picked answer is used up
 }
 
-TEST_CASE("ProbePool: counts the calls it places, drops old answers, and bounds the uses of an answer") {
+TEST_CASE(
+    "ProbePool: counts the calls that it places, discards old answers and limits the uses of an answer") {
     LoadProbeSettings settings = settings_without_removals();
-    settings.hot_quantile = 0.0;  // by load alone
+    settings.hot_quantile = 0.0;  // all hosts are hot: compared by load alone
     ProbePool pool(settings, 1'000);
     pool.add(Timestamp(0), 1, {0.0, 2.0, 0.0});
     pool.add(Timestamp(0), 2, {1.0, 2.0, 0.0});
     CHECK(pool.pick(Timestamp(0), any_host) == 1);
-    CHECK(pool.size() == 1);  // equation 1: one use with three probes a call and no removals
+    CHECK(pool.size() == 1);  // equation 1: one use per answer with three probes per call and no removals
     CHECK(pool.pick(Timestamp(0), any_host) == no_host);
     LoadProbeSettings four_uses = settings;
     four_uses.probes_per_call = 0.5;
-    ProbePool used(four_uses, 1'000);
-    used.add(Timestamp(0), 1, {0.0, 2.0, 0.0});
-    used.add(Timestamp(0), 2, {1.0, 2.0, 0.0});
+    ProbePool reused_pool(four_uses, 1'000);
+    reused_pool.add(Timestamp(0), 1, {0.0, 2.0, 0.0});
+    reused_pool.add(Timestamp(0), 2, {1.0, 2.0, 0.0});
     std::vector<int> picks(3);
     for (int i = 0; i < 8; ++i)
-        if (const auto host_id = used.pick(Timestamp(0), any_host); host_id != no_host)
+        if (const auto host_id = reused_pool.pick(Timestamp(0), any_host); host_id != no_host)
             ++picks[host_id];
-    CHECK(picks[1] >= 3);  // placed calls are counted: both get their share
+    CHECK(picks[1] >= 3);  // placed calls are counted, so both hosts are picked
     CHECK(picks[2] >= 2);
     pool.add(Timestamp(0), 1, {0.0, 2.0, 0.0});
     pool.add(Timestamp(0), 2, {1.0, 2.0, 0.0});
@@ -95,16 +96,17 @@
     CHECK(pool.size() == settings.pool_size);
     pool.remove(99);
     CHECK(pool.size() == settings.pool_size - 1);
-    double sent = 0.0;
+    double probe_count = 0.0;
     LoadProbeSettings one_third = settings;
     one_third.probes_per_call = 1.0 / 3.0;
     ProbePool rarely_probed(one_third, 10);
     for (int i = 0; i < 3'000; ++i)
-        sent += rarely_probed.take_due_probes();
-    CHECK(std::abs(sent - 1'000.0) <= 1.0);
+        probe_count += rarely_probed.take_due_probes();
+    CHECK(std::abs(probe_count - 1'000.0) <= 1.0);
 }
 
-TEST_CASE("least_loaded: the lowest utilization with this call wins; expected calls follow recent probes") {
+TEST_CASE(
+    "least_loaded: picks the lowest utilization including this call; expected calls follow recent probes") {
     CHECK(least_loaded({}) == no_host);
     CHECK(least_loaded({{1, {3.0, 4.0, 0.1}}, {2, {10.0, 16.0, 0.9}}}) == 2);
     CHECK(least_loaded({{1, {3.0, 4.0, 0.2}}, {2, {3.0, 4.0, 0.1}}}) == 2);
@@ -116,7 +118,7 @@
     CHECK(estimator.expected_calls(Timestamp(9'000)) == 0.0);
 }
 
-TEST_CASE("WeightedSampler: samples in proportion to weights, and none twice in one sample") {
+TEST_CASE("WeightedSampler: samples in proportion to weights, without duplicates in one sample") {
     WeightedSampler sampler;
     sampler.build({1.0, 2.0, 4.0, 1.0});
     Random random(4);
@@ -137,15 +139,17 @@
     CHECK(all.size() <= 4);
 }
 
-TEST_CASE("assign_subsets: even to one process, and a change of either list moves little") {
+TEST_CASE(
+    "assign_subsets: spreads processes evenly over hosts, and a change of either list moves few "
+    "assignments") {
     struct Sizes {
         int processes;
         int hosts;
         int subset;
     };
     for (const Sizes& sizes : {Sizes{50, 300, 20}, Sizes{300, 300, 20}, Sizes{120, 70, 9}, Sizes{7, 3, 20}}) {
-        const auto processes = names("p", static_cast<std::size_t>(sizes.processes));
-        const auto hosts = names("s", static_cast<std::size_t>(sizes.hosts));
+        const auto processes = numbered_names("p", static_cast<std::size_t>(sizes.processes));
+        const auto hosts = numbered_names("s", static_cast<std::size_t>(sizes.hosts));
         const auto rows = assign_subsets(processes, hosts, static_cast<std::size_t>(sizes.subset));
         std::vector<int> processes_of_host(hosts.size());
         const int row_size = std::min(sizes.subset, sizes.hosts);
@@ -183,12 +187,12 @@
         }
         return static_cast<double>(moved) / static_cast<double>(total);
     };
-    const Lists lists{names("p", 300), names("s", 300)};
-    CHECK(moved_fraction(lists, {names("p", 301), names("s", 300)}) < 0.1);
-    CHECK(moved_fraction(lists, {names("p", 300), names("s", 301)}) < 0.1);
+    const Lists lists{numbered_names("p", 300), numbered_names("s", 300)};
+    CHECK(moved_fraction(lists, {numbered_names("p", 301), numbered_names("s", 300)}) < 0.1);
+    CHECK(moved_fraction(lists, {numbered_names("p", 300), numbered_names("s", 301)}) < 0.1);
 }
 
-TEST_CASE("parse_load_report: a report is taken whole or not at all") {
+TEST_CASE("parse_load_report: a report with any invalid entry is rejected as a whole") {
     const auto report = parse_load_report(
         "TEXT named_metrics.in_flight=12, cpu_utilization=0.3,named_metrics.capacity=8, "
         "named_metrics.latency_ms=31.5");
@@ -210,8 +214,9 @@
 }
 
 TEST_CASE(
-    "Balancer: probe-pool goes by load reports, not to a host that fails fast, and without reports by two "
-    "choices") {
+    "Balancer: probe-pool follows load reports, avoids a host that fails fast, and without reports uses "
+    "power "
+    "of two choices") {
     Random random(5);
     HostSet hosts;
     hosts.update(Timestamp(0), host_specs(20), random);
@@ -219,7 +224,7 @@
     settings.policy = BalancingPolicy::probe_pool;
     Balancer balancer(hosts, settings);
     balancer.refresh();
-    CHECK(balancer.pick(Timestamp(1), 0, {}, random) != no_host);  // no reports: two choices
+    CHECK(balancer.pick(Timestamp(1), 0, {}, random) != no_host);  // no reports: power of two choices
     balancer.on_load_report(Timestamp(1), 3, {1.0, 8.0, 0.05});
     balancer.on_load_report(Timestamp(1), 4, {7.0, 8.0, 0.05});
     balancer.on_load_report(Timestamp(1), 5, {5.0, 8.0, 0.05});
@@ -227,7 +232,7 @@
     balancer.on_load_report(Timestamp(2), 3, {0.0, 8.0, 0.05});
     balancer.on_call_started(Timestamp(2), 3);
     balancer.on_call_finished(Timestamp(3), 3, CallResult::error,
-                              Duration(100));  // idle, as it fails at once
+                              Duration(100));  // idle because it fails at once
     hosts.on_call_finished(Timestamp(3), 3, CallResult::error, Duration(100));
     CHECK(balancer.pick(Timestamp(3), 0, {}, random) != 3);
     std::vector<HostId> targets;
@@ -239,8 +244,8 @@
     CHECK(probes == 30);
 }
 
-TEST_CASE("Balancer: processes of one fleet share the hosts out evenly, each computing its own subset") {
-    const auto processes = names("p", 12);
+TEST_CASE("Balancer: the subsets that the processes of a fleet compute for themselves use the hosts evenly") {
+    const auto processes = numbered_names("p", 12);
     std::vector<int> processes_of_host(30);
     for (const std::string& process : processes) {
         Random random(5);
@@ -259,22 +264,23 @@
     }
     const auto [min_processes, max_processes] =
         std::minmax_element(processes_of_host.begin(), processes_of_host.end());
-    CHECK((*min_processes >= 1 && *max_processes <= 3));  // 2 each, to one
+    CHECK((*min_processes >= 1 && *max_processes <= 3));  // the mean is 2 processes per host
 }
 
 TEST_CASE(
-    "emulator: probe-first spreads load as evenly as perfect knowledge, and reports a second old make a "
-    "herd") {
-    emulator::LoadSpreadScenario experiment;
-    experiment.processes = 60;
-    experiment.servers = 60;
-    experiment.server_profile.slots = 16;
-    experiment.seconds = 1.0;
-    experiment.warm_up_s = 1.0;
-    experiment.load = 0.9;
-    const auto run_with = [&experiment](emulator::BalancingChoice choice) {
-        experiment.choice = choice;
-        return emulator::emulate_load_spread(experiment);
+    "emulator: probe-first spreads load nearly as evenly as perfect knowledge, and reports a second old "
+    "cause "
+    "herding") {
+    emulator::LoadSpreadScenario scenario;
+    scenario.processes = 60;
+    scenario.servers = 60;
+    scenario.server_profile.slots = 16;
+    scenario.seconds = 1.0;
+    scenario.warm_up_s = 1.0;
+    scenario.load = 0.9;
+    const auto run_with = [&scenario](emulator::BalancingChoice choice) {
+        scenario.choice = choice;
+        return emulator::emulate_load_spread(scenario);
     };
     const auto ideal = run_with(emulator::BalancingChoice::join_shortest_queue);
     const auto probed = run_with(emulator::BalancingChoice::probe_first);
@@ -289,5 +295,5 @@
     CHECK(pool.imbalance.peak_to_mean_p99 < two_choices.imbalance.peak_to_mean_p99);
     const auto again = run_with(emulator::BalancingChoice::probe_pool);
     CHECK((again.imbalance.peak_to_mean_p99 == pool.imbalance.peak_to_mean_p99 &&
-           again.p99_ms == pool.p99_ms));  // one seed, one run
+           again.p99_ms == pool.p99_ms));  // the same seed gives the same result
 }
--- a/tests/cressledge/retry_policy_test.cpp
+++ b/tests/cressledge/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Retry budget, backoff, attempt deadlines, hedging and circuit breaker.
+// Tests of the retry budget, backoff, attempt deadlines, hedging and the circuit breaker.
 #include "retry/retry_policy.hpp"
 
 #include <algorithm>
--- a/tests/cressledge/slow_start_test.cpp
+++ b/tests/cressledge/slow_start_test.cpp
@@ -1,5 +1,5 @@
-// Slow start of a host bounds the sum of what all processes send: first the limiters of many processes on a manual clock,
-// then 30 real processes with joins, deaths and a network partition among them.
+// Fleet-wide slow start limits the calls that all processes together send to a new host. Tests the limiters of many
+// processes on a manual clock, then 30 real processes with joins, crashes and a network partition.
 #include <algorithm>
 #include <cmath>
 #include <csignal>
@@ -24,21 +24,23 @@
 
 constexpr Duration clock_step(5'000);
 
-/// The most calls that any window had beyond the allowed number and what chance adds to it; at or below 0 none had.
-double worst_excess(const SlowStartLimiter& limiter, Timestamp announced_at,
-                    const std::vector<Timestamp>& calls, Duration window) {
-    double worst = -1e9;
+/// Largest excess of calls in any window over the allowed number N plus the tolerance for chance, 2 sqrt(N) + 2. It
+/// is at most 0 if every window is within the limit.
+double largest_excess(const SlowStartLimiter& limiter, Timestamp announced_at,
+                      const std::vector<Timestamp>& calls, Duration window) {
+    double max_excess = -1e9;
     std::size_t first = 0;
     for (std::size_t last = 0; last < calls.size(); ++last) {
         while (calls[last] - calls[first] > window)
             ++first;
         const double allowed = limiter.allowed_calls(announced_at, calls[last] - window, calls[last]);
-        worst = std::max(worst,
-                         static_cast<double>(last - first + 1) - (allowed + 2.0 * std::sqrt(allowed) + 2.0));
+        max_excess = std::max(
+            max_excess, static_cast<double>(last - first + 1) - (allowed + 2.0 * std::sqrt(allowed) + 2.0));
     }
-    return worst;
+    return max_excess;
 }
 
+/// A simulated process and its limiter.
 struct Process {
     SlowStartLimiter limiter;
     upstream_health::Random random;
@@ -47,7 +49,7 @@
         : limiter(settings), random(seed, stream) {}
 };
 
-/// Processes that all call one host in slow start as often as they are allowed, on a manual clock.
+/// Simulates processes that call one host in slow start as often as they are allowed, on a manual clock.
 struct SlowStartSimulation {
     SlowStartSettings settings;
     upstream_health::HostSpec spec;
@@ -63,14 +65,14 @@
             processes.emplace_back(settings, seed, i);
     }
     static std::string name(std::size_t i) { return "p" + std::to_string(100 + i); }
-    /// Tells one process which ones live.
+    /// Sets the live processes that one process knows.
     void update_peers(std::size_t process, const std::vector<std::size_t>& peers) {
         std::vector<std::string> names;
         for (const std::size_t i : peers)
             names.push_back(name(i));
         processes[process].limiter.update_peers(now, names, name(process));
     }
-    std::vector<std::size_t> living() const {
+    std::vector<std::size_t> live_processes() const {
         std::vector<std::size_t> indices;
         for (std::size_t i = 0; i < processes.size(); ++i)
             if (processes[i].is_alive)
@@ -78,16 +80,16 @@
         return indices;
     }
     void update_all_peers() {
-        const auto alive = living();
-        for (const std::size_t i : alive)
-            update_peers(i, alive);
+        const auto live = live_processes();
+        for (const std::size_t i : live)
+            update_peers(i, live);
     }
     void begin() {
         for (Process& process : processes)
             process.limiter.begin(0, spec, announced_at, process.random);
     }
     void run(Duration length) {
-        std::vector<std::size_t> order = living();
+        std::vector<std::size_t> order = live_processes();
         for (const Timestamp end = now + length; now < end; now += clock_step) {
             for (std::size_t i = order.size(); i > 1; --i)
                 std::swap(order[i - 1], order[random(static_cast<std::uint32_t>(i))]);
@@ -103,7 +105,9 @@
     double allowed_calls() const {
         return processes[0].limiter.allowed_calls(announced_at, announced_at, now);
     }
-    double excess() const { return worst_excess(processes[0].limiter, announced_at, calls, settings.window); }
+    double excess() const {
+        return largest_excess(processes[0].limiter, announced_at, calls, settings.window);
+    }
 };
 
 constexpr std::size_t process_counts[] = {1, 10, 20, 30};
@@ -111,32 +115,33 @@
 }  // namespace
 
 TEST_CASE(
-    "SlowStartLimiter: calls of 1, 10, 20 and 30 processes stay within the sum allowed, over 20 seeds") {
+    "SlowStartLimiter: the sum of the calls of 1, 10, 20 and 30 processes stays within the limit, over 20 "
+    "seeds") {
     for (const std::size_t count : process_counts) {
-        double worst = -1e9;
+        double max_excess = -1e9;
         double min_utilization = 1e9;
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             SlowStartSimulation simulation(count, seed);
             simulation.update_all_peers();
             simulation.begin();
             simulation.run(simulation.settings.warm_up_time);
-            worst = std::max(worst, simulation.excess());
+            max_excess = std::max(max_excess, simulation.excess());
             min_utilization = std::min(
                 min_utilization, static_cast<double>(simulation.calls.size()) / simulation.allowed_calls());
         }
-        // One process alone counts the configured 32: it cannot know that nobody else sends.
+        // A single process assumes the configured 32, because it cannot know that no other process sends calls.
         std::printf(
-            "slow start: %2zu processes, 20 seeds: at most %.1f calls of a window against N + 2 root N + 2; "
-            "used "
-            "%.0f%% at least\n",
-            count, worst, 100.0 * min_utilization);
-        CHECK(worst <= 0.0);
+            "slow start: %2zu processes, 20 seeds: largest excess of a window over "
+            "N + 2 sqrt(N) + 2: %.1f calls; at least %.0f%% of the allowed calls used\n",
+            count, max_excess, 100.0 * min_utilization);
+        CHECK(max_excess <= 0.0);
         if (count > 1)
             CHECK(min_utilization > 0.9);
     }
 }
 
-TEST_CASE("SlowStartLimiter: processes that know of no other draw their rounding, and the sum holds") {
+TEST_CASE(
+    "SlowStartLimiter: processes without known peers draw their rounding offsets, and the limit holds") {
     for (const std::size_t count : process_counts)
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             SlowStartSimulation simulation(count, seed);
@@ -146,7 +151,7 @@
         }
 }
 
-TEST_CASE("Balancer: a load report draws no call beyond slow start, whatever the policy") {
+TEST_CASE("Balancer: load reports do not attract calls beyond the slow start limit under any policy") {
     for (const load_balancing::BalancingPolicy policy :
          {load_balancing::BalancingPolicy::probe_first, load_balancing::BalancingPolicy::probe_pool,
           load_balancing::BalancingPolicy::power_of_two_choices}) {
@@ -165,18 +170,18 @@
         settings.slow_start.assumed_processes = 1.0;
         load_balancing::Balancer balancer(hosts, settings);
         balancer.refresh();
-        const upstream_health::HostId newcomer = hosts.listed_hosts().back();
-        REQUIRE(hosts.at(newcomer).state == upstream_health::HostState::warming_up);
+        const upstream_health::HostId cold_host = hosts.listed_hosts().back();
+        REQUIRE(hosts.at(cold_host).state == upstream_health::HostState::warming_up);
         std::size_t calls = 0;
         std::vector<upstream_health::HostId> targets;
         for (Timestamp now = start; now < start + settings.slow_start.warm_up_time; now += clock_step) {
             balancer.pick_probe_targets(random, targets);
             load_balancing::LoadReport idle;
             idle.capacity = 100.0;
-            // Without an effective load it may not be chosen by its report.
-            if (!balancer.effective_load(now, newcomer, idle))
+            // Without an effective load, the host must not be chosen by its load report.
+            if (!balancer.effective_load(now, cold_host, idle))
                 continue;
-            balancer.on_call_started(now, newcomer);
+            balancer.on_call_started(now, cold_host);
             ++calls;
         }
         const double allowed = SlowStartLimiter(settings.slow_start)
@@ -186,31 +191,31 @@
     }
 }
 
-TEST_CASE("SlowStartLimiter: the sum holds over joins, deaths and a partition") {
+TEST_CASE("SlowStartLimiter: the limit holds over joins, crashes and a partition") {
     for (const std::size_t count : {10U, 20U, 30U})
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             SlowStartSimulation simulation(count, seed);
             simulation.update_all_peers();
             simulation.begin();
             simulation.run(Duration(2'000'000));
-            // A third dies, which the others know.
+            // Up to a third of the processes crash, and the others know it.
             for (std::size_t i = 0; i < count / 3; ++i)
                 simulation.processes[simulation.random(static_cast<std::uint32_t>(count))].is_alive = false;
             simulation.processes[0].is_alive = true;
             simulation.processes[count - 1].is_alive = true;
             simulation.update_all_peers();
             simulation.run(Duration(2'000'000));
-            // The living fall into halves that do not hear each other, and all go on sending.
-            const auto alive = simulation.living();
-            const auto middle = alive.begin() + static_cast<std::ptrdiff_t>(alive.size() / 2);
-            const std::vector<std::size_t> first_half(alive.begin(), middle);
-            const std::vector<std::size_t> second_half(middle, alive.end());
+            // A partition splits the live processes into halves; both continue to send calls.
+            const auto live = simulation.live_processes();
+            const auto middle = live.begin() + static_cast<std::ptrdiff_t>(live.size() / 2);
+            const std::vector<std::size_t> first_half(live.begin(), middle);
+            const std::vector<std::size_t> second_half(middle, live.end());
             for (const std::size_t i : first_half)
                 simulation.update_peers(i, first_half);
             for (const std::size_t i : second_half)
                 simulation.update_peers(i, second_half);
             simulation.run(Duration(2'000'000));
-            // Five join, of which the others hear 100 ms later.
+            // Five processes join; the others learn of them 100 ms later.
             for (std::size_t i = 0; i < 5; ++i) {
                 Process& process = simulation.processes.emplace_back(simulation.settings, seed, count + i);
                 process.limiter.begin(0, simulation.spec, simulation.now, process.random);
@@ -223,7 +228,7 @@
 }
 
 TEST_CASE(
-    "slow start: 30 real processes bound their calls to a joining host over joins, deaths and a partition") {
+    "slow start: 30 real processes limit their calls to a new host over joins, crashes and a partition") {
     TestLoop loop;
     char name[] = "/tmp/cressledge-ramp-XXXXXX";
     const std::string directory = mkdtemp(name);
@@ -268,9 +273,9 @@
     update_targets();
     driver.start();
     const auto run_for = [&](Duration length) { cluster.run(wall_clock_now() + length); };
-    // Each process tells its balancer of the others, as it does every second.
+    // Each process updates the peers of its balancer every second.
     run_for(Duration(1'500'000));
-    // The fourth host is announced to all at once.
+    // The fourth host is added to the inventory of all processes at once.
     std::ofstream(directory + "/servers.csv") << inventory(4);
     const Timestamp announced_at = wall_clock_now();
     for (const std::size_t process : cluster.running_processes())
@@ -288,13 +293,13 @@
         cluster.send_signal(process, SIGKILL);
     update_targets();
     count_calls_for(Duration(1'000'000));
-    std::set<std::string> half;
+    std::set<std::string> partitioned_ids;
     for (std::size_t i = 0; i < 15; ++i)
-        half.insert(cluster.id(i));
-    cluster.relay().partition(half);
+        partitioned_ids.insert(cluster.id(i));
+    cluster.relay().partition(partitioned_ids);
     count_calls_for(Duration(1'500'000));
     cluster.relay().heal();
-    // They know of no other process yet.
+    // The restarted processes do not know any other process yet.
     for (const std::size_t process : {7U, 8U, 9U})
         cluster.start(process);
     count_calls_for(Duration(2'000'000));
@@ -302,14 +307,13 @@
     const SlowStartLimiter limiter(settings);
     const double allowed =
         limiter.allowed_calls(announced_at, announced_at, announced_at + settings.warm_up_time);
-    const double excess = worst_excess(limiter, announced_at, calls, settings.window);
+    const double excess = largest_excess(limiter, announced_at, calls, settings.window);
     std::printf(
-        "slow start: 30 real processes: %zu calls of %.0f allowed; the fullest window %.1f against N + 2 "
-        "root N + "
-        "2\n",
+        "slow start: 30 real processes: %zu calls of %.0f allowed; largest excess of a window over "
+        "N + 2 sqrt(N) + 2: %.1f calls\n",
         calls.size(), allowed, excess);
     CHECK(excess <= 0.0);
-    // It is called at all: how much depends on the machine.
+    // The host does get calls; how many depends on the speed of the machine.
     CHECK(static_cast<double>(calls.size()) > 0.15 * allowed);
     CHECK(cluster.crashes() == 0);
 }
