--- a/src/rollout/canary_analysis.cpp
+++ b/src/rollout/canary_analysis.cpp
@@ -13,11 +13,12 @@
 namespace {
 
 constexpr double tail_quantile = 0.99;
-/// The Mann-Whitney effect of two groups of which neither is slower.
+/// Mann-Whitney effect of two groups with equal latencies.
 constexpr double neutral_effect = 0.5;
-constexpr std::size_t max_reason_length = 200;
+/// Size of the text buffer of a reason, in bytes.
+constexpr std::size_t max_reason_size = 200;
 
-/// Reads one rate from the metrics of a process.
+/// Extracts one event rate from the metrics of a request class.
 using RateReader = std::function<EventRate(const ClassMetrics&)>;
 
 const ClassMetrics& metrics_of(const MetricsByClass& metrics, const std::string& class_name) {
@@ -35,21 +36,21 @@
     return std::accumulate(counts.begin() + static_cast<std::ptrdiff_t>(bounded), counts.end(), 0.0);
 }
 
-MetricsByClass sum_of_windows(const std::vector<ProcessMetrics>& processes) {
+MetricsByClass sum_windows(const std::vector<ProcessMetrics>& processes) {
     MetricsByClass sum;
     for (const ProcessMetrics& process : processes)
         sum += process.window;
     return sum;
 }
 
-/// Compares one request class, metric by metric.
+/// Compares canary and baseline in the metrics of one request class.
 class ClassComparer {
 public:
     ClassComparer(const std::string& class_name, const std::vector<ProcessMetrics>& canary,
                   const std::vector<ProcessMetrics>& baseline, const Tolerances& tolerances)
         : class_name_(class_name), canary_(canary), baseline_(baseline), tolerances_(tolerances) {}
 
-    /// Appends a comparison where both groups have trials.
+    /// Compares one metric and appends the result; does nothing if either group has no trials.
     void compare(const char* metric, RateType type, double tolerance, const RateReader& read_rate,
                  std::vector<ClassComparison>& comparisons) const {
         const ProcessGroup canary = group(canary_, read_rate);
@@ -78,9 +79,9 @@
     }
 
     bool exceeds_tolerance(const ClassComparison& comparison) const {
-        const double difference_of_values = comparison.canary_value - comparison.baseline_value;
+        const double excess = comparison.canary_value - comparison.baseline_value;
         const double significance_level = tolerances_.significance_level / tolerances_.planned_comparisons;
-        return difference_of_values > comparison.tolerance && comparison.p_value < significance_level;
+        return excess > comparison.tolerance && comparison.p_value < significance_level;
     }
 
     ComparisonOutcome outcome_of(double p_value) const {
@@ -119,7 +120,7 @@
         comparisons);
 }
 
-/// `baseline_counts` are the latencies of the whole baseline.
+/// Compares the latencies. `baseline_counts` is the latency histogram of all baseline processes together.
 void compare_latencies(const ClassComparer& comparer, const LatencyCounts& baseline_counts,
                        const Tolerances& tolerances, std::vector<ClassComparison>& comparisons) {
     const std::size_t tail_start = quantile_bucket(baseline_counts, tail_quantile) + 1;
@@ -129,7 +130,7 @@
             return EventRate{count_from_bucket(metrics.latency_counts, tail_start), served_count(metrics)};
         },
         comparisons);
-    // The effect of each process against the whole baseline, taken as a rate of events.
+    // The Mann-Whitney effect of each process against all of the baseline, treated as an event rate.
     comparer.compare(
         "time", RateType::ranks, tolerances.slower_probability - neutral_effect,
         [&baseline_counts](const ClassMetrics& metrics) {
@@ -139,17 +140,17 @@
         comparisons);
 }
 
-/// Why there are too few data for a verdict; empty where there are enough.
-std::string missing_data(const CanaryAnalysis& analysis, std::size_t baseline_processes,
-                         const Tolerances& tolerances) {
+/// Returns why there is too little data for a verdict; empty if there is enough.
+std::string describe_missing_data(const CanaryAnalysis& analysis, std::size_t baseline_processes,
+                                  const Tolerances& tolerances) {
     if (baseline_processes < tolerances.min_baseline_processes)
         return "too few unchanged processes to compare with";
     double canary_requests = 0.0;
     for (const auto& [class_name, metrics] : analysis.canary)
         canary_requests += metrics.total();
     if (canary_requests < tolerances.min_requests)
-        return "too little data: " + std::to_string(static_cast<long>(canary_requests)) +
-               " requests of the changed processes";
+        return "too few requests: " + std::to_string(static_cast<long>(canary_requests)) +
+               " to the changed processes";
     return "";
 }
 
@@ -159,7 +160,7 @@
     return comparison.p_value < other.p_value;
 }
 
-/// The comparison that decides the verdict; null where all are acceptable.
+/// Returns the comparison that decides the verdict; null if all are acceptable.
 const ClassComparison* find_worst(const std::vector<ClassComparison>& comparisons) {
     const ClassComparison* worst = nullptr;
     for (const ClassComparison& comparison : comparisons) {
@@ -172,9 +173,9 @@
 }
 
 std::string describe(const ClassComparison& comparison) {
-    std::array<char, max_reason_length> text{};
+    std::array<char, max_reason_size> text{};
     std::snprintf(text.data(), text.size(),
-                  "%s of %s: %.4f against %.4f of the unchanged, margin %.4f, p %.2g",
+                  "%s of %s: changed %.4f, unchanged %.4f, margin %.4f, p-value %.2g",
                   comparison.metric.c_str(), comparison.class_name.c_str(), comparison.canary_value,
                   comparison.baseline_value, comparison.tolerance, comparison.p_value);
     return text.data();
@@ -191,8 +192,8 @@
     analysis.reason = describe(*worst);
 }
 
-/// Classes that both groups were asked for.
-std::set<std::string> comparable_classes(const CanaryAnalysis& analysis) {
+/// Returns the request classes in which both groups received requests.
+std::set<std::string> find_comparable_classes(const CanaryAnalysis& analysis) {
     std::set<std::string> class_names;
     for (const auto& [class_name, metrics] : analysis.canary) {
         if (metrics.total() > 0.0 && metrics_of(analysis.baseline, class_name).total() > 0.0)
@@ -211,12 +212,12 @@
 CanaryAnalysis analyze_canary(const std::vector<ProcessMetrics>& canary,
                               const std::vector<ProcessMetrics>& baseline, const Tolerances& tolerances) {
     CanaryAnalysis analysis;
-    analysis.canary = sum_of_windows(canary);
-    analysis.baseline = sum_of_windows(baseline);
-    analysis.reason = missing_data(analysis, baseline.size(), tolerances);
+    analysis.canary = sum_windows(canary);
+    analysis.baseline = sum_windows(baseline);
+    analysis.reason = describe_missing_data(analysis, baseline.size(), tolerances);
     if (!analysis.reason.empty())
         return analysis;
-    for (const std::string& class_name : comparable_classes(analysis)) {
+    for (const std::string& class_name : find_comparable_classes(analysis)) {
         const ClassComparer comparer(class_name, canary, baseline, tolerances);
         const LatencyCounts& baseline_counts = metrics_of(analysis.baseline, class_name).latency_counts;
         compare_outcomes(comparer, tolerances, analysis.comparisons);
--- a/src/rollout/canary_statistics.cpp
+++ b/src/rollout/canary_statistics.cpp
@@ -8,19 +8,19 @@
 namespace cressledge::rollout {
 namespace {
 
-/// Of a uniform rank; with ties it is less.
+/// Variance of a rank that is uniform on 0 to 1; ties make it smaller.
 constexpr double uniform_rank_variance = 1.0 / 12.0;
-/// Smallest variances of log odds between processes, where events are too few to show any: standard deviations of 0.4
-/// and 0.1.
+/// Smallest assumed variances of the log odds between processes, for event counts too small to estimate them. They
+/// correspond to standard deviations of 0.4 and 0.1.
 constexpr double min_process_variance = 0.16;
 constexpr double min_process_rank_variance = 0.01;
-/// Keeps a probability off 0 and 1, where the distributions are not defined.
+/// Keeps a probability away from 0 and 1, where the distributions are not defined.
 constexpr double min_probability = 1e-12;
-/// Integration over a standard normal distribution: steps to each side of its mean, as far as five standard deviations.
+/// Integration over a standard normal distribution: steps to each side of its mean, up to five standard deviations.
 constexpr int integration_steps = 40;
 constexpr double integration_step = 0.125;
 
-/// Estimate of log odds and its variance.
+/// An estimate of log odds and the variance of that estimate.
 struct LogOdds {
     double mean = 0.0;
     double variance = 0.0;
@@ -30,7 +30,7 @@
     return boost::math::cdf(boost::math::complement(boost::math::normal(), z));
 }
 
-/// P(X >= events) for X binomial.
+/// Returns P(X >= events) for a binomial X.
 double binomial_upper_tail(double trials, double probability, double events) {
     if (events <= 0.0)
         return 1.0;
@@ -43,7 +43,7 @@
     return 1.0 / (1.0 + std::exp(-log_odds));
 }
 
-/// The variance of one observation over that of an event with the same mean.
+/// Returns the variance of one observation divided by that of an event with the same mean.
 double relative_variance(RateType type) {
     return type == RateType::ranks ? 4.0 * uniform_rank_variance : 1.0;
 }
@@ -63,7 +63,8 @@
     return estimate_log_odds(sum, unit_variance);
 }
 
-/// Variance of log odds between processes about `centre`, beyond that of their finite trials (DerSimonian and Laird).
+/// Returns the variance of the log odds between processes around `centre`, without the sampling variance of their
+/// trials (DerSimonian and Laird).
 double variance_between_processes(const std::vector<EventRate>& rates, const LogOdds& centre,
                                   double unit_variance) {
     const double proportion = logistic(centre.mean);
@@ -88,51 +89,52 @@
     return std::max(0.0, (weighted_squares - (process_count - 1.0)) / scale);
 }
 
-/// What the baseline says of a process: its log odds now and before, and how processes differ.
+/// Model of a baseline process: its log odds in the window and before it, and the variance between processes.
 struct BaselineModel {
-    LogOdds now;
-    LogOdds before;
+    LogOdds window_log_odds;
+    LogOdds prior_log_odds;
     bool has_prior = false;
-    double between_variance = 0.0;
+    double process_variance = 0.0;
 };
 
 BaselineModel model_baseline(const ProcessGroup& baseline, RateType type) {
     const double unit_variance = relative_variance(type);
     BaselineModel model;
-    model.now = pooled_log_odds(baseline.window, unit_variance);
-    model.before = pooled_log_odds(baseline.prior, unit_variance);
+    model.window_log_odds = pooled_log_odds(baseline.window, unit_variance);
+    model.prior_log_odds = pooled_log_odds(baseline.prior, unit_variance);
     model.has_prior = std::any_of(baseline.prior.begin(), baseline.prior.end(),
                                   [](const EventRate& rate) { return rate.trials > 0.0; });
     const double min_variance = type == RateType::ranks ? min_process_rank_variance : min_process_variance;
-    model.between_variance =
-        std::max(min_variance, variance_between_processes(baseline.window, model.now, unit_variance));
+    model.process_variance = std::max(
+        min_variance, variance_between_processes(baseline.window, model.window_log_odds, unit_variance));
     if (model.has_prior)
-        model.between_variance = std::max(
-            model.between_variance, variance_between_processes(baseline.prior, model.before, unit_variance));
+        model.process_variance =
+            std::max(model.process_variance,
+                     variance_between_processes(baseline.prior, model.prior_log_odds, unit_variance));
     return model;
 }
 
-/// Log odds to be expected of a process that had the rate `prior` before its change: its own, shrunk to the baseline's
-/// and moved by as much as the baseline has moved since.
-LogOdds expect_process(const BaselineModel& model, const EventRate& prior, RateType type) {
-    const double between = model.between_variance;
+/// Returns the expected log odds of a process that had the rate `prior` before its change: its own log odds, shrunk
+/// towards those of the baseline and shifted by the change of the baseline since.
+LogOdds expected_process_log_odds(const BaselineModel& model, const EventRate& prior, RateType type) {
+    const double between = model.process_variance;
     if (!model.has_prior || prior.trials <= 0.0)
-        return {model.now.mean, between};
+        return {model.window_log_odds.mean, between};
     const LogOdds own = estimate_log_odds(prior, relative_variance(type));
     const double variance = 1.0 / (1.0 / between + 1.0 / own.variance);
-    const double shrunk = variance * (model.before.mean / between + own.mean / own.variance);
-    return {shrunk + model.now.mean - model.before.mean, variance};
+    const double shrunk = variance * (model.prior_log_odds.mean / between + own.mean / own.variance);
+    return {shrunk + model.window_log_odds.mean - model.prior_log_odds.mean, variance};
 }
 
-/// Log odds to be expected of a group, each process weighted by its trials.
-LogOdds expect_group(const BaselineModel& model, const ProcessGroup& canary, RateType type) {
+/// Returns the expected log odds of a group, with each process weighted by its trials.
+LogOdds expected_group_log_odds(const BaselineModel& model, const ProcessGroup& canary, RateType type) {
     LogOdds expected;
-    // The variance of the baseline's mean is part of the pooled test of events; counted again here, where the baseline
-    // had no event, it would leave nothing unexpected.
+    // The pooled test of events already includes the variance of the baseline's mean. Including it here too would make
+    // any result look expected if the baseline had no event.
     if (type == RateType::ranks)
-        expected.variance = model.now.variance;
+        expected.variance = model.window_log_odds.variance;
     for (std::size_t i = 0; i < canary.window.size(); ++i) {
-        const LogOdds process = expect_process(model, canary.prior[i], type);
+        const LogOdds process = expected_process_log_odds(model, canary.prior[i], type);
         const double weight = canary.window[i].trials / canary.trials;
         expected.mean += weight * process.mean;
         expected.variance += weight * weight * process.variance;
@@ -140,7 +142,7 @@
     return expected;
 }
 
-/// Upper tail of a binomial whose log odds are normal.
+/// Returns the upper tail of a binomial distribution whose log odds are normally distributed.
 double uncertain_binomial_upper_tail(const ProcessGroup& canary, const LogOdds& expected) {
     double p_value = 0.0;
     double weight_sum = 0.0;
@@ -156,13 +158,13 @@
 
 }  // namespace
 
-void ProcessGroup::add(const EventRate& in_window, const EventRate& before) {
-    if (in_window.trials <= 0.0)
+void ProcessGroup::add(const EventRate& window_rate, const EventRate& prior_rate) {
+    if (window_rate.trials <= 0.0)
         return;
-    window.push_back(in_window);
-    prior.push_back(before);
-    events += in_window.events;
-    trials += in_window.trials;
+    window.push_back(window_rate);
+    prior.push_back(prior_rate);
+    events += window_rate.events;
+    trials += window_rate.trials;
 }
 
 double pooled_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateType type) {
@@ -175,7 +177,7 @@
 }
 
 double process_p_value(const ProcessGroup& canary, const ProcessGroup& baseline, RateType type) {
-    const LogOdds expected = expect_group(model_baseline(baseline, type), canary, type);
+    const LogOdds expected = expected_group_log_odds(model_baseline(baseline, type), canary, type);
     if (type == RateType::events)
         return uncertain_binomial_upper_tail(canary, expected);
     const LogOdds observed = estimate_log_odds({canary.events, canary.trials}, relative_variance(type));
--- a/src/rollout/class_metrics.cpp
+++ b/src/rollout/class_metrics.cpp
@@ -33,8 +33,8 @@
 
 ClassMetrics sum_over_classes(const MetricsByClass& metrics) {
     ClassMetrics sum;
-    for (const auto& [class_name, of_class] : metrics)
-        sum += of_class;
+    for (const auto& [class_name, class_metrics] : metrics)
+        sum += class_metrics;
     return sum;
 }
 
@@ -44,9 +44,9 @@
         const auto found = result.find(class_name);
         if (found == result.end())
             return std::nullopt;
-        ClassMetrics& counted = found->second;
-        counted -= metrics;
-        if (counted.ok < 0.0 || counted.shed < 0.0 || counted.errors < 0.0 || counted.late < 0.0)
+        ClassMetrics& change = found->second;
+        change -= metrics;
+        if (change.ok < 0.0 || change.shed < 0.0 || change.errors < 0.0 || change.late < 0.0)
             return std::nullopt;
     }
     return result;
--- a/src/rollout/crash_monitor.cpp
+++ b/src/rollout/crash_monitor.cpp
@@ -6,10 +6,12 @@
 namespace cressledge::rollout {
 namespace {
 
+/// p-value below which the crashes of the canary are an excess.
 constexpr double excess_significance_level = 0.0003;
+/// p-value below which a new crash of the canary is suspect.
 constexpr double max_suspect_p_value = 0.2;
 constexpr double min_excess_crashes = 2.0;
-/// Keeps the share of the exposure off 0 and away from a division by 0.
+/// Keeps the exposure fraction above 0 and avoids a division by 0.
 constexpr double min_exposure = 1e-9;
 
 double to_seconds(Duration duration) {
@@ -22,7 +24,7 @@
     bake_starts_.clear();
     suspect_until_ = Timestamp(0);
     last_canary_crash_at_ = Timestamp(0);
-    known_canary_crashes_ = 0.0;
+    assessed_canary_crashes_ = 0.0;
 }
 
 void CrashMonitor::observe(Timestamp now, const RolloutState& state, const Observations& observations) {
@@ -77,11 +79,11 @@
     const double p_value = excess_p_value(canary);
     if (canary.crashes >= min_excess_crashes && p_value < excess_significance_level)
         return CrashAssessment::excess;
-    if (canary.crashes > known_canary_crashes_) {
+    if (canary.crashes > assessed_canary_crashes_) {
         const Duration time_to_crash = now - std::max(bake_started_at, last_canary_crash_at_);
         if (p_value < max_suspect_p_value)
             suspect_until_ = now + time_to_crash * 3 / 2;
-        known_canary_crashes_ = canary.crashes;
+        assessed_canary_crashes_ = canary.crashes;
         last_canary_crash_at_ = now;
     }
     return now < suspect_until_ ? CrashAssessment::suspect : CrashAssessment::none;
--- a/src/rollout/crash_monitor.hpp
+++ b/src/rollout/crash_monitor.hpp
@@ -1,4 +1,4 @@
-/// Whether the processes with the change crash more often than the others. No I/O.
+/// Detects whether the processes with the change crash more often than the others. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,35 +13,35 @@
 
 /// Whether the updated processes crash more often than the others.
 enum class CrashAssessment : std::uint8_t {
-    /// No more crashes than chance explains.
+    /// No crashes of the canary, or no more than chance explains.
     none,
-    /// Perhaps more; whether chance explains them is to be seen.
+    /// Possibly more than chance explains; needs longer observation.
     suspect,
-    /// More than chance explains.
+    /// Significantly more than chance explains.
     excess,
 };
 
-/// Compares crashes of the updated processes in this bake with those of the others over the whole rollout, by the time
-/// for which each were observed: of so many crashes in all, as many or more would fall on the updated ones by chance
-/// (the exact test of two Poisson rates). What is unlikely, and not more, is waited for: for half as long again as the
-/// crash took to come.
+/// Compares the crash rate of the updated processes in the current bake with that of the others over the whole
+/// rollout, by the exact test of two Poisson rates: given the total number of crashes and the observation time of
+/// both groups, how likely are this many crashes among the updated processes. A crash that is unlikely but not
+/// significant is suspect, for 1.5 times as long as it took to occur.
 class CrashMonitor {
 public:
-    /// To be called once before the first observation.
+    /// Sets the time from which exposure counts; must be called once, before the first `observe`.
     void start(Timestamp now) { last_observed_at_ = now; }
 
-    /// Forgets the crashes of the last bake.
+    /// Starts a new bake: resets the crash counts of the previous one.
     void start_bake();
 
-    /// Takes in the crash counts of one observation of the fleet of `state`.
+    /// Records the crash counts of one observation of the fleet of `state`.
     void observe(Timestamp now, const RolloutState& state, const Observations& observations);
 
-    /// The assessment of the bake that began at `bake_started_at`.
+    /// Assesses the bake that began at `bake_started_at`.
     CrashAssessment assess(Timestamp now, Timestamp bake_started_at,
                            const std::vector<RolloutTarget>& targets);
 
 private:
-    /// A process as it was first seen in this bake.
+    /// First observation of a process in this bake.
     struct BakeStart {
         Timestamp seen_at{0};
         std::uint64_t crash_count = 0;
@@ -59,7 +59,7 @@
     double baseline_exposure_seconds_ = 0.0;
     double baseline_crashes_ = 0.0;
     std::map<std::string, BakeStart> bake_starts_;
-    double known_canary_crashes_ = 0.0;
+    double assessed_canary_crashes_ = 0.0;
     Timestamp last_canary_crash_at_{0};
     Timestamp suspect_until_{0};
 };
--- a/src/rollout/fleet_client.cpp
+++ b/src/rollout/fleet_client.cpp
@@ -17,7 +17,7 @@
 constexpr int http_accepted = 202;
 constexpr int http_conflict = 409;
 
-/// The JSON of a 200 response; null for any other, and for a body that is not JSON.
+/// Returns the JSON body of a 200 response; null for any other status or a body that is not JSON.
 json parse_body(const HttpClient::Response& response) {
     if (response.status != http_ok)
         return {};
@@ -25,7 +25,7 @@
     return body.is_discarded() ? json() : body;
 }
 
-/// An entry of `GET /v1/processes`.
+/// Parses one entry of `GET /v1/processes`.
 ProcessObservation read_observation(const json& entry) {
     ProcessObservation observation;
     observation.active_spec = {entry.at("program").get<std::string>(),
@@ -48,7 +48,7 @@
         supervisors_.push_back({address, *net::Address::parse(address), false});
 }
 
-base::Timestamp FleetClient::deadline() const {
+base::Timestamp FleetClient::request_deadline() const {
     return loop_.unix_now() + request_timeout;
 }
 
@@ -78,18 +78,18 @@
 std::optional<LeaseConflict> FleetClient::change_leases(bool take) {
     std::optional<LeaseConflict> conflict;
     const std::string body = ordered_json{{"roll", rollout_name_}, {"held", take}}.dump();
-    const base::Timestamp answer_by = deadline();
+    const base::Timestamp deadline = request_deadline();
     for (SupervisorLink& supervisor : supervisors_) {
         if (supervisor.has_lease == take)
             continue;
-        http_client_.request(supervisor.address, "POST", "/v1/roll", body, answer_by,
+        http_client_.request(supervisor.address, "POST", "/v1/roll", body, deadline,
                              [&conflict, &supervisor, take](const HttpClient::Response& response) {
                                  if (response.status == http_ok)
                                      supervisor.has_lease = take;
                                  if (response.status != http_conflict)
                                      return;
-                                 const json answer = json::parse(response.body, nullptr, false);
-                                 const std::string reason = answer.is_object() ? answer.value("why", "") : "";
+                                 const json reply = json::parse(response.body, nullptr, false);
+                                 const std::string reason = reply.is_object() ? reply.value("why", "") : "";
                                  conflict = LeaseConflict{supervisor.name + ": " + reason};
                              });
     }
@@ -98,29 +98,30 @@
 }
 
 bool FleetClient::observe() {
-    std::size_t answer_count = 0;
+    std::size_t reply_count = 0;
     for (auto& [process_id, observation] : observations_)
         observation = {};
-    const base::Timestamp answer_by = deadline();
+    const base::Timestamp deadline = request_deadline();
     for (std::size_t index = 0; index < supervisors_.size(); ++index) {
-        http_client_.get(supervisors_[index].address, "/v1/processes", answer_by,
-                         [this, index, &answer_count](const HttpClient::Response& response) {
+        http_client_.get(supervisors_[index].address, "/v1/processes", deadline,
+                         [this, index, &reply_count](const HttpClient::Response& response) {
                              const json status = parse_body(response);
                              if (!status.is_object())
                                  return;
                              try {
                                  observe_processes(index, status);
-                                 ++answer_count;
+                                 ++reply_count;
                              } catch (const json::exception& error) {
-                                 base::log_warning("rollout: malformed status supervisor={} error=\"{}\"",
-                                                   supervisors_[index].name, error.what());
+                                 base::log_warning(
+                                     "rollout: malformed supervisor status supervisor={} error=\"{}\"",
+                                     supervisors_[index].name, error.what());
                              }
                          });
     }
     wait_for_replies();
     request_metrics();
     wait_for_replies();
-    return answer_count > 0;
+    return reply_count > 0;
 }
 
 void FleetClient::observe_processes(std::size_t supervisor_index, const json& status) {
@@ -133,19 +134,19 @@
 }
 
 void FleetClient::request_metrics() {
-    const base::Timestamp answer_by = deadline();
+    const base::Timestamp deadline = request_deadline();
     for (const auto& [process_id, location] : process_locations_) {
         const auto address = net::Address::parse(location.admin_address);
         ProcessObservation& observation = observations_[process_id];
         if (!address || !observation.is_reachable ||
             observation.serving_generation == supervisor::no_generation)
             continue;
-        http_client_.get(*address, "/v1/metrics", answer_by,
+        http_client_.get(*address, "/v1/metrics", deadline,
                          [&observation](const HttpClient::Response& response) {
                              if (response.status == http_ok)
                                  observation.metrics = parse_metrics(response.body);
                          });
-        http_client_.get(*address, "/v1/fleet?brief", answer_by,
+        http_client_.get(*address, "/v1/fleet?brief", deadline,
                          [&observation](const HttpClient::Response& response) {
                              const json membership = parse_body(response);
                              if (membership.is_object() && membership.contains("digest") &&
@@ -170,16 +171,16 @@
 }
 
 void FleetClient::send_updates(const std::vector<ProcessAssignment>& updates) {
-    const base::Timestamp answer_by = deadline();
+    const base::Timestamp deadline = request_deadline();
     for (const ProcessAssignment& update : updates) {
         const ordered_json body{
             {"roll", rollout_name_}, {"program", update.spec.program}, {"overlay", update.spec.overlay}};
         const std::size_t supervisor_index = process_locations_.at(update.process_id).supervisor_index;
         http_client_.request(
             supervisors_[supervisor_index].address, "POST", "/v1/processes/" + update.process_id, body.dump(),
-            answer_by, [process_id = update.process_id](const HttpClient::Response& response) {
+            deadline, [process_id = update.process_id](const HttpClient::Response& response) {
                 if (response.status != http_accepted)
-                    base::log_warning("rollout: spec update not accepted process={} status={} body={}",
+                    base::log_warning("rollout: spec update not accepted process={} status={} body=\"{}\"",
                                       process_id, response.status, response.body);
             });
     }
--- a/src/rollout/fleet_client.hpp
+++ b/src/rollout/fleet_client.hpp
@@ -1,5 +1,5 @@
-/// The calls of a rollout to the supervisors of a fleet and to their processes. Each call ends with an answer or at its
-/// deadline; an answer that is lost is asked for again by the next call. It decides nothing.
+/// HTTP client of a rollout for the supervisors of a fleet and their processes. Each request ends with a reply or
+/// at its deadline; the next call repeats a request whose reply was lost. Contains no rollout decisions.
 #pragma once
 
 #include <cstddef>
@@ -17,53 +17,54 @@
 
 namespace cressledge::rollout {
 
-/// Another rollout holds the lease of a supervisor.
+/// Reports that another rollout holds the lease of a supervisor.
 struct LeaseConflict {
     std::string message;
 };
 
-/// The reachable processes of the supervisors whose leases are held.
+/// The reachable processes of the supervisors whose leases this rollout holds.
 struct LeasedFleet {
     std::vector<ProcessAssignment> processes;
-    /// How many supervisors have named any of them.
+    /// Number of supervisors with at least one of these processes.
     std::size_t supervisor_count = 0;
 };
 
-/// Talks to the admin addresses of supervisors and processes. Each public call runs the loop until every answer has come
-/// or `request_timeout` is over.
+/// Sends requests to the admin addresses of supervisors and processes. Each public call that sends requests runs
+/// the loop until every request has a reply or has timed out.
 class FleetClient {
 public:
-    /// For the answer to one call.
+    /// Timeout of one request, in microseconds.
     static constexpr base::Duration request_timeout{1'500'000};
 
-    /// `supervisor_addresses` as `HOST:PORT`; `rollout_name` is the holder of the leases that it takes.
+    /// `supervisor_addresses` have the form `HOST:PORT`; leases are taken in the name of `rollout_name`.
     FleetClient(net::Loop& loop, base::TimerQueue& timers,
                 const std::vector<std::string>& supervisor_addresses, std::string rollout_name);
 
-    /// All supervisors, whether reachable or not.
+    /// Number of supervisors, reachable or not.
     std::size_t supervisor_count() const { return supervisors_.size(); }
 
-    /// Asks each supervisor that has not confirmed it for its lease.
+    /// Requests the lease of each supervisor that has not confirmed it. Returns a conflict if another rollout holds
+    /// one.
     std::optional<LeaseConflict> take_leases();
 
-    /// Gives back every lease that a supervisor has confirmed.
+    /// Releases every lease that a supervisor has confirmed.
     void release_leases();
 
-    /// Takes every lease as held: a confirmation may have been lost.
+    /// Treats every lease as held, because a confirmation may have been lost.
     void assume_leases_held();
-    /// Whether any supervisor has confirmed a lease that it has not confirmed to be released.
+    /// Whether any lease is held whose release has not been confirmed.
     bool holds_any_lease() const;
 
-    /// Asks every supervisor for its processes, and then each process for its metrics. Returns whether any supervisor
-    /// answered.
+    /// Requests the processes of every supervisor, then the metrics of each process. Returns whether any supervisor
+    /// replied.
     bool observe();
 
-    /// Every process that was ever seen, as of the last call of `observe`.
+    /// All processes that were ever reported, as of the last call of `observe`.
     const Observations& observations() const { return observations_; }
-    /// The reachable processes whose supervisors have confirmed their leases, as of the last call of `observe`.
+    /// The reachable processes of supervisors with a confirmed lease, as of the last call of `observe`.
     LeasedFleet leased_fleet() const;
 
-    /// Sends processes their specs. The next observation shows what became of it.
+    /// Sends each process its new spec. The next observation shows the result.
     void send_updates(const std::vector<ProcessAssignment>& updates);
 
 private:
@@ -74,14 +75,14 @@
     };
     struct ProcessLocation {
         std::size_t supervisor_index = 0;
-        /// Of the process itself; empty: none is up.
+        /// Admin address of the process itself; empty if none is running.
         std::string admin_address;
     };
 
     std::optional<LeaseConflict> change_leases(bool take);
     void observe_processes(std::size_t supervisor_index, const nlohmann::json& status);
     void request_metrics();
-    base::Timestamp deadline() const;
+    base::Timestamp request_deadline() const;
     void wait_for_replies();
 
     net::Loop& loop_;
--- a/src/rollout/fleet_visibility.cpp
+++ b/src/rollout/fleet_visibility.cpp
@@ -7,22 +7,23 @@
 namespace cressledge::rollout {
 namespace {
 
-/// Share of a group that may be unseen, and of the fleet that may see another fleet.
-constexpr double max_unseen_fraction = 0.1;
+/// Largest accepted fraction of a group that is not observed, and of the fleet with a different membership table.
+constexpr double max_unobserved_fraction = 0.1;
 
-bool exceeds_unseen_fraction(std::size_t unseen, std::size_t all) {
-    return static_cast<double>(unseen) > max_unseen_fraction * static_cast<double>(all);
+bool exceeds_unobserved_fraction(std::size_t unobserved, std::size_t all) {
+    return static_cast<double>(unobserved) > max_unobserved_fraction * static_cast<double>(all);
 }
 
-/// Counts of one group of processes.
+/// Number of processes in a group, and how many of them were not observed recently.
 struct GroupVisibility {
     std::size_t processes = 0;
-    std::size_t unseen = 0;
+    std::size_t unobserved = 0;
 
-    bool is_poor() const { return exceeds_unseen_fraction(unseen, processes); }
+    bool is_insufficient() const { return exceeds_unobserved_fraction(unobserved, processes); }
 };
 
-/// Whether the processes are split between membership tables: `process_counts` is by digest.
+/// Whether too many processes have a membership table other than the most common one. `process_counts` is keyed by the
+/// digest of the table.
 bool is_partitioned(const std::map<std::string, std::size_t>& process_counts) {
     std::size_t all = 0;
     std::size_t largest = 0;
@@ -30,7 +31,7 @@
         all += count;
         largest = std::max(largest, count);
     }
-    return exceeds_unseen_fraction(all - largest, all);
+    return exceeds_unobserved_fraction(all - largest, all);
 }
 
 }  // namespace
@@ -45,20 +46,20 @@
     for (const RolloutTarget& target : targets) {
         const ProcessObservation* const observation = find_reachable(observations, target.id);
         const std::optional<Timestamp> last_seen_at = traffic.last_seen_at(target.id);
-        const bool is_seen = observation != nullptr && last_seen_at && now - *last_seen_at <= max_age;
+        const bool is_observed = observation != nullptr && last_seen_at && now - *last_seen_at <= max_age;
         GroupVisibility& group = target.is_updated ? canary : baseline;
         ++group.processes;
-        if (!is_seen)
-            ++group.unseen;
+        if (!is_observed)
+            ++group.unobserved;
         else if (!observation->membership_digest.empty())
             ++counts_by_digest[observation->membership_digest];
     }
-    if (canary.is_poor())
-        return std::to_string(canary.unseen) + " changed processes are out of sight";
-    if (baseline.is_poor())
-        return std::to_string(baseline.unseen) + " unchanged processes are out of sight";
+    if (canary.is_insufficient())
+        return std::to_string(canary.unobserved) + " changed processes not observed";
+    if (baseline.is_insufficient())
+        return std::to_string(baseline.unobserved) + " unchanged processes not observed";
     if (is_partitioned(counts_by_digest))
-        return "the processes do not see one fleet: a partition";
+        return "membership tables of the processes differ: network partition suspected";
     return std::nullopt;
 }
 
--- a/src/rollout/fleet_visibility.hpp
+++ b/src/rollout/fleet_visibility.hpp
@@ -1,4 +1,4 @@
-/// Whether enough of a fleet is seen for its canary analysis to mean anything. No I/O.
+/// Checks whether enough processes of a fleet are observed for a valid canary analysis. No I/O.
 #pragma once
 
 #include <optional>
@@ -11,8 +11,8 @@
 
 namespace cressledge::rollout {
 
-/// Why a stage cannot be analyzed at `now`: too many processes of either group are unreachable or were last seen longer
-/// ago than `max_age`, or the processes are split between several fleets. None where it can be.
+/// Returns why a stage cannot be analyzed at `now`, or none if it can. It cannot if too many processes of either group
+/// are unreachable or were last seen longer ago than `max_age`, or if the membership tables of the processes differ.
 std::optional<std::string> find_visibility_problem(Timestamp now, Duration max_age,
                                                    const std::vector<RolloutTarget>& targets,
                                                    const Observations& observations,
--- a/src/rollout/metrics_parser.cpp
+++ b/src/rollout/metrics_parser.cpp
@@ -1,4 +1,4 @@
-/// Reads `node.responses.CLASS.OUTCOME=N` and `node.took.CLASS.US=N` of `GET /v1/metrics`.
+/// Parses the lines `node.responses.CLASS.OUTCOME=N` and `node.took.CLASS.US=N` of `GET /v1/metrics`.
 #include <algorithm>
 #include <charconv>
 
@@ -9,10 +9,10 @@
 
 constexpr std::string_view responses_prefix = "node.responses.";
 constexpr std::string_view latency_prefix = "node.took.";
-/// Guards every sum against a number that no process can have counted.
+/// Larger values are rejected as implausible, to protect the sums.
 constexpr double max_metric_value = 1e15;
 
-/// The whole of `text` as a number; none where it is something else.
+/// Parses all of `text` as a number; none if it is not one.
 template <class Number>
 std::optional<Number> parse_number(std::string_view text) {
     Number number{};
@@ -34,7 +34,7 @@
         metrics.late = value;
 }
 
-/// Buckets are named by their upper bound in microseconds.
+/// Sets the count of the bucket with the name `bucket_name`, its upper bound in microseconds.
 void set_latency_count(ClassMetrics& metrics, std::string_view bucket_name, double value) {
     const std::optional<std::uint64_t> upper_bound_us = parse_number<std::uint64_t>(bucket_name);
     if (!upper_bound_us)
--- a/src/rollout/process_observation.hpp
+++ b/src/rollout/process_observation.hpp
@@ -1,4 +1,4 @@
-/// What was seen of the processes of a fleet at one moment.
+/// The observed state of the processes of a fleet at one time.
 #pragma once
 
 #include <cstdint>
@@ -11,25 +11,25 @@
 
 namespace cressledge::rollout {
 
-/// One process. Where it is not reachable nothing else counts.
+/// The observed state of one process. The other fields are only valid if `is_reachable` is set.
 struct ProcessObservation {
     bool is_reachable = false;
     supervisor::ProcessSpec active_spec;
     supervisor::ChangeStatus change_status = supervisor::ChangeStatus::none;
-    /// Why the last change failed.
+    /// Why the last change failed; empty if it did not.
     std::string change_error;
     supervisor::Generation serving_generation = supervisor::no_generation;
     std::uint64_t crash_count = 0;
-    /// None where the process itself did not answer.
+    /// None if the process itself did not reply.
     std::optional<MetricsByClass> metrics;
-    /// Digest of its membership table; empty: it has none. Processes that see one fleet have one digest.
+    /// Digest of its membership table, equal for processes with the same view of the fleet; empty if it has none.
     std::string membership_digest;
 };
 
-/// By the id of the process.
+/// Observations by process id.
 using Observations = std::map<std::string, ProcessObservation>;
 
-/// The observation of `process_id`, or null where it was not reached.
+/// Returns the observation of `process_id`, or null if it is unknown or was not reachable.
 inline const ProcessObservation* find_reachable(const Observations& observations,
                                                 const std::string& process_id) {
     const auto found = observations.find(process_id);
--- a/src/rollout/rollout_controller.cpp
+++ b/src/rollout/rollout_controller.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::ordered_json;
 
-/// For all supervisors to be reached before a rollout begins.
+/// Time within which all supervisors must be reached before a rollout begins.
 constexpr base::Duration begin_timeout{10'000'000};
 constexpr base::Duration lease_release_timeout{20'000'000};
 constexpr base::Duration lease_retry_interval{100'000};
@@ -33,7 +33,7 @@
 
 RolloutResult RolloutController::run() {
     started_at_ = loop_.unix_now();
-    // An earlier run ended before it could release its leases.
+    // The rollout had finished already, but the earlier run may have ended before it released its leases.
     if (state_machine_ && is_final(state_machine_->state().phase))
         return finish();
     while (!is_interrupted_) {
@@ -44,8 +44,8 @@
                 fleet_.release_leases();
             return RolloutResult::rejected;
         }
-        const bool has_any_answer = fleet_.observe();
-        const bool has_begun = state_machine_ || begin_rollout(has_any_answer);
+        const bool has_any_reply = fleet_.observe();
+        const bool has_begun = state_machine_ || begin_rollout(has_any_reply);
         if (has_begun && step_until_durable())
             return finish();
         sleep_until(next_step_at);
@@ -53,22 +53,22 @@
     return RolloutResult::interrupted;
 }
 
-/// Begins the rollout once every supervisor has answered: a process that is not known now would never be changed. Returns
-/// whether it has begun.
-bool RolloutController::begin_rollout(bool has_any_answer) {
+/// Begins the rollout once the leases and processes of all supervisors are known, because a process that is unknown
+/// at the beginning is never changed. Returns whether the rollout has begun.
+bool RolloutController::begin_rollout(bool has_any_reply) {
     const LeasedFleet fleet = fleet_.leased_fleet();
     if (fleet.supervisor_count == fleet_.supervisor_count()) {
         state_machine_.emplace(settings_.plan, fleet.processes);
         return true;
     }
-    if (has_any_answer && loop_.unix_now() - started_at_ <= begin_timeout)
+    if (has_any_reply && loop_.unix_now() - started_at_ <= begin_timeout)
         return false;
     fleet_.release_leases();
-    const std::size_t missing_count = fleet_.supervisor_count() - fleet.supervisor_count;
-    throw SupervisorsUnreachable(std::to_string(missing_count) + " supervisors do not answer");
+    const std::size_t unreachable_count = fleet_.supervisor_count() - fleet.supervisor_count;
+    throw SupervisorsUnreachable(std::to_string(unreachable_count) + " supervisors unreachable");
 }
 
-/// Takes one step, saving the state as often as the step asks for it. Returns whether the rollout has finished.
+/// Runs one step, saving the state whenever the state machine requires it. Returns whether the rollout has finished.
 bool RolloutController::step_until_durable() {
     if (rollback_request_)
         state_machine_->request_rollback(*std::exchange(rollback_request_, std::nullopt));
@@ -93,7 +93,8 @@
     return RolloutResult::rolled_back;
 }
 
-/// Repeats the release until it is confirmed: a lost answer must not leave a supervisor to a rollout that has finished.
+/// Repeats the release until every supervisor confirms it or `lease_release_timeout` has passed, so that a lost
+/// reply does not leave a lease with a finished rollout.
 void RolloutController::release_leases() {
     const base::Timestamp release_deadline = loop_.unix_now() + lease_release_timeout;
     fleet_.assume_leases_held();
--- a/src/rollout/rollout_controller.hpp
+++ b/src/rollout/rollout_controller.hpp
@@ -1,5 +1,5 @@
-/// Carries a rollout out: observes the fleet, has each step of the state machine made durable, and sends the specs that
-/// it asks for. It decides nothing; see `RolloutStateMachine`.
+/// Executes a rollout: observes the fleet, runs the steps of the state machine, saves its state and sends the specs
+/// that it requests. All decisions are made by `RolloutStateMachine`.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -16,7 +16,7 @@
 
 namespace cressledge::rollout {
 
-/// How a run ended; the values are exit codes of `cressledge roll`.
+/// Result of a run; the values are the exit codes of `cressledge roll`.
 enum class RolloutResult {
     completed = 0,
     rolled_back = 1,
@@ -25,34 +25,34 @@
     interrupted = 4,
 };
 
-/// Supervisors that cannot be reached at the beginning, without whose processes a rollout cannot begin.
+/// Thrown if a rollout cannot begin because some supervisors are unreachable.
 class SupervisorsUnreachable : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// Runs one rollout on the loop of `cressledge roll`. Holds the leases of the supervisors while it runs.
+/// Runs one rollout on the loop of `cressledge roll` and holds the leases of the supervisors meanwhile.
 class RolloutController {
 public:
     /// Throws `RolloutStoreError` and `InvalidRolloutState`; see `RolloutStore`.
     RolloutController(net::Loop& loop, base::TimerQueue& timers, const RolloutSettings& settings,
                       const std::string& state_directory);
 
-    /// Runs until the rollout has finished, or `interrupt` was called. A rollout that the directory holds continues
-    /// where it was. Throws `SupervisorsUnreachable` and `RolloutStoreError`.
+    /// Runs until the rollout has finished or `interrupt` is called. Continues a rollout that is stored in the
+    /// directory. Throws `SupervisorsUnreachable` and `RolloutStoreError`.
     RolloutResult run();
 
-    /// Has `run` return soon. What was done stays; another run continues from it.
+    /// Makes `run` return soon. Completed steps are kept, and another run continues from them.
     void interrupt() { is_interrupted_ = true; }
 
-    /// Has the rollout rolled back.
+    /// Requests a rollback; takes effect with the next step.
     void request_rollback(const std::string& reason) { rollback_request_ = reason; }
 
-    /// The report as of now.
+    /// Returns the current report.
     nlohmann::ordered_json report() const;
 
 private:
-    bool begin_rollout(bool has_any_answer);
+    bool begin_rollout(bool has_any_reply);
     bool step_until_durable();
     RolloutResult finish();
     void release_leases();
@@ -65,7 +65,7 @@
     FleetClient fleet_;
     RolloutStore store_;
     std::optional<RolloutStateMachine> state_machine_;
-    /// JSON array of the reports of stages that earlier runs ended.
+    /// JSON array of the reports of stages that ended in earlier runs.
     nlohmann::ordered_json earlier_reports_ = nlohmann::ordered_json::array();
     bool is_interrupted_ = false;
     std::optional<std::string> rollback_request_;
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -10,10 +10,10 @@
 namespace cressledge::rollout {
 namespace {
 
-/// Keeps a product such as 0.05 * 20 from being rounded up to the next process.
+/// Prevents a product such as 0.05 * 20 from being rounded up to the next process.
 constexpr double fraction_rounding_error = 1e-9;
 
-std::size_t count_of(const RolloutStage& stage, std::size_t fleet_size) {
+std::size_t process_count_of(const RolloutStage& stage, std::size_t fleet_size) {
     if (stage.process_count != 0)
         return stage.process_count;
     const double count = stage.fleet_fraction * static_cast<double>(fleet_size);
@@ -25,7 +25,7 @@
 std::size_t updated_count_after(const RolloutPlan& plan, std::size_t stage_index, std::size_t fleet_size) {
     std::size_t count = 0;
     for (std::size_t i = 0; i <= stage_index && i < plan.stages.size(); ++i)
-        count = std::max(count, std::min(fleet_size, count_of(plan.stages[i], fleet_size)));
+        count = std::max(count, std::min(fleet_size, process_count_of(plan.stages[i], fleet_size)));
     return count;
 }
 
--- a/src/rollout/rollout_report.cpp
+++ b/src/rollout/rollout_report.cpp
@@ -7,7 +7,7 @@
 
 constexpr double milliseconds_per_microsecond = 1e-3;
 
-/// To the upper bound of its bucket; 0 where nothing was served.
+/// Returns a latency quantile, rounded up to the upper bound of its bucket, in milliseconds; 0 without served requests.
 double quantile_ms(const LatencyCounts& counts, double quantile) {
     if (total_count(counts) <= 0.0)
         return 0.0;
@@ -27,8 +27,8 @@
 
 ordered_json summarize(const MetricsByClass& metrics) {
     ordered_json summaries = ordered_json::object();
-    for (const auto& [class_name, of_class] : metrics)
-        summaries[class_name] = summarize(of_class);
+    for (const auto& [class_name, class_metrics] : metrics)
+        summaries[class_name] = summarize(class_metrics);
     return summaries;
 }
 
--- a/src/rollout/rollout_report.hpp
+++ b/src/rollout/rollout_report.hpp
@@ -1,4 +1,4 @@
-/// The JSON of a rollout's report (`cressledge roll --report`); its words are written here alone.
+/// The JSON form of a rollout's report (`cressledge roll --report`). Only this module writes its keys and values.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,10 +8,10 @@
 
 namespace cressledge::rollout {
 
-/// One stage: its groups, times in Unix microseconds, verdict and last analysis.
+/// Returns the report of one stage: its groups, times in Unix microseconds, verdict and last analysis.
 nlohmann::ordered_json to_json(const StageReport& report);
 
-/// One interval between observations: the metrics of both groups.
+/// Returns the metrics of both groups in one interval between observations.
 nlohmann::ordered_json to_json(const TrafficSample& sample);
 
 }  // namespace cressledge::rollout
--- a/src/rollout/rollout_settings.cpp
+++ b/src/rollout/rollout_settings.cpp
@@ -18,34 +18,34 @@
 constexpr double max_duration_s = 86'400.0;
 constexpr double microseconds_per_second = 1e6;
 
-YAML::Node require_list(const YamlReader& reader, const YAML::Node& document, const char* name) {
+YAML::Node require_non_empty_list(const YamlReader& reader, const YAML::Node& document, const char* name) {
     const YAML::Node list = document[name];
     if (!list || !list.IsSequence() || list.size() == 0)
-        reader.fail(list ? list : document, name, "no list");
+        reader.fail(list ? list : document, name, "must be a list with at least one entry");
     return list;
 }
 
 std::string read_name(const YamlReader& reader, const YAML::Node& document) {
     std::string name = reader.text(document, "name");
     if (name.size() > max_name_length)
-        reader.fail(document["name"], "name", "over 128 characters");
+        reader.fail(document["name"], "name", "longer than 128 characters");
     return name;
 }
 
 std::vector<std::string> read_supervisors(const YamlReader& reader, const YAML::Node& document) {
     std::vector<std::string> addresses;
-    std::set<std::string> known;
-    for (const auto& entry : require_list(reader, document, "supervisors")) {
+    std::set<std::string> seen_addresses;
+    for (const auto& entry : require_non_empty_list(reader, document, "supervisors")) {
         if (!entry.IsScalar() || !net::Address::parse(entry.Scalar()))
-            reader.fail(entry, "supervisors", "not an address with a port");
-        if (!known.insert(entry.Scalar()).second)
-            reader.fail(entry, "supervisors", "a duplicate: " + entry.Scalar());
+            reader.fail(entry, "supervisors", "not an address of the form HOST:PORT");
+        if (!seen_addresses.insert(entry.Scalar()).second)
+            reader.fail(entry, "supervisors", "duplicate supervisor: " + entry.Scalar());
         addresses.push_back(entry.Scalar());
     }
     return addresses;
 }
 
-/// The text of the file of settings that `change` names; empty where it names none.
+/// Returns the contents of the settings file that `change` names; empty if it names none.
 std::string read_overlay(const YamlReader& reader, const std::string& path, const YAML::Node& change) {
     const std::string file = reader.text(change, "settings", "");
     if (file.empty())
@@ -54,7 +54,7 @@
     std::string text = config::read_file(overlay_path);
     const YAML::Node overlay = YAML::Load(text);
     if (!overlay.IsMap() || overlay.size() == 0)
-        reader.fail(change["settings"], "settings", "not a mapping: " + overlay_path);
+        reader.fail(change["settings"], "settings", "not a YAML mapping: " + overlay_path);
     return text;
 }
 
@@ -66,14 +66,14 @@
     ProcessSpec spec;
     spec.program = reader.text(change, "program", "");
     if (!spec.program.empty() && spec.program.front() != '/')
-        reader.fail(change["program"], "program", "not a whole path");
+        reader.fail(change["program"], "program", "not an absolute path");
     spec.overlay = read_overlay(reader, path, change);
     if (spec == ProcessSpec{})
-        reader.fail(change, "change", "neither a program nor settings");
+        reader.fail(change, "change", "neither a program nor settings given");
     return spec;
 }
 
-/// A whole number of processes, or a percentage of the fleet.
+/// Parses a whole number of processes or a percentage of the fleet.
 RolloutStage read_stage(const YamlReader& reader, const YAML::Node& entry) {
     const std::string text = entry.IsScalar() ? entry.Scalar() : "";
     const bool is_percentage = !text.empty() && text.back() == '%';
@@ -85,7 +85,7 @@
     else
         is_valid = is_valid && number == std::floor(number) && number <= max_process_count;
     if (!is_valid)
-        reader.fail(entry, "stages", "neither a whole number of processes nor a share such as 25%");
+        reader.fail(entry, "stages", "neither a whole number of processes nor a percentage such as 25%");
     if (is_percentage)
         return {number / 100.0, 0};
     return {0.0, static_cast<std::size_t>(number)};
@@ -93,7 +93,7 @@
 
 std::vector<RolloutStage> read_stages(const YamlReader& reader, const YAML::Node& document) {
     std::vector<RolloutStage> stages;
-    for (const auto& entry : require_list(reader, document, "stages"))
+    for (const auto& entry : require_non_empty_list(reader, document, "stages"))
         stages.push_back(read_stage(reader, entry));
     return stages;
 }
--- a/src/rollout/rollout_settings.hpp
+++ b/src/rollout/rollout_settings.hpp
@@ -1,4 +1,4 @@
-/// The file of a rollout and its reader (docs/operators/roll.md).
+/// The settings file of a rollout and its parser (docs/operators/roll.md).
 #pragma once
 
 #include <string>
@@ -8,12 +8,12 @@
 
 namespace cressledge::rollout {
 
-/// The file of one rollout: its plan, and where and how often the fleet is observed.
+/// Settings of one rollout: its plan, the supervisors of the fleet and the observation interval.
 struct RolloutSettings {
     RolloutPlan plan;
-    /// Admin addresses of the supervisors, as `HOST:PORT`.
+    /// Admin addresses of the supervisors, in the form `HOST:PORT`.
     std::vector<std::string> supervisor_addresses;
-    /// From one observation of the fleet to the next.
+    /// Time between two observations of the fleet.
     Duration observation_interval{1'000'000};
 };
 
--- a/src/rollout/rollout_state.cpp
+++ b/src/rollout/rollout_state.cpp
@@ -30,7 +30,7 @@
         if (name == entry.name)
             return entry.phase;
     }
-    throw InvalidRolloutState("state of a roll: no such phase: " + name);
+    throw InvalidRolloutState("rollout state: unknown phase: " + name);
 }
 
 ordered_json spec_to_json(const ProcessSpec& spec) {
@@ -79,7 +79,7 @@
 RolloutState from_json(const json& stored) {
     try {
         if (stored.at("version") != format_version)
-            throw InvalidRolloutState("state of a roll: of another version");
+            throw InvalidRolloutState("rollout state: unsupported version");
         RolloutState state;
         state.name = stored.at("name");
         state.plan_digest = stored.at("digest");
@@ -90,7 +90,7 @@
             state.targets.push_back(target_from_json(target));
         return state;
     } catch (const nlohmann::json::exception& error) {
-        throw InvalidRolloutState(std::string("state of a roll: ") + error.what());
+        throw InvalidRolloutState(std::string("rollout state: ") + error.what());
     }
 }
 
--- a/src/rollout/rollout_state.hpp
+++ b/src/rollout/rollout_state.hpp
@@ -1,5 +1,5 @@
-/// What a rollout must not lose: its phase, its stage, and for each process the spec before and after. The stored form is
-/// JSON; its words are read and written here alone.
+/// The durable state of a rollout: its phase, its stage, and the original and updated spec of each process. It is
+/// stored as JSON; only this module reads and writes the keys and values.
 #pragma once
 
 #include <cstddef>
@@ -16,47 +16,47 @@
 /// Phases of a rollout; see `RolloutStateMachine` for the transitions.
 enum class Phase : std::uint8_t { observing, updating, baking, completed, rolling_back, rolled_back };
 
-/// The word for `phase` in stored states, reports and log lines.
+/// Returns the name of `phase` in stored states, reports and log lines.
 const char* to_string(Phase phase);
 
-/// Whether `phase` is one in which the change may still be rolled back on request.
+/// Whether the change can be rolled back on request in `phase`.
 bool is_advancing(Phase phase);
 
-/// Whether `phase` is one of the two last ones.
+/// Whether the rollout has finished in `phase`: it is completed or rolled back.
 bool is_final(Phase phase);
 
-/// One process of the fleet.
+/// One process of the fleet with its spec before and after the update.
 struct RolloutTarget {
     std::string id;
     supervisor::ProcessSpec original_spec;
     supervisor::ProcessSpec updated_spec;
-    /// Whether it has, or is to have, the updated spec. It stays set while the change is rolled back.
+    /// Whether the process has the updated spec or is to receive it. Remains set while the change is rolled back.
     bool is_updated = false;
 };
 
-/// The durable state of a rollout; every step of `RolloutStateMachine` continues from it.
+/// The durable state of a rollout, from which `RolloutStateMachine` can continue after any step.
 struct RolloutState {
     std::string name;
-    /// Digest of the plan; another plan does not continue from this state.
+    /// Digest of the plan that the state belongs to (`compute_plan_digest`).
     std::string plan_digest;
     Phase phase = Phase::observing;
     std::size_t stage_index = 0;
-    /// Why the change is, or was, rolled back; empty otherwise.
+    /// Why the change is being or was rolled back; empty otherwise.
     std::string rollback_reason;
-    /// In the order in which they are updated.
+    /// All processes of the fleet, in the order in which they are updated.
     std::vector<RolloutTarget> targets;
 };
 
-/// A stored state that cannot be read, or that does not belong to the plan.
+/// Thrown for a stored state that cannot be parsed or belongs to another plan.
 class InvalidRolloutState : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// The stored form.
+/// Returns the stored form of `state`.
 nlohmann::ordered_json to_json(const RolloutState& state);
 
-/// Throws `InvalidRolloutState`.
+/// Parses the stored form. Throws `InvalidRolloutState`.
 RolloutState from_json(const nlohmann::json& stored);
 
 }  // namespace cressledge::rollout
--- a/src/rollout/rollout_state_machine.cpp
+++ b/src/rollout/rollout_state_machine.cpp
@@ -10,9 +10,10 @@
 using nlohmann::ordered_json;
 using supervisor::ChangeStatus;
 
+/// Stream of the random generator for the update order.
 constexpr std::uint64_t order_stream = 17;
 
-/// Fisher-Yates, with a generator whose sequence is the same on every platform.
+/// Fisher-Yates shuffle with a generator whose sequence is the same on every platform.
 void shuffle(std::vector<RolloutTarget>& targets, std::uint64_t seed) {
     pcg32 random(seed, order_stream);
     for (std::size_t i = targets.size(); i > 1; --i)
@@ -35,7 +36,7 @@
 RolloutStateMachine::RolloutStateMachine(const RolloutPlan& plan, RolloutState state)
     : plan_(plan), state_(std::move(state)) {
     if (state_.plan_digest != compute_plan_digest(plan))
-        throw InvalidRolloutState("the state is of another plan: " + state_.name);
+        throw InvalidRolloutState("rollout state belongs to another plan: " + state_.name);
 }
 
 std::size_t RolloutStateMachine::updated_count_after(std::size_t stage_index) const {
@@ -55,7 +56,7 @@
     if (rollback_request_ && is_advancing(state_.phase))
         start_rollback(now, *std::exchange(rollback_request_, std::nullopt), actions);
     advance(now, observations, actions);
-    // What follows from the state waits until the state is durable.
+    // No updates are sent before the state is durable.
     if (actions.must_save_state)
         actions.spec_updates.clear();
     for (const ProcessAssignment& update : actions.spec_updates)
@@ -68,7 +69,7 @@
     has_started_ = true;
     phase_started_at_ = now;
     crashes_.start(now);
-    // What an earlier run observed is not in the state: the stage bakes again.
+    // The observations of an earlier run are not part of the state, so the bake starts again.
     if (state_.phase == Phase::baking)
         next_analysis_at_ = now + plan_.bake_time;
     log_event(actions, "begin", {{"phase", to_string(state_.phase)}, {"processes", state_.targets.size()}});
@@ -127,8 +128,8 @@
     ensure_report(now);
     mark_stage_updated(stage_size, actions);
     ConcurrencySlots free_slots = plan_.max_concurrent_updates;
-    std::size_t missing_count = 0;
-    std::string last_missing;
+    std::size_t pending_count = 0;
+    std::string last_pending_id;
     for (std::size_t i = 0; i < stage_size; ++i) {
         const RolloutTarget& target = state_.targets[i];
         const ProcessObservation* const observation = find_reachable(observations, target.id);
@@ -138,25 +139,25 @@
             updates_.confirm(target.id);
         if (updates_.is_confirmed(target.id))
             continue;
-        ++missing_count;
-        last_missing = target.id;
+        ++pending_count;
+        last_pending_id = target.id;
         if (observation != nullptr && has_rejected_update(target, *observation)) {
-            start_rollback(now, target.id + " did not take the change: " + observation->change_error,
+            start_rollback(now, target.id + " failed to apply the change: " + observation->change_error,
                            actions);
             return;
         }
         request_update(now, target, target.updated_spec, observations, free_slots, actions);
     }
-    if (missing_count == 0)
+    if (pending_count == 0)
         start_bake(now, observations, stage_size, actions);
     else if (now - phase_started_at_ > plan_.update_timeout + plan_.max_inconclusive_time)
-        start_rollback(now,
-                       std::to_string(missing_count) + " processes did not take the change in time, " +
-                           last_missing + " among them",
-                       actions);
+        start_rollback(
+            now,
+            std::to_string(pending_count) + " processes not updated in time (last: " + last_pending_id + ")",
+            actions);
 }
 
-/// The intent is recorded first: it has to be durable before any of the processes is sent its spec.
+/// Marks all processes of the stage as updated. The marks must be durable before any process is sent its spec.
 void RolloutStateMachine::mark_stage_updated(std::size_t stage_size, RolloutActions& actions) {
     for (std::size_t i = 0; i < stage_size; ++i) {
         RolloutTarget& target = state_.targets[i];
@@ -177,27 +178,29 @@
 void RolloutStateMachine::step_rolling_back(Timestamp now, const Observations& observations,
                                             RolloutActions& actions) {
     ConcurrencySlots free_slots = std::max<std::size_t>(plan_.max_concurrent_updates, state_.targets.size());
-    std::size_t missing_count = 0;
+    std::size_t pending_count = 0;
     for (const RolloutTarget& target : state_.targets) {
         if (!target.is_updated || updates_.is_confirmed(target.id))
             continue;
         const ProcessObservation* const observation = find_reachable(observations, target.id);
-        // A process with its original spec is sent it all the same, once: an earlier update may still be on its way.
+        // A process with its original spec is also sent that spec once, because an earlier update may still be in
+        // flight.
         if (observation != nullptr && observation->active_spec == target.original_spec &&
             observation->change_status != ChangeStatus::in_progress && updates_.was_requested(target.id)) {
             updates_.confirm(target.id);
             continue;
         }
-        ++missing_count;
+        ++pending_count;
         request_update(now, target, target.original_spec, observations, free_slots, actions);
     }
-    if (missing_count > 0)
+    if (pending_count > 0)
         return;
     enter_phase(now, Phase::rolled_back, actions);
     log_event(actions, "reverted", {{"why", state_.rollback_reason}});
 }
 
-/// Has a reachable process sent its spec, unless it is changing already, was sent one a moment ago, or no slot is free.
+/// Uses a free slot for a reachable process that has yet to take `spec`, and sends it the spec if a request is due
+/// (`UpdateTracker::is_request_due`).
 void RolloutStateMachine::request_update(Timestamp now, const RolloutTarget& target, const ProcessSpec& spec,
                                          const Observations& observations, ConcurrencySlots& free_slots,
                                          RolloutActions& actions) {
@@ -209,7 +212,7 @@
         actions.spec_updates.push_back({target.id, spec});
 }
 
-/// The report of the current stage, which is begun where there is none.
+/// Returns the report of the current stage; creates it if there is none.
 StageReport& RolloutStateMachine::ensure_report(Timestamp now) {
     if (!reports_.empty() && current_report().stage_index == state_.stage_index)
         return current_report();
--- a/src/rollout/rollout_state_machine.hpp
+++ b/src/rollout/rollout_state_machine.hpp
@@ -1,19 +1,21 @@
-/// Changes a fleet in stages, and rolls the change back where the processes that have it do worse than the others. No
-/// I/O: the time and what was seen of each process come in, what is to be done goes out; the emulator runs it as it is.
+/// State machine of a rollout: changes a fleet in stages, and rolls the change back if the processes that have it
+/// perform worse than the others. No I/O: a step takes the time and the observations and returns the actions to
+/// perform. The emulator runs the same code.
 ///
 ///   observing    -> updating      the fleet was observed for one bake time
 ///   updating     -> baking        every process of the stage has the change
 ///   baking       -> updating      the canary analysis passed; the next stage
 ///   baking       -> completed     it was the last stage
-///   (any above)  -> rolling_back  the analysis failed or stayed inconclusive for too long, the changed processes crash, a
-///                                 process rejected the change, or the operator asked for it
+///   (any above)  -> rolling_back  the analysis failed or stayed inconclusive for too long, the changed processes
+///                                 crash, a process rejected the change, updates timed out, or the operator
+///                                 requested it
 ///   rolling_back -> rolled_back   every changed process has its original spec
 ///
-/// `RolloutState` must be durable before anything that follows from it is done: a step asks for it to be saved, or for
-/// specs to be sent, never for both. Whoever starts again from a stored state does what its predecessor was about to do,
-/// or had done.
+/// `RolloutState` must be durable before the actions that follow from it are performed: a step requests either that
+/// the state is saved or that specs are sent, never both. A controller that continues from a stored state therefore
+/// repeats or resumes the actions of its predecessor.
 ///
-/// Invariant: at any moment each process has, or is on its way to, the spec that `RolloutState` names for it.
+/// Invariant: at any time each process has, or is being updated to, the spec that `RolloutState` specifies for it.
 #pragma once
 
 #include <cstddef>
@@ -34,51 +36,51 @@
 
 namespace cressledge::rollout {
 
-/// A process of the fleet and the program and settings that it has, or is to have.
+/// A process of the fleet and its current or requested program and settings.
 struct ProcessAssignment {
     std::string process_id;
     ProcessSpec spec;
 };
 
-/// What follows from one step.
+/// The actions that one step requests.
 struct RolloutActions {
-    /// The state has to be durable, and `step` to be called again, before anything else is done.
+    /// The state must be made durable and `step` called again before any other action.
     bool must_save_state = false;
-    /// Specs to be sent to processes; empty where `must_save_state` is set.
+    /// Specs to send to processes; empty if `must_save_state` is set.
     std::vector<ProcessAssignment> spec_updates;
-    /// JSON objects for the log.
+    /// Lines for the log, each a JSON object.
     std::vector<std::string> log_lines;
     bool is_finished = false;
 };
 
-/// Decides what a rollout does next; see the head of this file. It keeps no more than `RolloutState` over a restart: a
-/// bake then begins anew.
+/// Decides the next actions of a rollout; see the head of this file. Only `RolloutState` survives a restart, so
+/// that a bake starts again after one.
 class RolloutStateMachine {
 public:
-    /// A new rollout over processes with the specs that they have now.
+    /// Creates a new rollout over the processes of `fleet` with their current specs.
     RolloutStateMachine(const RolloutPlan& plan, const std::vector<ProcessAssignment>& fleet);
 
-    /// Continues from a stored state. Throws `InvalidRolloutState` where it is of another plan.
+    /// Continues from a stored state. Throws `InvalidRolloutState` if it belongs to another plan.
     RolloutStateMachine(const RolloutPlan& plan, RolloutState state);
 
-    /// Takes in what was seen of the fleet.
+    /// Processes one observation of the fleet and returns the actions to perform.
     RolloutActions step(Timestamp now, const Observations& observations);
 
-    /// Has the next step roll the change back, unless the rollout is past that.
+    /// Makes the next step roll the change back, unless the rollout has finished or is already rolling back.
     void request_rollback(const std::string& reason);
 
-    /// The state as of the last step; to be made durable where that step asked for it.
+    /// The state as of the last step; must be made durable if that step requested it.
     const RolloutState& state() const { return state_; }
-    /// The stages that this object has begun, in their order.
+    /// Reports of the stages that this object has begun, in order.
     const std::vector<StageReport>& reports() const { return reports_; }
-    /// What the processes did between observations, oldest first.
+    /// Traffic of both groups between observations, oldest first.
     const std::vector<TrafficSample>& samples() const { return traffic_.samples(); }
 
-    /// Processes that have the change at the end of stage `stage_index`.
+    /// Number of processes that have the change at the end of stage `stage_index`.
     std::size_t updated_count_after(std::size_t stage_index) const;
 
 private:
-    /// Slots for processes that change at one time.
+    /// Number of processes that may still be updated at the same time.
     using ConcurrencySlots = std::size_t;
 
     void begin(Timestamp now, RolloutActions& actions);
--- a/src/rollout/rollout_state_machine_bake.cpp
+++ b/src/rollout/rollout_state_machine_bake.cpp
@@ -27,12 +27,12 @@
 void RolloutStateMachine::step_baking(Timestamp now, const Observations& observations,
                                       RolloutActions& actions) {
     StageReport& report = ensure_report(now);
-    // The stage was continued from a stored state.
+    // The bake was continued from a stored state.
     if (report.bake_started_at == Timestamp(0))
         report.bake_started_at = now;
     const CrashAssessment crashes = crashes_.assess(now, phase_started_at_, state_.targets);
     if (crashes == CrashAssessment::excess) {
-        start_rollback(now, "the changed processes end by themselves", actions);
+        start_rollback(now, "changed processes crash more often than unchanged ones", actions);
         return;
     }
     if (now < next_analysis_at_)
@@ -55,19 +55,19 @@
         return analyze_canary(metrics.canary, metrics.baseline, plan_.tolerances);
     CanaryAnalysis analysis;
     analysis.verdict = CanaryVerdict::pass;
-    analysis.reason = "nobody is left to compare with";
+    analysis.reason = "no unchanged processes left to compare with";
     for (const ProcessMetrics& process : metrics.canary)
         analysis.canary += process.window;
     return analysis;
 }
 
-/// Why the stage can be neither passed nor failed now; none where it passes.
+/// Returns why the stage has to wait for more observations; none if it passes.
 std::optional<std::string> RolloutStateMachine::wait_reason(Timestamp now, const Observations& observations,
                                                             CrashAssessment crashes,
                                                             const CanaryAnalysis& analysis) const {
     const bool is_wait_over = is_suspect_wait_over(now);
     if (crashes == CrashAssessment::suspect && !is_wait_over)
-        return "a changed process has ended by itself";
+        return "a changed process crashed";
     const Duration max_age = plan_.bake_time / 2;
     if (auto problem = find_visibility_problem(now, max_age, state_.targets, observations, traffic_))
         return problem;
@@ -80,19 +80,20 @@
     return "suspect: " + analysis.reason;
 }
 
-/// For so long a stage waits for what is no more than suspect; then the next stage, with more processes, has to tell.
+/// Whether the stage has waited long enough for a suspect result. It then passes, and the next stage, with more
+/// processes, decides.
 bool RolloutStateMachine::is_suspect_wait_over(Timestamp now) const {
     return now - phase_started_at_ > plan_.bake_time + plan_.max_inconclusive_time * 3 / 4;
 }
 
 void RolloutStateMachine::extend_bake(Timestamp now, const std::string& reason, RolloutActions& actions) {
-    std::vector<std::string>& known_reasons = current_report().wait_reasons;
-    if (std::find(known_reasons.begin(), known_reasons.end(), reason) == known_reasons.end()) {
-        known_reasons.push_back(reason);
+    std::vector<std::string>& earlier_reasons = current_report().wait_reasons;
+    if (std::find(earlier_reasons.begin(), earlier_reasons.end(), reason) == earlier_reasons.end()) {
+        earlier_reasons.push_back(reason);
         log_event(actions, "hold", {{"why", reason}});
     }
     if (now - phase_started_at_ > plan_.bake_time + plan_.max_inconclusive_time)
-        start_rollback(now, "held too long: " + reason, actions);
+        start_rollback(now, "inconclusive for too long: " + reason, actions);
     else
         next_analysis_at_ = now + plan_.bake_time / 4;
 }
--- a/src/rollout/rollout_store.cpp
+++ b/src/rollout/rollout_store.cpp
@@ -13,13 +13,13 @@
 constexpr const char* state_key = "state";
 constexpr const char* reports_key = "history";
 
-/// `error` is that of the store: 0 or an errno value.
+/// Throws `RolloutStoreError` if `error`, an errno value returned by the store, is not 0.
 void require_success(int error, const std::string& subject) {
     if (error == 0)
         return;
-    // The lock of the directory is taken.
+    // Another process holds the lock of the directory.
     if (error == EWOULDBLOCK)
-        throw RolloutStoreError(subject + ": another roll is in progress here");
+        throw RolloutStoreError(subject + ": in use by another rollout process");
     throw RolloutStoreError(subject + ": " + std::strerror(error));
 }
 
@@ -39,7 +39,7 @@
     if (state.plan_digest != plan_digest) {
         if (is_final(state.phase))
             return std::nullopt;
-        throw RolloutStoreError(directory_ + ": the roll " + state.name + " is in progress here");
+        throw RolloutStoreError(directory_ + ": rollout " + state.name + " is unfinished here");
     }
     StoredRollout stored{std::move(state), ordered_json::array()};
     const auto reports_entry = entries.find(reports_key);
@@ -55,7 +55,7 @@
     store::Changes changes;
     changes[state_key] = to_json(state).dump();
     changes[reports_key] = stage_reports.dump();
-    require_success(store_.commit(changes), "the state of the roll");
+    require_success(store_.commit(changes), "cannot save the rollout state");
 }
 
 }  // namespace cressledge::rollout
--- a/src/rollout/rollout_store.hpp
+++ b/src/rollout/rollout_store.hpp
@@ -1,4 +1,5 @@
-/// Keeps a rollout's state and its reports in a directory, so that a controller that was killed can be continued.
+/// Stores a rollout's state and reports in a directory, so that the rollout can continue after its controller was
+/// killed.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,30 +13,31 @@
 
 namespace cressledge::rollout {
 
-/// The directory cannot be used, or belongs to another rollout.
+/// Thrown if the directory cannot be used or belongs to another rollout.
 class RolloutStoreError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// A rollout as an earlier run left it.
+/// A rollout as stored by an earlier run.
 struct StoredRollout {
     RolloutState state;
-    /// JSON array of the reports of stages that earlier runs ended.
+    /// JSON array of the reports of stages that ended in earlier runs.
     nlohmann::ordered_json stage_reports;
 };
 
-/// Holds the lock of its directory for as long as it lives. A save is one commit: it is read whole or not at all.
+/// Stores one rollout. Holds the lock of its directory during its lifetime. Each save is one atomic commit.
 class RolloutStore {
 public:
-    /// Throws `RolloutStoreError`, also where another process has the directory open.
+    /// Opens and locks `directory`. Throws `RolloutStoreError`, also if another process has it open.
     explicit RolloutStore(const std::string& directory);
 
-    /// The rollout of the plan with `plan_digest`; none where there is none, or only an earlier one that has finished.
-    /// Throws `RolloutStoreError` where the rollout of another plan is in progress, and `InvalidRolloutState`.
+    /// Returns the stored rollout of the plan with `plan_digest`; none if there is none or only a finished one of
+    /// another plan. Throws `RolloutStoreError` if a rollout of another plan is unfinished, and
+    /// `InvalidRolloutState`.
     std::optional<StoredRollout> load(const std::string& plan_digest) const;
 
-    /// Returns once the rollout is durable. Throws `RolloutStoreError`.
+    /// Saves the rollout; it is durable on return. Throws `RolloutStoreError`.
     void save(const RolloutState& state, const nlohmann::ordered_json& stage_reports);
 
 private:
--- a/src/rollout/traffic_monitor.cpp
+++ b/src/rollout/traffic_monitor.cpp
@@ -5,6 +5,7 @@
 namespace cressledge::rollout {
 namespace {
 
+/// Samples are merged in pairs when their number reaches this value.
 constexpr std::size_t max_samples = 8192;
 
 }  // namespace
@@ -48,30 +49,30 @@
         if (!observation->metrics)
             continue;
         ClassMetrics& group = target.is_updated ? sample.canary : sample.baseline;
-        if (const auto done = difference_to_last(target.id, *observation))
-            group += sum_over_classes(*done);
+        if (const auto increase = update_last_sampled_metrics(target.id, *observation))
+            group += sum_over_classes(*increase);
         entry->second.add(now, observation->serving_generation, *observation->metrics);
     }
     add_sample(sample);
 }
 
-std::optional<MetricsByClass> TrafficMonitor::difference_to_last(const std::string& process_id,
-                                                                 const ProcessObservation& observation) {
+std::optional<MetricsByClass> TrafficMonitor::update_last_sampled_metrics(
+    const std::string& process_id, const ProcessObservation& observation) {
     GenerationMetrics& last = last_sampled_metrics_[process_id];
     const bool is_same_process =
         last.generation == observation.serving_generation && last.generation != supervisor::no_generation;
-    std::optional<MetricsByClass> done;
+    std::optional<MetricsByClass> increase;
     if (is_same_process)
-        done = difference(last.metrics, *observation.metrics);
+        increase = difference(last.metrics, *observation.metrics);
     last = {observation.serving_generation, *observation.metrics};
-    return done;
+    return increase;
 }
 
 void TrafficMonitor::add_sample(const TrafficSample& sample) {
     samples_.push_back(sample);
     if (samples_.size() < max_samples)
         return;
-    // Bounds the memory of a rollout that takes days: each two samples become one.
+    // Bounds the memory of a rollout that takes days by merging each two consecutive samples.
     std::vector<TrafficSample> merged;
     for (std::size_t i = 0; i + 1 < samples_.size(); i += 2) {
         merged.push_back(samples_[i + 1]);
--- a/src/rollout/traffic_monitor.hpp
+++ b/src/rollout/traffic_monitor.hpp
@@ -1,5 +1,5 @@
-/// What each process of a rollout has served: since the bake began, over its restarts; before its change; and from one
-/// observation to the next, for the report. No I/O.
+/// Tracks the request metrics of each process of a rollout: since the bake began, across its restarts; before its
+/// change; and between observations, for the report. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
 
 namespace cressledge::rollout {
 
-/// What both groups of processes did between two observations, summed over all request classes.
+/// Request metrics of both groups of processes between two observations, summed over all request classes.
 struct TrafficSample {
     Timestamp taken_at{0};
     std::size_t stage_index = 0;
@@ -29,30 +29,31 @@
     std::vector<ProcessMetrics> baseline;
 };
 
-/// Accumulates the request metrics of each process over restarts, which reset a process's own counters.
+/// Accumulates the request metrics of each process across restarts, which reset the counters of the process.
 class TrafficMonitor {
 public:
-    /// Takes in one observation of the fleet of `state`.
+    /// Records one observation of the fleet of `state`.
     void observe(Timestamp now, const RolloutState& state, const Observations& observations);
 
-    /// Counts what a process has done so far as what it did before its change.
+    /// Adds the metrics accumulated for a process so far to its metrics before the change.
     void add_to_prior(const std::string& process_id);
 
-    /// Forgets what was counted since the last bake began.
+    /// Starts a new bake: resets the metrics accumulated since the previous one began.
     void start_bake();
 
-    /// What each process of `targets` that was seen has done since the bake began, and before.
+    /// Returns the metrics of each observed process of `targets` since the bake began and before its change.
     GroupedMetrics metrics_of(const std::vector<RolloutTarget>& targets) const;
 
-    /// When the metrics of a process were last read since the bake began.
+    /// Time of the last observation of a process's metrics in this bake; none if there was none.
     std::optional<Timestamp> last_seen_at(const std::string& process_id) const;
 
-    /// What both groups did between observations, oldest first.
+    /// Traffic of both groups between observations, oldest first.
     const std::vector<TrafficSample>& samples() const { return samples_; }
 
 private:
-    /// Counters of one process since the bake began. A restarted process counts from zero again.
+    /// Accumulates the counters of one process since the bake began, over all its generations.
     struct MetricsAccumulator {
+        /// Counters of the current generation at the first observation; 0 for a generation started since.
         std::optional<MetricsByClass> base_metrics;
         std::optional<MetricsByClass> last_metrics;
         MetricsByClass earlier_generations;
@@ -67,9 +68,10 @@
         MetricsByClass metrics;
     };
 
-    /// What the process did since its last observation; none where it was restarted meanwhile.
-    std::optional<MetricsByClass> difference_to_last(const std::string& process_id,
-                                                     const ProcessObservation& observation);
+    /// Stores the observed metrics and returns their increase since the last observation; none if the process was
+    /// restarted in between.
+    std::optional<MetricsByClass> update_last_sampled_metrics(const std::string& process_id,
+                                                              const ProcessObservation& observation);
     void add_sample(const TrafficSample& sample);
 
     std::map<std::string, MetricsAccumulator> accumulators_;
--- a/src/rollout/update_tracker.cpp
+++ b/src/rollout/update_tracker.cpp
@@ -3,7 +3,7 @@
 namespace cressledge::rollout {
 namespace {
 
-/// Before a process that has not begun what it was sent is sent it again.
+/// Time after which a process that has not started its update is sent the spec again.
 constexpr Duration retry_interval{1'000'000};
 
 }  // namespace
--- a/src/rollout/update_tracker.hpp
+++ b/src/rollout/update_tracker.hpp
@@ -1,4 +1,4 @@
-/// Which processes were sent a spec in the current phase of a rollout, and which of them have it. No I/O.
+/// Tracks which processes were sent a spec in the current phase of a rollout and which of them have it. No I/O.
 #pragma once
 
 #include <map>
@@ -9,29 +9,29 @@
 
 namespace cressledge::rollout {
 
-/// Tracks the updates of one phase, by process id.
+/// The requested and confirmed updates of one phase, by process id.
 class UpdateTracker {
 public:
-    /// Forgets everything; a phase begins.
+    /// Clears everything; called when a phase begins.
     void reset();
 
-    /// The process was seen to have what the phase asks for. It counts for the rest of the phase: observations get lost,
-    /// so that hundreds of processes are hardly ever seen to have it at one moment.
+    /// Records that the process was observed with the spec of the phase. The confirmation holds for the rest of the
+    /// phase: observations get lost, so hundreds of processes are rarely all observed with their spec at the same time.
     void confirm(const std::string& process_id) { confirmed_.insert(process_id); }
-    /// Whether the process was seen to have its spec in this phase.
+    /// Whether the process was observed with its spec in this phase.
     bool is_confirmed(const std::string& process_id) const { return confirmed_.contains(process_id); }
 
-    /// The process was sent its spec at `now`.
+    /// Records that the process was sent its spec at `now`.
     void mark_requested(Timestamp now, const std::string& process_id) { requested_at_[process_id] = now; }
     /// Whether the process was sent its spec in this phase.
     bool was_requested(const std::string& process_id) const { return requested_at_.contains(process_id); }
 
-    /// Whether the process is to be sent its spec: it is not changing, and was not sent it a moment ago.
+    /// Whether the process is to be sent its spec: no change is in progress, and the last request was not too recent.
     bool is_request_due(Timestamp now, const std::string& process_id,
                         const ProcessObservation& observation) const;
 
 private:
-    /// When each process was last sent its spec.
+    /// Time at which each process was last sent its spec.
     std::map<std::string, Timestamp> requested_at_;
     std::set<std::string> confirmed_;
 };
--- a/src/supervisor/supervisor_settings.cpp
+++ b/src/supervisor/supervisor_settings.cpp
@@ -19,7 +19,7 @@
                                             const YAML::Node& document, const std::string& default_program) {
     const YAML::Node list = document["processes"];
     if (!list || !list.IsSequence() || list.size() == 0)
-        reader.fail(list ? list : document, "processes", "no list");
+        reader.fail(list ? list : document, "processes", "must be a list with at least one entry");
     std::vector<ProcessSettings> processes;
     std::set<std::string> ids;
     for (const auto& entry : list) {
@@ -28,7 +28,7 @@
         const std::string settings_file = config::resolve_relative_path(path, reader.text(entry, "file"));
         const std::string program = reader.text(entry, "program", default_program.c_str());
         if (!ids.insert(id).second)
-            reader.fail(entry["id"], "id", "a duplicate: " + id);
+            reader.fail(entry["id"], "id", "duplicate process id: " + id);
         processes.push_back({id, settings_file, program});
     }
     return processes;
--- a/src/supervisor/supervisor_settings.hpp
+++ b/src/supervisor/supervisor_settings.hpp
@@ -1,4 +1,4 @@
-/// The settings of a supervisor and the reader of its file (docs/operators/supervise.md).
+/// The settings of a supervisor and the parser of its file (docs/operators/supervise.md).
 #pragma once
 
 #include <string>
@@ -8,22 +8,22 @@
 
 namespace cressledge::supervisor {
 
-/// One process that the supervisor keeps up.
+/// Settings of one supervised process.
 struct ProcessSettings {
     /// Name of the process, unique within the supervisor.
     std::string id;
-    /// Path of the operator's file. The settings in force are written beside it, as `FILE.live`.
+    /// Path of the operator's file. The live settings are written next to it, as `FILE.live`.
     std::string settings_file;
-    /// Path of the executable.
+    /// Path of the executable that the first generation runs.
     std::string program;
 };
 
-/// A supervisor's file.
+/// Settings of a supervisor.
 struct SupervisorSettings {
-    /// Where the supervisor itself answers, as `HOST:PORT`.
+    /// Admin address of the supervisor itself, in the form `HOST:PORT`.
     std::string admin_address;
     std::vector<ProcessSettings> processes;
-    /// Directory with a log file for each process; empty: processes write to the supervisor's standard error.
+    /// Directory for the log files, one per process; empty: processes write to the supervisor's standard error.
     std::string log_directory;
     SupervisionPolicy policy;
 };
--- a/tests/cressledge/canary_analysis_test.cpp
+++ b/tests/cressledge/canary_analysis_test.cpp
@@ -1,4 +1,4 @@
-/// Canary analysis of processes with made-up metrics, and how metrics are read.
+/// Canary analysis of synthetic metrics, and the parsing of metrics.
 #include "rollout/canary_analysis.hpp"
 
 #include <vector>
@@ -14,8 +14,8 @@
 }  // namespace
 
 TEST_CASE(
-    "canary analysis: a class is worse beyond its tolerance, beyond chance and beyond how processes differ, "
-    "else it passes or stays open") {
+    "canary analysis: a class is worse beyond its tolerance, chance and the variation between processes, "
+    "otherwise it passes or is inconclusive") {
     const Tolerances tolerances;
     const auto process = [](const MetricsByClass& window, const MetricsByClass& prior = {}) {
         return ProcessMetrics{window, prior};
@@ -26,13 +26,13 @@
     CHECK(analyze_canary({process(metrics(1000, 22, 5))}, baseline, tolerances).verdict ==
           CanaryVerdict::fail);
     CHECK(analyze_canary({process(metrics(1000, 22, 5))}, baseline, tolerances)
-              .reason.rfind("errors of trail-sheet: 0.0220 against 0.0020", 0) == 0);
+              .reason.rfind("errors of trail-sheet: changed 0.0220, unchanged 0.0020", 0) == 0);
     CHECK(analyze_canary({process(metrics(1000, 2, 60))}, baseline, tolerances).verdict ==
           CanaryVerdict::fail);
-    // All answers are slower.
+    // All responses are slower.
     CHECK(analyze_canary({process(metrics(1000, 2, 5, 44))}, baseline, tolerances).verdict ==
           CanaryVerdict::fail);
-    // A few answers are much slower.
+    // A few responses are much slower.
     CHECK(analyze_canary({process(metrics(1000, 2, 5, 40, 0.04))}, baseline, tolerances).verdict ==
           CanaryVerdict::fail);
     // Better than the baseline.
@@ -42,28 +42,30 @@
           CanaryVerdict::inconclusive);
     CHECK(analyze_canary({process(metrics(1000, 22, 5))}, {baseline[0], baseline[0]}, tolerances).verdict ==
           CanaryVerdict::inconclusive);
-    // Processes that differ as much as these explain it.
-    std::vector<ProcessMetrics> uneven;
+    // The variation between baseline processes explains the difference.
+    std::vector<ProcessMetrics> varying_baseline;
     for (int i = 0; i < 10; ++i)
-        uneven.push_back(process(metrics(1000, 4 + 6 * i, 5, 40 + i % 5)));
-    CHECK(analyze_canary({process(metrics(1000, 52, 5, 43))}, uneven, tolerances).verdict ==
+        varying_baseline.push_back(process(metrics(1000, 4 + 6 * i, 5, 40 + i % 5)));
+    CHECK(analyze_canary({process(metrics(1000, 52, 5, 43))}, varying_baseline, tolerances).verdict ==
           CanaryVerdict::pass);
-    // A process that had as many errors before its change is not worse; one that had not is.
-    const auto same_prior = [&process](double errors) {
+    // A process with as many errors before its change is not worse; one with fewer errors before is.
+    const auto process_with_equal_prior = [&process](double errors) {
         return process(metrics(1000, errors, 5), metrics(1000, errors, 5));
     };
-    std::vector<ProcessMetrics> known;
+    std::vector<ProcessMetrics> baseline_with_prior;
     for (int i = 0; i < 10; ++i)
-        known.push_back(same_prior(2 + i));
-    CHECK(analyze_canary({process(metrics(1000, 40, 5), metrics(1000, 40, 5))}, known, tolerances).verdict !=
-          CanaryVerdict::fail);
-    CHECK(analyze_canary({process(metrics(1000, 40, 5), metrics(1000, 4, 5))}, known, tolerances).verdict ==
-          CanaryVerdict::fail);
+        baseline_with_prior.push_back(process_with_equal_prior(2 + i));
+    CHECK(
+        analyze_canary({process(metrics(1000, 40, 5), metrics(1000, 40, 5))}, baseline_with_prior, tolerances)
+            .verdict != CanaryVerdict::fail);
+    CHECK(
+        analyze_canary({process(metrics(1000, 40, 5), metrics(1000, 4, 5))}, baseline_with_prior, tolerances)
+            .verdict == CanaryVerdict::fail);
     CHECK(analyze_canary({process(metrics(200, 2, 1))}, baseline, tolerances).verdict == CanaryVerdict::pass);
-    MetricsByClass idle = metrics(1000, 2, 5);
+    MetricsByClass with_idle_class = metrics(1000, 2, 5);
     // A class without requests.
-    idle["map-order"] = {};
-    CHECK(analyze_canary({process(idle)}, baseline, tolerances).verdict == CanaryVerdict::pass);
+    with_idle_class["map-order"] = {};
+    CHECK(analyze_canary({process(with_idle_class)}, baseline, tolerances).verdict == CanaryVerdict::pass);
 }
 
 TEST_CASE("class metrics: parsed from GET /v1/metrics, and a restart gives no difference") {
--- a/tests/cressledge/rollout_fixture.hpp
+++ b/tests/cressledge/rollout_fixture.hpp
@@ -1,4 +1,4 @@
-/// A plan, metrics of a process, and a fleet that updates at once, for tests of the rollout state machine.
+/// A plan, request metrics and a simulated fleet for tests of the rollout state machine.
 #pragma once
 
 #include <algorithm>
@@ -15,26 +15,27 @@
 
 namespace cressledge::testing {
 
-/// `value` seconds after the beginning of a test.
+/// Returns the time `value` seconds after the beginning of a test.
 inline Timestamp seconds(double value) {
     return Timestamp(static_cast<std::int64_t>(value * 1e6));
 }
 
-/// Metrics of one process and one class: latencies about the bucket `median_bucket`, and a share `slow_share` far above.
+/// Returns metrics of one process for one class, with latencies around `median_bucket` and a fraction
+/// `slow_fraction` far above.
 inline rollout::MetricsByClass metrics(double requests, double errors, double shed,
-                                       std::size_t median_bucket = 40, double slow_share = 0.0) {
+                                       std::size_t median_bucket = 40, double slow_fraction = 0.0) {
     rollout::MetricsByClass by_class;
-    rollout::ClassMetrics& of_class = by_class["trail-sheet"];
-    of_class.errors = errors;
-    of_class.shed = shed;
-    of_class.ok = requests - errors - shed;
-    const std::vector<std::pair<std::size_t, double>> shares{{median_bucket - 4, 0.25},
-                                                             {median_bucket, 0.5},
-                                                             {median_bucket + 4, 0.24},
-                                                             {median_bucket + 8, 0.01}};
-    for (const auto& [bucket, share] : shares)
-        of_class.latency_counts[bucket] += of_class.ok * share * (1.0 - slow_share);
-    of_class.latency_counts[60] += of_class.ok * slow_share;
+    rollout::ClassMetrics& class_metrics = by_class["trail-sheet"];
+    class_metrics.errors = errors;
+    class_metrics.shed = shed;
+    class_metrics.ok = requests - errors - shed;
+    const std::vector<std::pair<std::size_t, double>> bucket_fractions{{median_bucket - 4, 0.25},
+                                                                       {median_bucket, 0.5},
+                                                                       {median_bucket + 4, 0.24},
+                                                                       {median_bucket + 8, 0.01}};
+    for (const auto& [bucket, fraction] : bucket_fractions)
+        class_metrics.latency_counts[bucket] += class_metrics.ok * fraction * (1.0 - slow_fraction);
+    class_metrics.latency_counts[60] += class_metrics.ok * slow_fraction;
     return by_class;
 }
 
@@ -49,7 +50,8 @@
     return plan;
 }
 
-/// A fleet with steady metrics whose processes take an update at once; it steps a rollout once a second.
+/// A fleet with constant request rates whose processes apply updates immediately. It runs one rollout step per
+/// simulated second.
 struct FakeFleet {
     explicit FakeFleet(std::size_t process_count, const rollout::RolloutPlan& plan = test_plan()) {
         std::vector<rollout::ProcessAssignment> processes;
@@ -61,22 +63,22 @@
     }
 
     rollout::Observations observations() {
-        rollout::Observations seen;
+        rollout::Observations observed;
         for (const auto& [id, spec] : specs) {
-            rollout::ProcessObservation& process = seen[id];
+            rollout::ProcessObservation& process = observed[id];
             if (unreachable.contains(id))
                 continue;
             process.is_reachable = true;
             process.active_spec = spec;
-            process.serving_generation = static_cast<std::uint64_t>(1 + generation[id]);
-            process.crash_count = static_cast<std::uint64_t>(crashes[id]);
+            process.serving_generation = static_cast<std::uint64_t>(1 + restart_counts[id]);
+            process.crash_count = static_cast<std::uint64_t>(crash_counts[id]);
             if (rejecting.contains(id)) {
                 process.change_status = supervisor::ChangeStatus::failed;
                 process.change_error = "e.yaml:3: no such field";
             }
             process.metrics = metrics(now_s * 100.0, now_s * error_rates[spec.program], 0.0);
         }
-        return seen;
+        return observed;
     }
 
     void step() {
@@ -85,7 +87,7 @@
             const rollout::RolloutActions actions = state_machine->step(seconds(now_s), observations());
             log_lines.insert(log_lines.end(), actions.log_lines.begin(), actions.log_lines.end());
             if (actions.must_save_state) {
-                // Nothing may follow from a state that is not durable.
+                // No updates may be sent before the state is durable.
                 CHECK(actions.spec_updates.empty());
                 ++save_count;
                 continue;
@@ -110,10 +112,12 @@
     }
 
     std::map<std::string, supervisor::ProcessSpec> specs;
-    /// Errors a second, by program.
+    /// Errors per second, by program.
     std::map<std::string, double> error_rates;
-    std::map<std::string, double> crashes;
-    std::map<std::string, double> generation;
+    /// Number of crashes, by process.
+    std::map<std::string, double> crash_counts;
+    /// Number of restarts, by process; the generation is one more.
+    std::map<std::string, double> restart_counts;
     std::set<std::string> unreachable;
     /// Processes that reject the update.
     std::set<std::string> rejecting;
--- a/tests/cressledge/rollout_state_format_test.cpp
+++ b/tests/cressledge/rollout_state_format_test.cpp
@@ -1,5 +1,5 @@
-/// The stored state of a rollout: bytes written by the version before the split into modules (commit b4f6762) are read,
-/// and written again as they are (tests/fixtures/rollout_state/).
+/// Compatibility of the stored rollout state: states written by the version before the split into modules (commit
+/// b4f6762, tests/fixtures/rollout_state/) are read, and written again with the same bytes.
 #include <filesystem>
 #include <fstream>
 #include <iterator>
@@ -15,7 +15,7 @@
 using namespace cressledge::testing;
 using rollout::Phase, rollout::RolloutState;
 
-/// A fixture and what it holds.
+/// A fixture file and its expected content.
 struct StoredState {
     const char* file;
     Phase phase;
@@ -32,7 +32,7 @@
     {"rollout_state_reverted.json", Phase::rolled_back, 1, 2},
 };
 
-/// `__FILE__` is relative to the build directory where the compiler cache has made it so.
+/// `__FILE__` may be relative to the build directory, because the compiler cache rewrites it.
 std::filesystem::path fixture_directory() {
     const std::filesystem::path build_directory = std::filesystem::path(CRESSLEDGE_PROGRAM).parent_path();
     const std::filesystem::path this_file = build_directory / __FILE__;
@@ -49,7 +49,7 @@
     return rollout::from_json(nlohmann::json::parse(read_fixture(file)));
 }
 
-/// The plan of the fixtures.
+/// Returns the plan that the fixtures belong to.
 rollout::RolloutPlan fixture_plan() {
     rollout::RolloutPlan plan;
     plan.name = "probe-first-for-all";
@@ -59,7 +59,7 @@
     return plan;
 }
 
-/// The fleet of the fixtures before the rollout.
+/// Returns the fleet of the fixtures before the rollout.
 std::vector<rollout::ProcessAssignment> fixture_fleet() {
     std::vector<rollout::ProcessAssignment> fleet;
     for (int i = 1; i <= 5; ++i)
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-TEST_CASE("rollout state: each phase stored by the version before is read") {
+TEST_CASE("rollout state: each phase stored by the earlier version is read") {
     for (const StoredState& expected : stored_states) {
         INFO(expected.file);
         const RolloutState state = read_state(expected.file);
@@ -89,12 +89,12 @@
     }
 }
 
-TEST_CASE("rollout state: what is read from the version before is written with the same bytes") {
+TEST_CASE("rollout state: a state read from the earlier version is written with the same bytes") {
     for (const StoredState& stored : stored_states)
         CHECK(rollout::to_json(read_state(stored.file)).dump() == read_fixture(stored.file));
 }
 
-TEST_CASE("rollout state: a plan has the digest and the order that the version before stored") {
+TEST_CASE("rollout state: a plan has the digest and the order that the earlier version stored") {
     const RolloutState stored = read_state("rollout_state_watching.json");
     const rollout::RolloutStateMachine state_machine(fixture_plan(), fixture_fleet());
     CHECK(rollout::to_json(state_machine.state()).dump() == read_fixture("rollout_state_watching.json"));
--- a/tests/cressledge/rollout_state_machine_test.cpp
+++ b/tests/cressledge/rollout_state_machine_test.cpp
@@ -1,4 +1,4 @@
-/// The decisions of a rollout, step by step, over a fake fleet.
+/// The decisions of the rollout state machine, step by step, with a simulated fleet.
 #include "rollout/rollout_state_machine.hpp"
 
 #include <stdexcept>
@@ -14,8 +14,8 @@
 }  // namespace
 
 TEST_CASE(
-    "rollout state machine: stages are updated in the order of the seed, and each state is saved before it "
-    "is acted on") {
+    "rollout state machine: stages are updated in the order of the seed, and each state is saved before "
+    "updates are sent") {
     FakeFleet fleet(10);
     CHECK((fleet.state_machine->updated_count_after(0) == 1 &&
            fleet.state_machine->updated_count_after(1) == 5 &&
@@ -29,7 +29,7 @@
     for (const rollout::StageReport& report : fleet.state_machine->reports())
         CHECK((report.verdict == CanaryVerdict::pass &&
                report.ended_at - report.bake_started_at >= test_plan().bake_time));
-    // One bake time before the first stage, and one for each of three.
+    // One bake time before the first stage and one for each of the three stages.
     CHECK(fleet.now_s >= 40.0);
     rollout::RolloutPlan reordered_plan = test_plan();
     reordered_plan.order_seed = 2;
@@ -39,7 +39,8 @@
 }
 
 TEST_CASE(
-    "rollout state machine: worse metrics, repeated crashes, a rejected update or a request roll the change "
+    "rollout state machine: worse metrics, repeated crashes, a rejected update or a request roll the "
+    "change "
     "back") {
     FakeFleet faulty(10);
     faulty.error_rates["new"] = 5.0;
@@ -47,34 +48,35 @@
     CHECK((faulty.updated_count() == 0 && faulty.state_machine->reports().size() == 1));
     CHECK(faulty.state_machine->state().rollback_reason.rfind("errors of trail-sheet", 0) == 0);
 
-    FakeFleet crash(60);
-    crash.step_until(Phase::baking);
-    const std::string first = crash.state_machine->state().targets[0].id;
+    FakeFleet crashing(60);
+    crashing.step_until(Phase::baking);
+    const std::string first = crashing.state_machine->state().targets[0].id;
     for (int i = 0; i < 5; ++i)
-        crash.step();
-    ++crash.crashes[first];
-    ++crash.generation[first];
+        crashing.step();
+    ++crashing.crash_counts[first];
+    ++crashing.restart_counts[first];
     for (int i = 0; i < 6; ++i)
-        crash.step();
-    // One crash may be chance.
-    CHECK(crash.state_machine->state().phase == Phase::baking);
-    CHECK(crash.log_lines.back().find("has ended by itself") != std::string::npos);
-    ++crash.crashes[first];
-    ++crash.generation[first];
-    REQUIRE(crash.step_until(Phase::rolled_back));
-    CHECK(crash.state_machine->state().rollback_reason == "the changed processes end by themselves");
+        crashing.step();
+    // A single crash is only suspect.
+    CHECK(crashing.state_machine->state().phase == Phase::baking);
+    CHECK(crashing.log_lines.back().find("a changed process crashed") != std::string::npos);
+    ++crashing.crash_counts[first];
+    ++crashing.restart_counts[first];
+    REQUIRE(crashing.step_until(Phase::rolled_back));
+    CHECK(crashing.state_machine->state().rollback_reason ==
+          "changed processes crash more often than unchanged ones");
 
     FakeFleet crashed_once(10);
     crashed_once.step_until(Phase::baking);
-    ++crashed_once.crashes[crashed_once.state_machine->state().targets[0].id];
-    ++crashed_once.crashes[crashed_once.state_machine->state().targets[7].id];
+    ++crashed_once.crash_counts[crashed_once.state_machine->state().targets[0].id];
+    ++crashed_once.crash_counts[crashed_once.state_machine->state().targets[7].id];
     CHECK(crashed_once.step_until(Phase::completed));
 
     FakeFleet rejecting(10);
     rejecting.rejecting.insert(rejecting.state_machine->state().targets[2].id);
     REQUIRE(rejecting.step_until(Phase::rolled_back));
     CHECK(rejecting.state_machine->state().stage_index == 1);
-    CHECK(rejecting.state_machine->state().rollback_reason.find("did not take the change: e.yaml:3") !=
+    CHECK(rejecting.state_machine->state().rollback_reason.find("failed to apply the change: e.yaml:3") !=
           std::string::npos);
     CHECK(rejecting.updated_count() == 0);
 
@@ -95,7 +97,7 @@
     for (int i = 0; i < 25; ++i)
         fleet.step();
     CHECK(fleet.state_machine->state().phase == Phase::baking);
-    CHECK(fleet.state_machine->reports()[0].wait_reasons.at(0) == "1 changed processes are out of sight");
+    CHECK(fleet.state_machine->reports()[0].wait_reasons.at(0) == "1 changed processes not observed");
     fleet.unreachable.clear();
     CHECK(fleet.step_until(Phase::completed));
     FakeFleet partly_unreachable(10);
@@ -105,8 +107,8 @@
             partly_unreachable.state_machine->state().targets[static_cast<std::size_t>(i)].id);
     REQUIRE(partly_unreachable.step_until(Phase::rolled_back));
     CHECK(partly_unreachable.state_machine->state().rollback_reason ==
-          "held too long: 4 unchanged processes are out of sight");
-    // A process that is unreachable during the rollback is waited for.
+          "inconclusive for too long: 4 unchanged processes not observed");
+    // The rollback waits for a process that is unreachable.
     FakeFleet returning(10);
     returning.step_until(Phase::baking);
     const std::string first = returning.state_machine->state().targets[0].id;
@@ -118,7 +120,7 @@
     CHECK(returning.updated_count() == 0);
 }
 
-TEST_CASE("rollout state machine: continues from the state of any step, and not with another plan") {
+TEST_CASE("rollout state machine: continues from the stored state of any step, but not with another plan") {
     for (int steps = 1; steps < 60; steps += 3) {
         FakeFleet fleet(10);
         if (steps % 2 == 0)
