--- a/src/supervisor/child_process.cpp
+++ b/src/supervisor/child_process.cpp
@@ -14,7 +14,7 @@
 constexpr mode_t log_file_mode = 0644;
 constexpr std::size_t standard_streams = 3;
 
-/// The environment of this process without the variables that the program itself reads.
+/// Returns the environment of this process without the variables that the program itself reads.
 std::vector<std::string> inherited_environment() {
     std::vector<std::string> variables;
     for (char** entry = environ; *entry != nullptr; ++entry) {
@@ -32,7 +32,7 @@
     return container;
 }
 
-std::vector<char*> null_terminated(std::vector<std::string>& strings) {
+std::vector<char*> null_terminated_pointers(std::vector<std::string>& strings) {
     std::vector<char*> pointers;
     pointers.reserve(strings.size() + 1);
     for (std::string& string : strings)
@@ -41,7 +41,7 @@
     return pointers;
 }
 
-/// Output of a child: a log file that is closed here after the start, or the standard error of this process.
+/// Output descriptor of a child: a log file, closed on destruction, or the standard error of this process.
 class ChildOutput {
 public:
     explicit ChildOutput(const std::string& log_file) {
@@ -92,8 +92,8 @@
         environment.push_back(std::string(inherited.variable) + '=' + std::to_string(descriptors.size()));
         descriptors.push_back(inherited_descriptor(inherited.socket->descriptor()));
     }
-    std::vector<char*> argument_pointers = null_terminated(arguments);
-    std::vector<char*> environment_pointers = null_terminated(environment);
+    std::vector<char*> argument_pointers = null_terminated_pointers(arguments);
+    std::vector<char*> environment_pointers = null_terminated_pointers(environment);
     uv_process_options_t options{};
     options.file = arguments.front().c_str();
     options.args = argument_pointers.data();
--- a/src/supervisor/child_process.hpp
+++ b/src/supervisor/child_process.hpp
@@ -1,4 +1,4 @@
-/// One child process of a supervisor: its start with inherited sockets, signals to it, and its exit.
+/// A child process of a supervisor: its start with inherited sockets, signals to it, and its exit.
 #pragma once
 
 #include <uv.h>
@@ -14,63 +14,64 @@
 
 namespace cressledge::supervisor {
 
-/// How a process ended.
+/// Exit status of a process.
 struct ExitStatus {
-    /// Exit code; 0 where a signal ended the process.
+    /// Exit code; 0 if a signal ended the process.
     std::int64_t code = 0;
-    /// Number of the signal that ended the process; 0: none.
+    /// Number of the signal that ended the process; 0 if none did.
     int signal = 0;
 };
 
-/// "signal N" or "status N", as the log and the admin address show it.
+/// Returns "signal N" or "status N", as reported in the log and on the admin address.
 std::string to_string(const ExitStatus& status);
 
-/// A socket that a child inherits, and the environment variable that tells the child its descriptor.
+/// A socket that a child inherits, and the environment variable that holds its descriptor number.
 struct InheritedSocket {
     const char* variable;
     const ListeningSocket* socket;
 };
 
-/// What a child is started with.
+/// Arguments, sockets and output with which a child is started.
 struct ChildCommand {
-    /// The program, then its arguments.
+    /// Path of the program, followed by its arguments.
     std::vector<std::string> arguments;
     std::vector<InheritedSocket> sockets;
-    /// File that standard output and standard error are appended to; empty: those of this process.
+    /// File to which standard output and standard error are appended; empty: the standard error of this process.
     std::string log_file;
 };
 
-/// Owns the handle of one child process. It must be closed, and its loop run until the close has ended, before it is
-/// destroyed. `close` may be called from within the exit callback.
+/// Owns the handle of one child process. Before destruction, `close` must be called and the loop run until the
+/// handle is closed. `close` may be called from the exit callback.
 class ChildProcess {
 public:
-    /// Exit code that stands for a program that could not be started, as in a shell.
+    /// Exit code for a program that could not be started, as used by shells.
     static constexpr std::int64_t cannot_start_code = 127;
 
-    /// `admin_socket` is the child's own, so that it can be asked while its predecessor still runs.
+    /// `admin_socket` belongs to this child alone, so that it can be queried while its predecessor still runs.
     ChildProcess(Generation generation, ListeningSocket admin_socket);
     ChildProcess(const ChildProcess&) = delete;
     ChildProcess& operator=(const ChildProcess&) = delete;
 
-    /// Starts the program; returns 0 or a libuv error code. `on_exit` is called once, on a later turn of the loop, and
-    /// never after an error.
+    /// Starts the program; returns 0 or a libuv error code. On success `on_exit` is called once, in a later
+    /// iteration of the loop; after an error it is never called.
     int spawn(uv_loop_t* loop, const ChildCommand& command, std::function<void(const ExitStatus&)> on_exit);
 
-    /// Sends a signal, unless the exit has been reported.
+    /// Sends a signal; does nothing after the exit was reported.
     void send_signal(int signal);
 
-    /// Takes note of an exit that the loop did not report: that of a program that was never started.
+    /// Marks the child as exited. Needed if the program could not be started, as the loop reports no exit then.
     void mark_exited() { is_alive_ = false; }
 
-    /// Closes the handle; `on_closed` may destroy this object.
+    /// Closes the handle, then calls `on_closed`, which may destroy this object.
     void close(std::function<void()> on_closed);
 
-    /// The generation that the child was started as.
+    /// The generation of the child.
     Generation generation() const { return generation_; }
-    /// The system's id of the process; 0 before it is started.
+    /// The process id; 0 before the start.
     int pid() const { return handle_.pid; }
-    /// The listening socket of the child's admin address, and that address.
+    /// The listening socket of the child's admin address.
     const ListeningSocket& admin_socket() const { return admin_socket_; }
+    /// The child's admin address.
     const net::Address& admin_address() const { return admin_address_; }
 
 private:
--- a/src/supervisor/listening_socket.hpp
+++ b/src/supervisor/listening_socket.hpp
@@ -1,18 +1,18 @@
-/// A listening TCP socket that is owned here and inherited by child processes.
+/// A listening TCP socket that the supervisor owns and child processes inherit.
 #pragma once
 
 #include <string>
 
 namespace cressledge::supervisor {
 
-/// Owns the descriptor of a listening socket; closes it at the end of its life.
+/// Owns the descriptor of a listening socket and closes it on destruction.
 class ListeningSocket {
 public:
-    /// No socket.
+    /// Creates an object without a socket.
     ListeningSocket() = default;
 
-    /// Binds and listens at `address`, `HOST:PORT` with port 0 for one of the kernel's choice; empty: no socket.
-    /// Throws `std::runtime_error` where the address cannot be listened on.
+    /// Binds and listens on `address`, of the form `HOST:PORT`. With port 0 the kernel chooses the port; an empty
+    /// address creates no socket. Throws `std::runtime_error` if listening fails.
     explicit ListeningSocket(const std::string& address);
 
     ListeningSocket(ListeningSocket&& other) noexcept;
@@ -21,9 +21,9 @@
 
     /// Whether there is a socket.
     bool is_open() const { return descriptor_ >= 0; }
-    /// The file descriptor, still owned here; -1 for no socket.
+    /// The file descriptor, still owned by this object; -1 without a socket.
     int descriptor() const { return descriptor_; }
-    /// The address with the port as bound; empty for no socket.
+    /// The address with the bound port; empty without a socket.
     const std::string& address() const { return address_; }
 
 private:
--- a/src/supervisor/live_settings.cpp
+++ b/src/supervisor/live_settings.cpp
@@ -25,7 +25,7 @@
     return merged;
 }
 
-void write_checked(const std::string& settings_file, const std::string& overlay, const std::string& path) {
+void write_validated(const std::string& settings_file, const std::string& overlay, const std::string& path) {
     YAML::Node settings = YAML::Load(config::read_file(settings_file));
     if (!overlay.empty())
         settings = merge_overlay(settings, YAML::Load(overlay));
@@ -34,7 +34,7 @@
     out.close();
     if (!out)
         throw LiveSettingsError(path + ": cannot be written");
-    // No process is told of a file that it would reject.
+    // Validated before the file replaces the current one, so that no process reloads a file that it would reject.
     config::load_operator_config(path);
 }
 
@@ -48,7 +48,7 @@
     const std::string live_path = live_settings_path(settings_file);
     const std::string temporary_path = live_path + ".new";
     try {
-        write_checked(settings_file, overlay, temporary_path);
+        write_validated(settings_file, overlay, temporary_path);
     } catch (const std::exception& error) {
         std::remove(temporary_path.c_str());
         throw LiveSettingsError(error.what());
--- a/src/supervisor/process_lifecycle.cpp
+++ b/src/supervisor/process_lifecycle.cpp
@@ -6,6 +6,7 @@
 namespace cressledge::supervisor {
 namespace {
 
+/// Upper limit of the crash counter.
 constexpr std::uint32_t max_consecutive_crashes = 16;
 constexpr std::uint32_t max_backoff_doublings = 10;
 
@@ -48,7 +49,7 @@
     finish_change(ChangeStatus::failed, error);
     if (requested_spec_ == pending_spec_)
         requested_spec_ = active_spec_;
-    // The current process still runs by the active spec; only the file has to name it again.
+    // The current process still runs with the active spec; only the settings file has to be restored.
     actions.push_back({LifecycleAction::Type::restore_settings, no_generation, active_spec_});
 }
 
@@ -56,14 +57,14 @@
     if (is_shutting_down_ || successor_generation_ != no_generation || is_reloading_)
         return;
     if (requested_spec_ == active_spec_) {
-        // The request was withdrawn before it began.
+        // The request was withdrawn before the change began.
         if (change_status_ == ChangeStatus::in_progress)
             finish_change(ChangeStatus::succeeded, "");
         return;
     }
     change_status_ = ChangeStatus::in_progress;
     change_error_.clear();
-    // A change waits for a ready process: without one nothing would go on serving if the change failed.
+    // A change waits until the current process is ready, because otherwise no process would serve if the change failed.
     if (!is_current_ready_)
         return;
     pending_spec_ = requested_spec_;
@@ -106,14 +107,14 @@
 void ProcessLifecycle::on_exited(Timestamp now, Generation generation, Actions& actions) {
     if (generation == no_generation)
         return;
-    const auto is_exited = [generation](const DrainingProcess& draining) {
+    const auto has_exited = [generation](const DrainingProcess& draining) {
         return draining.generation == generation;
     };
-    if (std::erase_if(draining_, is_exited) != 0)
+    if (std::erase_if(draining_, has_exited) != 0)
         return;
     if (generation == successor_generation_) {
         successor_generation_ = no_generation;
-        fail_change("the new program ended before it was ready", actions);
+        fail_change("the new program exited before it was ready", actions);
         begin_next_change(now, actions);
         return;
     }
@@ -130,7 +131,7 @@
         ++crash_count_;
     if (is_reloading_) {
         is_reloading_ = false;
-        fail_change("it ended while it read the settings", actions);
+        fail_change("the process exited while it reloaded the settings", actions);
     }
     if (now - current_started_at_ >= policy_.stable_uptime)
         consecutive_crashes_ = 0;
@@ -182,10 +183,10 @@
         return;
     }
     if (is_reloading_) {
-        on_settings_applied(now, false, "no word on whether the settings were taken", actions);
+        on_settings_applied(now, false, "the process did not reload the settings in time", actions);
         return;
     }
-    // Its exit leads to a restart.
+    // The process was not ready in time; its exit triggers a restart.
     if (current_generation_ != no_generation && !is_current_ready_)
         actions.push_back({LifecycleAction::Type::kill, current_generation_, {}});
 }
@@ -201,7 +202,7 @@
 
 void ProcessLifecycle::abandon_successor(Timestamp now, Actions& actions) {
     actions.push_back({LifecycleAction::Type::kill, successor_generation_, {}});
-    // Its exit is reported later, when it no longer is the successor.
+    // Its exit is reported later, when it is no longer the successor.
     draining_.push_back({std::exchange(successor_generation_, no_generation), Timestamp::max()});
     fail_change("the new program was not ready in time", actions);
     begin_next_change(now, actions);
--- a/src/supervisor/process_lifecycle.hpp
+++ b/src/supervisor/process_lifecycle.hpp
@@ -1,13 +1,13 @@
-/// The lifecycle of one supervised process: its starts, hand-overs to a successor, changes of settings, and restarts
-/// after crashes. No I/O: events and the time come in, actions go out.
+/// The lifecycle of one supervised process: its starts, handovers to a successor, settings changes, and restarts after
+/// crashes. No I/O: events and the time are the input, actions the output.
 ///
-///   starting -> ready       the process says that it is ready
-///   starting -> (exited)    not ready in time, or exited first; if it was a successor, the current process goes on
-///   ready    -> draining    its successor is ready and takes its place; it answers what it has read, and exits
-///   ready    -> (exited)    without having been told to: a crash; it is restarted with exponential backoff
+///   starting -> ready       the process reports readiness
+///   starting -> (exited)    not ready in time, or exited first; if it was a successor, the current process continues
+///   ready    -> draining    its successor is ready and replaces it; it answers the requests that it has read and exits
+///   ready    -> (exited)    an unrequested exit, that is a crash; it is restarted with exponential backoff
 ///
-/// Invariants: there is at most one successor at a time; the process that serves is always the last one that became
-/// ready; a change has either succeeded, or failed and left the previous spec active.
+/// Invariants: there is at most one successor at a time; the serving process is always the last one that became
+/// ready; a finished change has either succeeded, or failed and left the previous spec active.
 #pragma once
 
 #include <cstdint>
@@ -25,31 +25,32 @@
 
 /// Timeouts and backoff of a lifecycle.
 struct SupervisionPolicy {
-    /// From a start until the process must be ready; then it is killed.
+    /// Time from the start within which the process must be ready; then it is killed.
     Duration ready_timeout{10'000'000};
-    /// From the request to reload settings until the process must have answered; then the change has failed.
+    /// Time from a reload request within which the process must apply or reject the settings; then the change fails.
     Duration reload_timeout{5'000'000};
-    /// From a hand-over or a request to terminate until the process is killed.
+    /// Time from a handover or termination request after which the process is killed.
     Duration drain_timeout{10'000'000};
-    /// From a crash to the restart; doubled with each consecutive crash.
+    /// Base of the restart delay after a crash; the delay doubles with each consecutive crash.
     Duration initial_backoff{200'000};
+    /// Upper limit of the restart delay.
     Duration max_backoff{10'000'000};
-    /// A process that has run for this long ends a row of consecutive crashes.
+    /// Uptime after which the count of consecutive crashes starts again at 0.
     Duration stable_uptime{30'000'000};
 };
 
-/// What the owner of a lifecycle has to do, in the order given.
+/// An action that the owner of a lifecycle must perform, in the order of the list.
 struct LifecycleAction {
     enum class Type {
-        /// Start a process of `generation` by `spec`.
+        /// Start a process of `generation` with `spec`.
         start,
-        /// Write the settings of `spec` and have the process of `generation` reload them.
+        /// Write the settings of `spec` and make the process of `generation` reload them.
         reload_settings,
-        /// Write the settings of `spec`, which are active already; no process has to be told.
+        /// Write the settings of `spec`, which are already active; no process reloads them.
         restore_settings,
-        /// Have the process of `generation` give its sockets to its successor and drain.
+        /// Make the process of `generation` hand over its sockets to its successor and drain.
         hand_over,
-        /// Have the process of `generation` drain and exit.
+        /// Make the process of `generation` drain and exit.
         terminate,
         /// Kill the process of `generation`.
         kill,
@@ -60,65 +61,65 @@
     ProcessSpec spec;
 };
 
-/// State machine of one supervised process. Each event appends the actions that follow from it.
+/// State machine of one supervised process. Each event appends the actions to perform to `actions`.
 class ProcessLifecycle {
 public:
     using Actions = std::vector<LifecycleAction>;
 
-    /// Nothing runs until `start_current`.
+    /// No process runs until `start_current` is called.
     ProcessLifecycle(const ProcessSpec& spec, const SupervisionPolicy& policy)
         : policy_(policy), active_spec_(spec), requested_spec_(spec) {}
 
-    /// Starts the process by the active spec, unless there is one or the lifecycle is shutting down.
+    /// Starts a process with the active spec, unless one is running or the lifecycle is shutting down.
     void start_current(Timestamp now, Actions& actions);
 
-    /// Asks for another spec. While a change is in progress a later one waits for its end; only the last one counts.
+    /// Requests another spec. A request during a change waits for its end; only the last request is kept.
     void request_spec(Timestamp now, const ProcessSpec& spec, Actions& actions);
 
-    /// The process of `generation` says that it is ready.
+    /// The process of `generation` has become ready.
     void on_ready(Timestamp now, Generation generation, Actions& actions);
 
     /// The process of `generation` has exited.
     void on_exited(Timestamp now, Generation generation, Actions& actions);
 
-    /// The process has answered a reload; `error` says why where it was not accepted.
+    /// The process has applied or rejected reloaded settings; `error` is the reason if not `accepted`.
     void on_settings_applied(Timestamp now, bool accepted, const std::string& error, Actions& actions);
 
-    /// Takes what is due; to be called at `next_deadline()` or later.
+    /// Handles expired deadlines; to be called at `next_deadline()` or later.
     void on_timer(Timestamp now, Actions& actions);
 
-    /// When `on_timer` is next to be called; `Timestamp::max()` where nothing is due.
+    /// Time of the next call of `on_timer`; `Timestamp::max()` if there is no deadline.
     Timestamp next_deadline() const;
 
-    /// Ends all processes; nothing is started again.
+    /// Terminates all processes; none is started again.
     void shut_down(Timestamp now, Actions& actions);
 
-    /// Forgets how the last change ended. A change that is in progress goes on.
+    /// Clears the result of the last change. A change in progress continues.
     void clear_change_status();
 
-    /// Spec of the process that serves, or that is to be restarted after a crash.
+    /// Spec of the serving process, or of the process to be restarted after a crash.
     const ProcessSpec& active_spec() const { return active_spec_; }
-    /// The spec that was asked for last.
+    /// The spec that was requested last.
     const ProcessSpec& requested_spec() const { return requested_spec_; }
 
-    /// How the last requested change ended, or that it is in progress.
+    /// Status of the last requested change.
     ChangeStatus change_status() const { return change_status_; }
     /// Why the last change failed; empty for any other status.
     const std::string& change_error() const { return change_error_; }
 
-    /// The process that serves, or `no_generation`.
+    /// The serving process, or `no_generation`.
     Generation serving_generation() const { return is_current_ready_ ? current_generation_ : no_generation; }
-    /// The process that serves or is being started to serve, or `no_generation`.
+    /// The process that serves or is starting without a predecessor, or `no_generation`.
     Generation current_generation() const { return current_generation_; }
-    /// The process that is to replace the current one, or `no_generation`.
+    /// The starting process that will replace the current one, or `no_generation`.
     Generation successor_generation() const { return successor_generation_; }
 
-    /// Whether it was shut down and every process has exited.
+    /// Whether the lifecycle was shut down and every process has exited.
     bool is_finished() const;
 
-    /// Processes started in all generations.
+    /// Number of processes started.
     std::uint64_t start_count() const { return start_count_; }
-    /// Unrequested exits of processes that were serving.
+    /// Number of unrequested exits of serving processes.
     std::uint64_t crash_count() const { return crash_count_; }
 
 private:
@@ -140,7 +141,7 @@
     const SupervisionPolicy policy_;
     ProcessSpec active_spec_;
     ProcessSpec requested_spec_;
-    /// Spec of the change in progress; `requested_spec_` may have moved on meanwhile.
+    /// Spec of the change in progress; `requested_spec_` may already be a later one.
     ProcessSpec pending_spec_;
     ChangeStatus change_status_ = ChangeStatus::none;
     std::string change_error_;
@@ -151,7 +152,7 @@
     bool is_reloading_ = false;
     bool is_shutting_down_ = false;
     Timestamp current_started_at_{0};
-    /// When the start or reload in progress has failed.
+    /// Deadline of the start or reload in progress.
     Timestamp step_deadline_{Timestamp::max()};
     Timestamp restart_at_{Timestamp::max()};
     std::uint32_t consecutive_crashes_ = 0;
--- a/src/supervisor/supervised_process.hpp
+++ b/src/supervisor/supervised_process.hpp
@@ -1,5 +1,5 @@
-/// What a supervisor keeps of one process: its settings, its lifecycle, the sockets that callers know, and the child
-/// processes of all generations that have not exited yet. No logic; `Supervisor` acts on it.
+/// The state of one process in a supervisor: its settings, its lifecycle, its public sockets, and the child
+/// processes of all generations that have not exited yet. Contains no logic; used by `Supervisor`.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 namespace cressledge::supervisor {
 
-/// Counters of a process before it was asked to reload its settings: one of them grows when it has answered.
+/// Counters of applied and rejected reloads of a process. One of them increases when a requested reload is done.
 struct ReloadCounters {
     std::uint64_t applied = 0;
     std::uint64_t rejected = 0;
@@ -24,11 +24,11 @@
 
 /// One supervised process over all its generations; owned by `Supervisor`.
 struct SupervisedProcess {
-    /// The first generation runs the program of the settings, without an overlay.
+    /// The first generation runs the program from the settings, without an overlay.
     SupervisedProcess(ProcessSettings process_settings, const SupervisionPolicy& policy)
         : settings(std::move(process_settings)), lifecycle({settings.program, ""}, policy) {}
 
-    /// The child of `generation`; null where there is none.
+    /// Returns the child of `generation`; null if there is none.
     ChildProcess* find_child(Generation generation) const {
         const auto found = children.find(generation);
         return found == children.end() ? nullptr : found->second.get();
@@ -41,10 +41,11 @@
     std::map<Generation, std::unique_ptr<ChildProcess>> children;
     base::TimerHandle lifecycle_timer;
     base::TimerHandle poll_timer;
-    /// How the last process ended that had not been told to.
+    /// Exit status of the last process that exited without a request; empty if none has.
     std::string last_unrequested_exit;
-    /// Whether the process has been told of the change of settings in progress.
+    /// Whether the reload of the settings change in progress was requested from the process.
     bool is_reload_requested = false;
+    /// Counters as read just before the last reload request.
     ReloadCounters counters_before_reload;
 };
 
--- a/src/supervisor/supervisor.cpp
+++ b/src/supervisor/supervisor.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::ordered_json;
 
-/// Descriptors beyond those that are open at the start and those of the admin address: those of one child being started.
+/// Descriptors reserved for starting one child, in addition to those open at startup and those of the admin address.
 constexpr std::size_t spare_descriptors = 2;
 
 connection_admission::DescriptorPlan descriptor_plan() {
@@ -25,7 +25,7 @@
         net::descriptor_limit(), net::count_open_descriptors() + spare_descriptors, demand, 1);
 }
 
-/// An address on the host of `process`, with a port of the kernel's choice.
+/// Returns an address on the host of `process` with a port chosen by the kernel.
 std::string admin_address_for(const SupervisedProcess& process) {
     const std::string& public_address =
         process.http_socket.address().empty() ? process.scgi_socket.address() : process.http_socket.address();
@@ -112,7 +112,7 @@
             spawn(process, action.generation, action.spec);
             break;
         case LifecycleAction::Type::reload_settings:
-            // `poll` notes the counters, writes the file, tells the process and waits for its answer.
+            // `poll` reads the counters, writes the file, signals the process and waits for the result.
             process.is_reload_requested = false;
             break;
         case LifecycleAction::Type::restore_settings:
@@ -166,9 +166,9 @@
     process.children[generation] = std::move(owned_child);
     if (error == 0)
         return;
-    base::log_error("supervisor: process not started process={} program={} error=\"{}\"", process.settings.id,
-                    spec.program, uv_strerror(error));
-    // Reported on the next turn of the loop: the lifecycle that asked for the start is still on the stack.
+    base::log_error("supervisor: process not started process={} program=\"{}\" error=\"{}\"",
+                    process.settings.id, spec.program, uv_strerror(error));
+    // Reported in the next iteration of the loop, because the lifecycle that requested the start is still on the stack.
     timers_.schedule_detached(Timestamp(0), [this, &process, generation] {
         on_exited(process, generation, {ChildProcess::cannot_start_code, 0});
     });
--- a/src/supervisor/supervisor.hpp
+++ b/src/supervisor/supervisor.hpp
@@ -1,9 +1,9 @@
-/// Keeps processes of the program up on one machine: holds the sockets that callers know, starts each process with
-/// them, replaces it by another program or gives it other settings on request, and restarts what crashes.
-/// `ProcessLifecycle` decides; here are the sockets, the files, the child processes and the admin address.
+/// Supervises processes of the program on one machine: owns their public sockets, starts each process with these
+/// sockets, replaces its program or settings on request, and restarts crashed processes. `ProcessLifecycle` makes
+/// the decisions; `Supervisor` manages the sockets, files, child processes and the admin address.
 ///
-///   GET  /v1/processes          all of them: id, active spec, change, starts, crashes, and each one's admin address
-///   POST /v1/processes/ID       {"roll", "program", "overlay"}: another spec; 202, or 409 under another rollout's name
+///   GET  /v1/processes          all processes: id, active spec, change, starts, crashes, admin address and more
+///   POST /v1/processes/ID       {"roll", "program", "overlay"}: requests another spec; 202, or 409 without the lease
 ///   POST /v1/roll               {"roll", "held": true|false}: takes or releases the lease of this supervisor
 ///
 /// Invariant: only the rollout that holds the lease changes a process.
@@ -34,8 +34,8 @@
 /// Supervises the processes of one settings file.
 class Supervisor final : public admin::AdminSource {
 public:
-    /// Binds every socket. Throws `std::runtime_error` where an address cannot be listened on, and
-    /// `config::ConfigError` for an operator's file that cannot be used.
+    /// Binds every socket. Throws `std::runtime_error` if listening on an address fails, and `config::ConfigError` for
+    /// an invalid operator's file.
     Supervisor(net::Loop& loop, base::TimerQueue& timers, const SupervisorSettings& settings);
 
     /// Kills all processes and waits for their exits.
@@ -43,10 +43,10 @@
     Supervisor(const Supervisor&) = delete;
     Supervisor& operator=(const Supervisor&) = delete;
 
-    /// Starts the processes.
+    /// Starts all processes.
     void start();
 
-    /// Has all processes drain and exit; `is_finished` tells when they have.
+    /// Makes all processes drain and exit; `is_finished` returns true when they have.
     void shut_down();
     /// Whether all processes have exited after `shut_down`.
     bool is_finished() const;
@@ -54,10 +54,10 @@
     /// Port of the supervisor's own admin address.
     int port() const { return admin_server_.port(); }
 
-    /// Body of `GET /v1/processes`.
+    /// Returns the body of `GET /v1/processes`.
     std::string status_json();
 
-    /// Whether every process serves.
+    /// Whether every process is serving.
     bool is_ready() override;
     void collect_metrics(base::Metrics& out) override;
     std::optional<Reply> handle_request(const std::string& method, const std::string& path,
@@ -72,7 +72,7 @@
     void schedule_lifecycle_timer(SupervisedProcess& process);
 
     void poll(SupervisedProcess& process);
-    void schedule_poll(SupervisedProcess& process, Timestamp when);
+    void schedule_poll(SupervisedProcess& process, Timestamp poll_at);
     void poll_readiness(SupervisedProcess& process, Generation generation);
     void poll_reload(SupervisedProcess& process, Generation generation);
     void on_reload_metrics(SupervisedProcess& process, Generation generation, const std::string& metrics);
@@ -90,9 +90,9 @@
     connection_admission::FileDescriptorBudget descriptors_;
     net::HttpClient http_client_;
     std::vector<std::unique_ptr<SupervisedProcess>> processes_;
-    /// Child processes whose handles have not been closed.
+    /// Number of child processes whose handles are not closed yet.
     std::size_t child_count_ = 0;
-    /// Name of the rollout that holds the lease; empty: none.
+    /// Name of the rollout that holds the lease; empty if none does.
     std::string lease_holder_;
     admin::AdminServer admin_server_;
 };
--- a/src/supervisor/supervisor_admin.cpp
+++ b/src/supervisor/supervisor_admin.cpp
@@ -93,7 +93,7 @@
         throw RequestError(status_method_not_allowed, "POST only");
     const SupervisorRequest request(body);
     if (!lease_holder_.empty() && lease_holder_ != request.rollout_name())
-        throw RequestError(status_conflict, "held by the roll " + lease_holder_);
+        throw RequestError(status_conflict, "lease held by rollout " + lease_holder_);
     if (path == lease_path)
         return change_lease(request);
     const std::string prefix = std::string(processes_path) + '/';
@@ -105,7 +105,7 @@
 
 Supervisor::Reply Supervisor::change_lease(const SupervisorRequest& request) {
     const std::string holder = request.takes_lease() ? request.rollout_name() : "";
-    // How a change of an earlier rollout ended is of no interest to this one.
+    // The result of a change by an earlier rollout must not be reported to this one.
     if (lease_holder_.empty() && !holder.empty()) {
         for (const auto& process : processes_)
             process->lifecycle.clear_change_status();
@@ -120,7 +120,7 @@
 
 Supervisor::Reply Supervisor::change_spec(SupervisedProcess& process, const SupervisorRequest& request) {
     if (lease_holder_.empty())
-        throw RequestError(status_conflict, "held by no roll");
+        throw RequestError(status_conflict, "no rollout holds the lease");
     ProcessLifecycle::Actions actions;
     process.lifecycle.request_spec(loop_.unix_now(), request.spec(), actions);
     execute(process, actions);
--- a/src/supervisor/supervisor_polls.cpp
+++ b/src/supervisor/supervisor_polls.cpp
@@ -1,4 +1,4 @@
-/// How a supervisor learns that a process is ready and what became of a reload: it asks until there is an answer.
+/// Polls processes for their readiness and for the results of settings reloads.
 #include <csignal>
 #include <cstdlib>
 
@@ -13,7 +13,7 @@
 constexpr Duration request_timeout{1'000'000};
 constexpr int http_ok = 200;
 
-/// The process whose readiness is awaited, or `no_generation`.
+/// Returns the process whose readiness is awaited, or `no_generation`.
 Generation starting_generation(const ProcessLifecycle& lifecycle) {
     if (lifecycle.successor_generation() != no_generation)
         return lifecycle.successor_generation();
@@ -22,7 +22,7 @@
     return no_generation;
 }
 
-/// The value of `name` in the body of `GET /v1/metrics`; 0 where it is not there.
+/// Returns the value of `name` in the body of `GET /v1/metrics`; 0 if it is missing.
 std::uint64_t metric_value(const std::string& metrics, const std::string& name) {
     const std::string key = name + '=';
     const std::size_t position = metrics.find(key);
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-void Supervisor::schedule_poll(SupervisedProcess& process, Timestamp when) {
-    process.poll_timer = timers_.schedule(when, [this, &process] { poll(process); });
+void Supervisor::schedule_poll(SupervisedProcess& process, Timestamp poll_at) {
+    process.poll_timer = timers_.schedule(poll_at, [this, &process] { poll(process); });
 }
 
 void Supervisor::poll(SupervisedProcess& process) {
@@ -93,7 +93,7 @@
         process.counters_before_reload = counters;
         request_reload(process, generation, actions);
     } else if (was_applied || was_rejected) {
-        lifecycle.on_settings_applied(loop_.unix_now(), was_applied, "the process turned the settings down",
+        lifecycle.on_settings_applied(loop_.unix_now(), was_applied, "the process rejected the settings",
                                       actions);
     } else {
         return;
--- a/src/supervisor/supervisor_request.cpp
+++ b/src/supervisor/supervisor_request.cpp
@@ -25,7 +25,7 @@
         throw RequestError(status_bad_request, std::string("overlay: ") + error.what());
     }
     if (!is_mapping)
-        throw RequestError(status_bad_request, "overlay: not a mapping");
+        throw RequestError(status_bad_request, "overlay: not a YAML mapping");
 }
 
 }  // namespace
@@ -34,13 +34,13 @@
     : json_(nlohmann::json::parse(body, nullptr, false)) {
     const std::optional<std::string> name = text_field(json_, "roll");
     if (!name || name->empty() || name->size() > max_rollout_name_length)
-        throw RequestError(status_bad_request, "no name of a roll");
+        throw RequestError(status_bad_request, "roll: not a string of 1 to 128 characters");
     rollout_name_ = *name;
 }
 
 bool SupervisorRequest::takes_lease() const {
     if (!json_.contains("held") || !json_["held"].is_boolean())
-        throw RequestError(status_bad_request, "held: neither true nor false");
+        throw RequestError(status_bad_request, "held: not true or false");
     return json_["held"].get<bool>();
 }
 
@@ -48,7 +48,7 @@
     const std::optional<std::string> program = text_field(json_, "program");
     const std::optional<std::string> overlay = text_field(json_, "overlay");
     if (!program || program->empty() || !overlay)
-        throw RequestError(status_bad_request, "program and overlay: texts");
+        throw RequestError(status_bad_request, "program and overlay: must be strings, program not empty");
     require_mapping(*overlay);
     return {*program, *overlay};
 }
--- a/src/supervisor/supervisor_request.hpp
+++ b/src/supervisor/supervisor_request.hpp
@@ -1,4 +1,4 @@
-/// Reads the bodies of requests to a supervisor's admin address. Knows the words of the wire, and nothing of processes.
+/// Parses the bodies of requests to a supervisor's admin address. Independent of the processes and their state.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,14 +9,14 @@
 
 namespace cressledge::supervisor {
 
-/// A request that is not granted: the HTTP status of the answer and why.
+/// Thrown for a request that is rejected; holds the HTTP status of the response and the reason.
 class RequestError : public std::runtime_error {
 public:
-    /// `status`: the status line without the version, of static lifetime.
+    /// `status` is the status line without the version; it must have static lifetime.
     RequestError(const char* status, const std::string& reason)
         : std::runtime_error(reason), status_(status) {}
 
-    /// The HTTP status of the answer; what() is the reason.
+    /// The HTTP status of the response; what() is the reason.
     const char* status() const { return status_; }
 
 private:
@@ -30,19 +30,20 @@
 constexpr const char* status_method_not_allowed = "405 Method Not Allowed";
 constexpr const char* status_conflict = "409 Conflict";
 
-/// The body of one POST, a JSON object that names the rollout it comes from.
+/// The body of one POST request, a JSON object with the name of the rollout that sent it.
 class SupervisorRequest {
 public:
-    /// Throws `RequestError` where the body names no rollout.
+    /// Parses `body`. Throws `RequestError` if it names no rollout.
     explicit SupervisorRequest(const std::string& body);
 
-    /// The rollout that the request comes from; never empty.
+    /// Name of the rollout that sent the request; never empty.
     const std::string& rollout_name() const { return rollout_name_; }
 
-    /// Whether the rollout takes the lease (`true`) or releases it. Throws `RequestError`.
+    /// Whether the rollout takes the lease (`true`) or releases it. Throws `RequestError` if the field is invalid.
     bool takes_lease() const;
 
-    /// The requested program and settings; the overlay is empty or a YAML mapping. Throws `RequestError`.
+    /// The requested program and settings; the overlay is empty or a YAML mapping. Throws `RequestError` if a field is
+    /// invalid.
     ProcessSpec spec() const;
 
 private:
--- a/tests/cressledge/inherited_listener_test.cpp
+++ b/tests/cressledge/inherited_listener_test.cpp
@@ -1,4 +1,5 @@
-// Listening sockets that the process inherits from the platform: which are adopted, and what closing one leaves open.
+// Listening sockets inherited from the platform: which descriptors are adopted, and that closing one here leaves the
+// platform's socket open.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -11,7 +12,7 @@
 
 using namespace cressledge::testing;
 
-// A listening socket on a free port, as the platform opens it.
+// Opens a listening socket on a free port, like the platform.
 int open_platform_socket() {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     REQUIRE(fd >= 0);
@@ -21,7 +22,7 @@
     return fd;
 }
 
-// Why a descriptor is not adopted, or "adopted".
+// Returns the error for a descriptor that is not adopted, or "adopted".
 std::string adoption_error(const char* value) {
     ::setenv("CRESSLEDGE_TEST_FD", value, 1);
     try {
@@ -35,7 +36,7 @@
 }  // namespace
 
 TEST_CASE(
-    "inherited listener: a descriptor that is no listening TCP socket is rejected, with the variable's "
+    "inherited listener: a descriptor that is not a listening TCP socket is rejected, with the variable's "
     "name") {
     ::unsetenv("CRESSLEDGE_TEST_FD");
     CHECK(net::inherited_listening_socket("CRESSLEDGE_TEST_FD") == -1);
@@ -80,7 +81,7 @@
     first->send("one");
     test_loop.run_until([&] { return accepted[0]->has_received("one"); });
 
-    // As in a graceful shutdown: connections still come to the backlog of the platform's socket.
+    // As in a graceful shutdown, new connections still reach the backlog of the platform's socket.
     listener->close();
     auto second = connect_peer(test_loop, port);
     REQUIRE(second->is_open);
--- a/tests/cressledge/process_lifecycle_test.cpp
+++ b/tests/cressledge/process_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-/// The lifecycle of one supervised process, event by event.
+/// Unit tests of the lifecycle of one supervised process.
 #include "supervisor/process_lifecycle.hpp"
 
 #include <string>
@@ -30,7 +30,7 @@
 }
 
 struct LifecycleFixture {
-    /// The actions since the last call, each as "TYPE GENERATION SPEC;".
+    /// Returns and clears the actions since the last call, each as "TYPE GENERATION SPEC;".
     std::string take_actions() {
         std::string text;
         for (const LifecycleAction& action : actions)
@@ -47,13 +47,13 @@
 }  // namespace
 
 TEST_CASE(
-    "process lifecycle: another program takes over once it is ready, and the old one goes on where it is "
+    "process lifecycle: a new program takes over when it is ready, and the old one continues if it is "
     "not") {
     LifecycleFixture fixture;
     fixture.lifecycle.start_current(seconds(0), fixture.actions);
     CHECK(fixture.take_actions() == "start 1 old;");
     fixture.lifecycle.request_spec(seconds(0), {"new", ""}, fixture.actions);
-    // No process is ready that could go on if the change failed.
+    // The change waits, because no process is ready that could continue if it failed.
     CHECK(fixture.take_actions().empty());
     fixture.lifecycle.on_ready(seconds(1), 1, fixture.actions);
     CHECK(fixture.take_actions() == "start 2 new;");
@@ -63,7 +63,7 @@
     CHECK(fixture.take_actions() == "hand-over 1 ;");
     CHECK((fixture.lifecycle.serving_generation() == 2 && fixture.lifecycle.active_spec().program == "new" &&
            fixture.lifecycle.change_status() == ChangeStatus::succeeded));
-    // It has drained.
+    // The exit of the drained process is not a crash.
     fixture.lifecycle.on_exited(seconds(4), 1, fixture.actions);
     CHECK((fixture.take_actions().empty() && fixture.lifecycle.crash_count() == 0));
     fixture.lifecycle.request_spec(seconds(5), {"bad", ""}, fixture.actions);
@@ -82,7 +82,7 @@
     CHECK((fixture.lifecycle.serving_generation() == 2 && fixture.lifecycle.crash_count() == 0));
     fixture.lifecycle.request_spec(seconds(17), {"other", ""}, fixture.actions);
     fixture.actions.clear();
-    // Withdrawn while its process starts.
+    // The request is withdrawn while its process starts.
     fixture.lifecycle.request_spec(seconds(17.1), {"new", ""}, fixture.actions);
     fixture.lifecycle.on_ready(seconds(18), 5, fixture.actions);
     CHECK(fixture.take_actions() == "hand-over 2 ;start 6 new;");
--- a/tests/cressledge/rollout_test.cpp
+++ b/tests/cressledge/rollout_test.cpp
@@ -1,4 +1,4 @@
-/// Whole rollouts: emulated over noisy processes, and over real processes under load.
+/// Complete rollouts: emulated with noisy processes, and with real processes under load.
 #include <filesystem>
 
 #include "emulator/rollout_emulation.hpp"
@@ -34,7 +34,7 @@
               emulator::VersionDefects{.crash_after_s = 30.0}}) {
             const emulator::RolloutResult result = run_with(bad, seed);
             CHECK(result.rolled_back);
-            // Two errors in a hundred of one class may take the second stage to tell from a machine that fails more.
+            // An error rate of 2 % may need the second stage to be distinguished from a machine with more errors.
             CHECK(result.stage <= (bad.error_rate > 0.0 ? 1U : 0U));
         }
     }
@@ -77,27 +77,27 @@
 }  // namespace
 
 TEST_CASE(
-    "rollout of real processes: settings and a program pass every stage, one that never starts is rolled "
-    "back, and no request is lost") {
+    "rollout of real processes: new settings and a new program pass every stage, a program that never "
+    "starts is rolled back, and no request is lost") {
     RolloutTestbedFixture fixture;
     std::ofstream(fixture.spec.directory + "/pool.yaml") << "routing: {policy: round-robin}\n";
     const std::string settings = fixture.testbed->write_plan("settings", "{settings: pool.yaml}");
     CHECK(fixture.run_rollout(settings) == 0);
     CHECK(fixture.testbed->find_inconsistency(settings, true).empty());
-    for (const auto& p : fixture.testbed->processes())
-        CHECK(p["overlay"] == "routing: {policy: round-robin}\n");
-    // It has finished already.
+    for (const auto& process : fixture.testbed->processes())
+        CHECK(process["overlay"] == "routing: {policy: round-robin}\n");
+    // Running a finished rollout again succeeds at once.
     CHECK(fixture.run_rollout(settings) == 0);
     const std::string program =
         fixture.testbed->write_plan("program", "{program: " + fixture.testbed->faulty_program("none") + '}');
     CHECK(fixture.run_rollout(program) == 0);
     CHECK(fixture.testbed->find_inconsistency(program, true).empty());
-    for (const auto& p : fixture.testbed->processes())
-        CHECK(p["starts"] == 2);
+    for (const auto& process : fixture.testbed->processes())
+        CHECK(process["starts"] == 2);
     const std::string never = fixture.testbed->write_plan("never", "{program: /nowhere/cressledge}");
     CHECK(fixture.run_rollout(never) == 1);
     CHECK(fixture.testbed->find_inconsistency(never, true).empty());
-    CHECK(fixture.testbed->report(never)["why"].get<std::string>().find("ended before it was ready") !=
+    CHECK(fixture.testbed->report(never)["why"].get<std::string>().find("exited before it was ready") !=
           std::string::npos);
     std::ofstream(fixture.spec.directory + "/bad.yaml") << "cores: many\n";
     const std::string bad = fixture.testbed->write_plan("bad", "{settings: bad.yaml}");
@@ -120,14 +120,14 @@
     const auto updated_count = [&fixture] {
         const auto all = fixture.testbed->processes();
         return std::count_if(all.begin(), all.end(),
-                             [&](const auto& p) { return p["program"] != fixture.spec.program; });
+                             [&](const auto& process) { return process["program"] != fixture.spec.program; });
     };
     fixture.test_loop.run_until([&] { return updated_count() >= 1; });
     controller->send_signal(SIGKILL);
     CHECK(fixture.testbed->wait(*controller, 10.0) == -1);
     CHECK(fixture.testbed->find_inconsistency(plan, false).empty());
     CHECK(fixture.run_rollout(second) == 3);
-    // Of the calls of the controller.
+    // The controller loses 30 % of its connections to this supervisor.
     fixture.testbed->supervisor_link(0).set_connection_loss(0.3);
     CHECK(fixture.run_rollout(plan) == 0);
     CHECK(updated_count() == 6);
