--- a/src/policy/tenant_quotas.cpp
+++ b/src/policy/tenant_quotas.cpp
@@ -10,7 +10,7 @@
 constexpr double rate_gain = 0.2;  // per period
 constexpr double max_credit = 2.0;  // requests
 constexpr double min_rate = 1e-9;  // requests per second
-constexpr double max_in_quota_fraction = 0.95;  // of the capacity; beyond it the quotas shrink
+constexpr double max_in_quota_fraction = 0.95;  // of the capacity; beyond it the stretch falls
 constexpr double max_stretch = 4.0;
 constexpr double stretch_rise = 1.1;  // per period
 constexpr double stretch_fall = 0.85;  // per period
