--- a/src/membership/anti_entropy.cpp
+++ b/src/membership/anti_entropy.cpp
@@ -6,14 +6,17 @@
 namespace cressledge::membership {
 namespace {
 
+/// Interval between two pings to departed members.
 constexpr Duration departed_ping_interval{500'000};
-/// A process that has just started, or is alone, exchanges more often.
+/// Exchange interval of a process that has just started or that knows no other live member.
 constexpr Duration early_exchange_interval{1'000'000};
+/// Number of exchanges at the early interval after the start.
 constexpr unsigned early_exchange_count = 3;
-/// From this size on exchanges grow rarer, as each grows longer: the bytes of a process do not grow with the fleet.
+/// Fleet size in members above which the exchange interval grows in proportion to the fleet size. Exchanges grow with
+/// the fleet too, so that the traffic of a process stays constant.
 constexpr double exchange_scaling_threshold = 32.0;
-/// One exchange in so many goes to a seed that is no live member.
-constexpr std::size_t seed_exchange_period = 4;
+/// On average one exchange in this many goes to a seed that is not a live member.
+constexpr std::size_t exchanges_per_seed_exchange = 4;
 
 }  // namespace
 
@@ -66,7 +69,7 @@
     return scaled(state_.settings.exchange_interval, std::max(1.0, fleet_size / exchange_scaling_threshold));
 }
 
-// Between half and one and a half of the interval, so that processes do not fall into step.
+// The delay is uniform between 0.5 and 1.5 intervals, so that processes do not exchange in lockstep.
 void AntiEntropy::schedule_next_exchange(Timestamp now) {
     const bool is_alone = state_.records.live_count() == 0;
     const bool is_early = remaining_early_exchanges_ > 0;
@@ -84,7 +87,7 @@
     schedule_next_exchange(now);
     const bool is_alone = state_.records.live_count() == 0;
     const std::vector<Endpoint> seeds = seeds_without_live_member();
-    if (!seeds.empty() && (is_alone || state_.random.uniform(seed_exchange_period) == 0)) {
+    if (!seeds.empty() && (is_alone || state_.random.uniform(exchanges_per_seed_exchange) == 0)) {
         effects.exchange_peers.push_back(seeds[state_.random.uniform(seeds.size())]);
         return;
     }
@@ -93,7 +96,7 @@
         effects.exchange_peers.push_back(state_.records.at(member).endpoint);
 }
 
-// Such a seed may be the way to the rest of a fleet that has forgotten this part.
+// After a long partition both sides have removed each other's members. A seed on the other side can rejoin them.
 std::vector<Endpoint> AntiEntropy::seeds_without_live_member() const {
     std::vector<Endpoint> seeds;
     for (const Endpoint& seed : seeds_)
--- a/src/membership/anti_entropy.hpp
+++ b/src/membership/anti_entropy.hpp
@@ -1,5 +1,5 @@
-/// Brings tables together that gossip does not: full exchanges of the whole table, and questions to dead members, by
-/// which the halves of a healed partition find each other.
+/// Anti-entropy: reconciles tables that gossip alone leaves different. Schedules full exchanges of the table, and
+/// pings dead members so that the two sides of a healed partition rejoin.
 #pragma once
 
 #include <vector>
@@ -10,25 +10,27 @@
 
 namespace cressledge::membership {
 
-/// Schedules full exchanges and chooses their peers.
+/// Schedules full exchanges, chooses their peers, and pings dead members.
 class AntiEntropy {
 public:
-    /// Both outlive this object. `seeds`: where the fleet may be found at the start, and after a long partition.
+    /// `state` and `disseminator` must outlive this object. `seeds` are the endpoints used to find the fleet at the
+    /// start and after a long partition.
     AntiEntropy(MembershipState& state, Disseminator& disseminator, std::vector<Endpoint> seeds);
 
-    /// The first exchange is due at once.
+    /// Schedules the first exchange at `now`, and the first ping of a departed member.
     void start(Timestamp now);
 
-    /// Asks a dead member and requests an exchange, if it is time.
+    /// Pings a dead member and requests an exchange, each if due.
     void tick(Timestamp now, Effects& effects);
 
-    /// When `tick` is due.
+    /// Returns when `tick` is due.
     Timestamp next_deadline() const;
 
-    /// Addresses for full exchanges: always while no member is alive, now and then otherwise; from `fleet.seeds`.
+    /// Replaces the seeds, which come from the setting `fleet.seeds`. While no other member is live, all exchanges go
+    /// to a seed; otherwise some exchanges go to a seed that is not a live member.
     void set_seeds(std::vector<Endpoint> seeds);
 
-    /// Leaves out the early exchanges of a process that has just started.
+    /// Skips the early exchanges of a newly started process.
     void skip_early_exchanges(Timestamp now);
 
 private:
--- a/src/membership/broadcast_queue.hpp
+++ b/src/membership/broadcast_queue.hpp
@@ -1,4 +1,4 @@
-/// Which members' states are still to be spread, and in which order (SWIM, section 4.1: piggybacked dissemination).
+/// Queue of the member states that are pending dissemination (SWIM, section 4.1: piggybacked dissemination).
 #pragma once
 
 #include <cstdint>
@@ -10,17 +10,17 @@
 
 namespace cressledge::membership {
 
-/// Place of a pending broadcast: least transmitted first, of those the one that was queued last.
+/// Rank of a pending broadcast: least transmitted first, and the most recently queued first among equals.
 struct BroadcastRank {
     unsigned transmissions = 0;
-    /// Unique, and higher for what was queued later.
+    /// Unique and increasing in the order in which broadcasts were queued.
     std::uint64_t sequence = 0;
     MemberIndex member = no_member;
 };
 
-/// Orders broadcasts by their rank.
+/// Strict ordering of broadcasts by rank.
 struct BroadcastRankOrder {
-    /// Whether `a` goes before `b`.
+    /// Returns whether `a` precedes `b`.
     bool operator()(const BroadcastRank& a, const BroadcastRank& b) const {
         if (a.transmissions != b.transmissions)
             return a.transmissions < b.transmissions;
@@ -28,26 +28,26 @@
     }
 };
 
-/// At most one pending broadcast for each member.
+/// Pending broadcasts in rank order. Holds at most one for each member.
 class BroadcastQueue {
 public:
-    /// Queues the member's state anew, as if it had never been sent.
+    /// Queues the member's state. Replaces a pending broadcast and resets its transmission count.
     void push(MemberIndex member);
 
-    /// Stops the member's broadcast, if there is one.
+    /// Removes the member's broadcast, if any.
     void remove(MemberIndex member);
-    /// Stops all broadcasts.
+    /// Removes all broadcasts.
     void clear();
 
-    /// Counts one transmission for each of the members; a broadcast ends with the `max_transmissions`-th.
+    /// Counts one transmission for each of the members. Removes broadcasts that reach `max_transmissions`.
     void record_transmissions(const std::vector<MemberIndex>& members, unsigned max_transmissions);
 
-    /// Whether a broadcast of the member is queued.
+    /// Returns whether a broadcast of the member is queued.
     bool contains(MemberIndex member) const { return rank_by_member_.count(member) != 0; }
-    /// Whether no broadcast is queued.
+    /// Returns whether the queue is empty.
     bool empty() const { return ranked_.empty(); }
 
-    /// All pending broadcasts in their order.
+    /// Returns all pending broadcasts in rank order.
     const std::set<BroadcastRank, BroadcastRankOrder>& ranked() const { return ranked_; }
 
 private:
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-/// Positions of the elements of a message on the wire.
+/// Indices of the elements of an encoded message.
 enum MessageField : std::size_t {
     version_field,
     fleet_field,
@@ -20,7 +20,7 @@
     message_field_count
 };
 
-/// Positions of the elements of an update on the wire.
+/// Indices of the elements of an encoded update.
 enum UpdateField : std::size_t {
     id_field,
     endpoint_field,
@@ -39,14 +39,14 @@
 /// Array headers (1, and 3 for the updates), version and type (1 each), fleet name header (2), sequence (5),
 /// endpoint (9).
 constexpr std::size_t max_message_overhead_bytes = 22;
-/// Strings shorter than this have a header of one byte in MessagePack, those up to 255 one of two.
+/// MessagePack strings shorter than this have a header of one byte; strings of up to 255 bytes have one of two bytes.
 constexpr std::size_t short_string_limit = 32;
 
-/// Walks the received bytes before anything is built of them. Rejects nesting that would exhaust the stack, and
-/// announced lengths that no bytes stand behind.
+/// Validates the structure of received bytes before a document is built from them. Rejects nesting that would exhaust
+/// the stack, and array lengths larger than the number of received bytes.
 class StructureValidator final : public json::json_sax_t {
 public:
-    explicit StructureValidator(std::size_t bytes) : bytes_(bytes) {}
+    explicit StructureValidator(std::size_t input_bytes) : input_bytes_(input_bytes) {}
     bool null() override { return false; }
     bool boolean(bool) override { return true; }
     bool number_integer(number_integer_t) override { return true; }
@@ -58,7 +58,7 @@
     bool key(string_t&) override { return false; }
     bool end_object() override { return false; }
     bool start_array(std::size_t length) override {
-        return ++depth_ <= max_depth && (length == unknown_length || length <= bytes_);
+        return ++depth_ <= max_depth && (length == unknown_length || length <= input_bytes_);
     }
     bool end_array() override { return depth_-- > 0; }
     bool parse_error(std::size_t, const std::string&, const json::exception&) override { return false; }
@@ -66,7 +66,7 @@
 private:
     static constexpr std::size_t max_depth = 4;
     static constexpr std::size_t unknown_length = ~std::size_t{0};
-    const std::size_t bytes_;
+    const std::size_t input_bytes_;
     std::size_t depth_ = 0;
 };
 
@@ -123,7 +123,8 @@
     return value.size() >= update_field_count && read_id(value[accuser_field], result.accuser_id);
 }
 
-/// Checks version and fleet, which stand first so that other protocols and fleets are distinguished from damage.
+/// Parses the document and checks version and fleet name. These are the first elements, so that messages of other
+/// versions and fleets can be told apart from malformed ones.
 std::variant<json, DropReason> read_envelope(std::string_view bytes, std::string_view fleet_name) {
     StructureValidator validator(bytes.size());
     if (!json::sax_parse(bytes.begin(), bytes.end(), &validator, json::input_format_t::msgpack))
@@ -139,7 +140,7 @@
     return array;
 }
 
-/// Reads everything but the updates, element by element.
+/// Reads all elements except the updates.
 bool read_header(const json& array, Message& message) {
     std::uint64_t type = 0;
     std::uint64_t sequence = 0;
@@ -156,7 +157,7 @@
     return true;
 }
 
-/// Whether the elements of the header agree with each other.
+/// Returns whether the header elements are consistent with the message type.
 bool is_consistent(const Message& message) {
     const bool has_target = message.type == MessageType::ping || message.type == MessageType::ping_request;
     if (has_target ? !is_valid_id(message.target_id) : !message.target_id.empty())
--- a/src/membership/codec.hpp
+++ b/src/membership/codec.hpp
@@ -1,13 +1,13 @@
-/// The wire form of membership messages: MessagePack arrays, at most one datagram of 1,400 bytes, or a full state over
-/// a connection. No I/O.
+/// Wire format of the membership messages. Each message is a MessagePack array that is sent either as one datagram
+/// of at most 1,400 bytes or, for a full exchange, over a connection. No I/O.
 ///
 ///     message  [version, fleet, type, sequence, sender, target id, target endpoint, [update...]]
-///     update   [id, endpoint, start time, incarnation, state, accuser]      accuser only where the state is suspect
+///     update   [id, endpoint, start time, incarnation, state, accuser]      accuser only if the state is suspect
 ///
-/// An endpoint is one number: the address shifted left by 16 bits, and the port. Arrays may be longer than shown:
-/// elements that a later version adds at their ends are ignored. A message with another version is dropped.
+/// An endpoint is encoded as one number: the address shifted left by 16 bits, plus the port. Extra elements at the end
+/// of an array are ignored, so that a later release can add fields. A message with another version is dropped.
 ///
-/// Invariant: whatever `decode` returns as a message has passed every check; nothing is read from a message in part.
+/// Invariant: a message returned by `decode` has passed every check. A message is never decoded partially.
 #pragma once
 
 #include <cstddef>
@@ -20,32 +20,34 @@
 
 namespace cressledge::membership {
 
+/// Version number that `encode` writes and `decode` requires.
 constexpr unsigned protocol_version = 1;
-/// Below the usual MTU of 1,500 bytes, so that no datagram is fragmented.
+/// Maximum size of a datagram. Below the usual MTU of 1,500 bytes, so that datagrams are not fragmented.
 constexpr std::size_t max_datagram_bytes = 1400;
-/// Bound of a full state.
+/// Maximum size of a full exchange message.
 constexpr std::size_t max_exchange_bytes = 4U << 20U;
 
-/// Why a received message was dropped.
+/// Reason why a received message was dropped.
 enum class DropReason : std::uint8_t { oversized, malformed, unknown_version, other_fleet };
 constexpr std::size_t drop_reason_count = 4;
 
-/// The reason as the metrics `fleet.dropped.*` name it.
+/// Returns the name of the reason in the metrics `fleet.dropped.*`.
 const char* to_string(DropReason reason);
 
-/// Upper bound of the bytes that an update takes in a message.
+/// Returns an upper bound of the encoded size of an update in bytes.
 std::size_t max_encoded_size(const MemberUpdate& update);
 
-/// Upper bound of the bytes of a message without its updates, in a fleet whose name has so many characters.
+/// Returns an upper bound of the encoded size in bytes of a message without its updates. `fleet_name_length` is the
+/// length of the fleet name in characters.
 std::size_t max_encoded_size(const Message& message, std::size_t fleet_name_length);
 
-/// The message as bytes. Updates that would take it beyond its bound are left out, the last first.
+/// Encodes a message. Updates at the end of the list that do not fit into the maximum message size are omitted.
 std::string encode(const Message& message, std::string_view fleet_name);
 
-/// A message that passed every check, or why the bytes were dropped.
+/// A valid message, or the reason why the bytes were dropped.
 using DecodeResult = std::variant<Message, DropReason>;
 
-/// Reads one message of the named fleet. Never throws on bad input.
+/// Decodes one message of the fleet `fleet_name`. Does not throw on malformed input.
 DecodeResult decode(std::string_view bytes, std::string_view fleet_name, std::size_t max_bytes);
 
 }  // namespace cressledge::membership
--- a/src/membership/counters.hpp
+++ b/src/membership/counters.hpp
@@ -1,4 +1,4 @@
-/// What a membership table has counted since its start; the metrics `fleet.*` show it.
+/// Event counters of a membership table, exported as the metrics `fleet.*`.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +11,11 @@
     std::uint64_t acks = 0;
     std::uint64_t indirect_probes = 0;
     std::uint64_t nacks = 0;
-    /// Suspicions that this process's own probes raised.
+    /// Suspicions raised by this process's own probes.
     std::uint64_t suspicions_raised = 0;
-    /// Members that became suspect in this table, whoever raised the suspicion.
+    /// Members that became suspect in this table, including suspicions reported by other members.
     std::uint64_t members_suspected = 0;
-    /// Of those, the ones that were found alive.
+    /// Suspicions in this table that were refuted by the suspect.
     std::uint64_t suspicions_refuted = 0;
     /// Claims about this process that it refuted.
     std::uint64_t own_refutations = 0;
@@ -24,15 +24,15 @@
     std::uint64_t left = 0;
     std::uint64_t revived = 0;
     std::uint64_t forgotten = 0;
-    /// Times that a later process took this process's id.
+    /// Number of times that a process started later claimed this process's id.
     std::uint64_t displaced = 0;
-    /// Times that a later process took another member's id while that one was live.
+    /// Number of times that a process started later claimed the id of another live member.
     std::uint64_t id_conflicts = 0;
-    /// Members that were not taken in because `max_members` were known.
+    /// Members that were rejected because the table held `max_members` members.
     std::uint64_t rejected_at_capacity = 0;
-    /// Received probes that were meant for another process.
+    /// Received probes whose target is another member.
     std::uint64_t misdirected_probes = 0;
-    /// Times that this process did not run for longer than a probe.
+    /// Number of times that this process was stalled for longer than the probe interval.
     std::uint64_t stalls = 0;
     std::uint64_t exchanges = 0;
 };
--- a/src/membership/disseminator.cpp
+++ b/src/membership/disseminator.cpp
@@ -10,14 +10,15 @@
 namespace cressledge::membership {
 namespace {
 
+/// Maximum number of dead members that are pinged in one gossip round.
 constexpr std::size_t max_rechecks_per_round = 8;
 constexpr std::size_t max_recheck_candidates = 16 * max_rechecks_per_round;
-/// A process that leaves tells more members in a round, as its rounds are few.
+/// Multiplies the gossip fanout of a leaving process, which has only a few rounds left.
 constexpr unsigned leaving_fanout_factor = 2;
-/// Random draws for each member that a round is to reach.
+/// Maximum number of random draws per recipient of a gossip round.
 constexpr unsigned draws_per_recipient = 4;
 
-/// Appends updates to a message as long as they fit into a datagram.
+/// Appends updates to a message while they fit into a datagram.
 class DatagramFiller {
 public:
     explicit DatagramFiller(Message& message)
@@ -76,7 +77,7 @@
                         record.incarnation,        record.state,    {}};
     if (record.state == MemberState::suspect) {
         update.accuser_id = state_.indices.id(state_.suspicions.last_accuser(member));
-        // The accuser may have been forgotten since; a suspect needs one on the wire.
+        // The accuser may have been removed from the table, but the wire format requires one for a suspect.
         if (update.accuser_id.empty())
             update.accuser_id = state_.local.id;
     }
@@ -114,15 +115,16 @@
 void Disseminator::piggyback_updates(Message& message, MemberIndex recipient,
                                      std::uint64_t recipient_start_time_us) {
     DatagramFiller filler(message);
-    // Whom a claim concerns hears it first and can refute it at once (Lifeguard, section 4.3).
+    // A claim about the recipient goes first, so that the recipient can refute it at once (Lifeguard, section 4.3).
     const bool is_recipient_notified = needs_update_about_itself(recipient, recipient_start_time_us) &&
                                        filler.try_append(update_of(recipient, state_.records.at(recipient)));
     std::vector<MemberIndex> transmitted;
     for (const BroadcastRank& rank : broadcasts_.ranked()) {
-        // The sender's own state is in every message.
-        const bool is_contained =
+        // The sender's own state is part of every message.
+        const bool is_already_included =
             rank.member == state_.local_index || (is_recipient_notified && rank.member == recipient);
-        if (!is_contained && !filler.try_append(update_of(rank.member, state_.records.at(rank.member))))
+        if (!is_already_included &&
+            !filler.try_append(update_of(rank.member, state_.records.at(rank.member))))
             break;
         transmitted.push_back(rank.member);
     }
--- a/src/membership/disseminator.hpp
+++ b/src/membership/disseminator.hpp
@@ -1,5 +1,5 @@
-/// Builds the messages of a membership table and puts the updates into them that are still to be spread (SWIM, section
-/// 4.1), and sends gossip rounds while there are any. Which state is true is not decided here.
+/// Builds the messages of a membership table, piggybacks pending updates on them (SWIM, section 4.1), and sends gossip
+/// rounds while updates are pending. update_merger.hpp decides which updates are valid.
 #pragma once
 
 #include <cstddef>
@@ -13,63 +13,65 @@
 
 namespace cressledge::membership {
 
-/// The dissemination component of SWIM, with Lifeguard's buddy system: a member that is suspected hears of it first.
+/// The dissemination component of SWIM, with Lifeguard's buddy system: a message to a suspect always contains the
+/// claim about it.
 class Disseminator {
 public:
-    /// `state` has to outlive the disseminator.
+    /// `state` must outlive the disseminator.
     explicit Disseminator(MembershipState& state) : state_(state) {}
 
-    /// Sets the first gossip round at a random time within the interval, so that a fleet that was started at once
-    /// does not send at once ever after.
+    /// Schedules the first gossip round at a random time within the interval, so that processes that start at the same
+    /// time do not gossip in lockstep.
     void start(Timestamp now);
 
     /// Sends a gossip round if one is due.
     void tick(Timestamp now, Effects& effects);
 
-    /// When `tick` is due; `never` while there is nothing to send.
+    /// Returns when `tick` is due, or `never` if there is nothing to send.
     Timestamp next_deadline() const;
 
-    /// Queues the member's present state to be spread.
+    /// Queues the member's current state for dissemination.
     void announce(MemberIndex member);
 
-    /// Stops spreading the member's state.
+    /// Stops the dissemination of the member's state.
     void cancel(MemberIndex member) { broadcasts_.remove(member); }
 
-    /// Drops all that is still to be spread.
+    /// Discards all pending updates.
     void clear() { broadcasts_.clear(); }
 
-    /// Whether the member's state is still to be spread.
+    /// Returns whether the member's state is pending dissemination.
     bool is_pending(MemberIndex member) const { return broadcasts_.contains(member); }
 
     /// Sets the time of the next gossip round.
     void gossip_at(Timestamp time) { next_gossip_at_ = time; }
 
-    /// Moves the next gossip round to this time if it would be later.
+    /// Moves the next gossip round to `time` if it is scheduled later.
     void gossip_by(Timestamp time);
 
-    /// Has a dead member asked in one of the next rounds whether it is alive after all.
+    /// Requests a ping to a dead member in one of the next rounds, to check whether it is alive.
     void request_recheck(MemberIndex member);
 
-    /// Ends the claims of a member that is forgotten.
+    /// Discards the pending update and the pending recheck of a member that is removed from the table.
     void forget(MemberIndex member);
 
-    /// This process's claim about itself.
+    /// Returns this process's claim about itself.
     MemberUpdate local_update() const;
 
-    /// A message of this process, without updates.
+    /// Returns a message from this process without updates.
     Message make_message(MessageType type, std::uint32_t sequence) const;
 
-    /// A message with the whole table.
+    /// Returns a message with the full table.
     Message full_state(MessageType type) const;
 
-    /// Adds updates to the message and sends it. `recipient`: `no_member` if it is not known.
+    /// Piggybacks pending updates on the message and sends it. `recipient` is `no_member` if it is unknown.
     void send(const Endpoint& destination, Message message, MemberIndex recipient, Effects& effects);
 
-    /// As `send`, to a process that gave its start time: it is notified if a later one holds its id.
+    /// Like `send`, for a recipient whose start time is known. It is notified if a process that started later holds
+    /// its id.
     void send(const Endpoint& destination, Message message, MemberIndex recipient,
               std::uint64_t recipient_start_time_us, Effects& effects);
 
-    /// Probes a known member.
+    /// Sends a ping to a known member.
     void ping(MemberIndex member, std::uint32_t sequence, Effects& effects);
 
 private:
@@ -81,7 +83,7 @@
 
     MembershipState& state_;
     BroadcastQueue broadcasts_;
-    /// Dead in this table and alive in another's.
+    /// Members that are dead in this table and alive in another process's table.
     std::vector<MemberIndex> recheck_candidates_;
     Timestamp next_gossip_at_{0};
 };
--- a/src/membership/effects.hpp
+++ b/src/membership/effects.hpp
@@ -1,4 +1,4 @@
-/// What a membership table wants done: its only output. Whoever has the sockets carries it out.
+/// The output of a membership table: actions that the owner of the sockets carries out.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,28 @@
 
 namespace cressledge::membership {
 
-/// A datagram to send.
+/// A datagram that is to be sent.
 struct OutgoingMessage {
     Endpoint destination;
     Message message;
 };
 
-/// A member that changed its state in this table, to be reported.
+/// A change of a member's state in this table, for reporting.
 struct MemberChange {
     std::string id;
     Endpoint endpoint;
-    /// Empty: the member was not known before.
+    /// Empty if the member was not known before.
     std::optional<MemberState> old_state;
     MemberState new_state;
     std::uint32_t incarnation;
-    /// True: it is this process whose id the process at `endpoint` has taken.
+    /// Whether this process was displaced: the process at `endpoint` has claimed its id.
     bool displaced = false;
 };
 
-/// What is to be done after one call, in this order.
+/// Actions that result from one call, in the order in which they are carried out.
 struct Effects {
     std::vector<OutgoingMessage> messages;
-    /// Processes to hold a full exchange with.
+    /// Processes with which a full exchange is to be started.
     std::vector<Endpoint> exchange_peers;
     std::vector<MemberChange> changes;
 };
--- a/src/membership/endpoint.hpp
+++ b/src/membership/endpoint.hpp
@@ -1,4 +1,4 @@
-/// An IPv4 address with a port: where a process of the fleet is reached. A plain value; sockets are in `net/`.
+/// The IPv4 address and port of a process of the fleet, as a plain value. The socket types are in `net/`.
 #pragma once
 
 #include <compare>
@@ -7,18 +7,18 @@
 
 namespace cressledge::membership {
 
-/// IPv4 address and port, both in host byte order. All zero: not known.
+/// IPv4 address and port, both in host byte order. All fields are zero if the endpoint is unknown.
 struct Endpoint {
     std::uint32_t ip = 0;
     std::uint16_t port = 0;
 
-    /// Whether both the address and the port are given, so that a message can be sent there.
+    /// Returns whether both the address and the port are set, so that messages can be sent to the endpoint.
     bool is_reachable() const { return ip != 0 && port != 0; }
 
     auto operator<=>(const Endpoint&) const = default;
 };
 
-/// Dotted decimal with the port, as in `127.0.0.1:7946`.
+/// Formats the endpoint in dotted decimal with the port, for example `127.0.0.1:7946`.
 std::string to_string(const Endpoint& endpoint);
 
 }  // namespace cressledge::membership
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -7,9 +7,9 @@
 namespace cressledge::membership {
 namespace {
 
-/// Part of the probe interval that a relayed probe may take.
+/// Timeout of a relayed probe, as a fraction of the probe interval.
 constexpr double relay_fraction = 0.5;
-/// Random draws for each member that is to be asked to probe.
+/// Maximum number of random draws per relay that is to be chosen.
 constexpr unsigned draws_per_relay = 4;
 
 }  // namespace
@@ -48,7 +48,7 @@
     if (record == nullptr || record->start_time_us != probe.target_start_time_us ||
         is_departed(record->state))
         return;
-    // Members that were asked and do not even send a nack: the fault may be this process's own.
+    // If even the relays did not send a nack, the fault may be local to this process.
     const bool are_relays_reachable =
         probe.nacks_expected > 0 && probe.nacks_received >= probe.nacks_expected;
     if (are_relays_reachable)
@@ -62,7 +62,7 @@
 void FailureDetector::start_period(Timestamp now, Effects& effects) {
     const Duration period = state_.settings.probe_interval * state_.local_health.multiplier();
     next_period_at_ += period;
-    // A probe always has its whole time, also after a delay.
+    // After a delay the period is restarted, so that a probe always has the full period.
     if (next_period_at_ <= now)
         next_period_at_ = now + period;
     ping_local_suspects(effects);
@@ -79,13 +79,13 @@
     disseminator_.ping(target, probe.sequence, effects);
 }
 
-// A member that this process suspects is asked in each period until it answers or is dead.
+// Members that this process suspects are pinged in each period until they answer or are declared dead.
 void FailureDetector::ping_local_suspects(Effects& effects) {
     for (const MemberIndex member : state_.suspicions.raised_locally())
         disseminator_.ping(member, state_.next_sequence(), effects);
 }
 
-// The target is asked once more directly too: one lost datagram is no reason to suspect it.
+// The target is also pinged directly once more, so that one lost datagram does not cause a suspicion.
 void FailureDetector::send_indirect_probes(Effects& effects) {
     probe_->phase = ProbePhase::indirect;
     disseminator_.ping(probe_->target, probe_->sequence, effects);
@@ -115,7 +115,7 @@
     while (const auto due = state_.suspicions.pop_due(now)) {
         switch (due->action) {
             case SuspicionTable::DueAction::recheck:
-                // Its refutation may not have come this way: asked once more before the verdict.
+                // The suspect's refutation may have been lost, so it is pinged once more before it is declared dead.
                 if (!state_.is_leaving)
                     disseminator_.ping(due->member, state_.next_sequence(), effects);
                 break;
@@ -173,9 +173,9 @@
         ++probe_->nacks_received;
 }
 
-void FailureDetector::compensate_stall(Duration gap) {
+void FailureDetector::compensate_stall(Duration stall_duration) {
     probe_.reset();
-    state_.suspicions.postpone(gap);
+    state_.suspicions.postpone(stall_duration);
     relays_.clear();
 }
 
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,5 +1,5 @@
-/// Finds out which members do not answer: probes, indirect probes and the ends of suspicions (SWIM, sections 3.1 and
-/// 4.2). What becomes of a suspect is in update_merger.hpp.
+/// Detects unresponsive members by probes, indirect probes and suspicion timeouts (SWIM, sections 3.1 and 4.2).
+/// update_merger.hpp implements the state changes of suspects.
 #pragma once
 
 #include <cstdint>
@@ -14,50 +14,51 @@
 
 namespace cressledge::membership {
 
-/// The failure detector component of SWIM. Probes one member in each period and answers the probes of others.
+/// The failure detector component of SWIM. Probes one member per period and answers the probes of other members.
 class FailureDetector {
 public:
-    /// All outlive this object.
+    /// All arguments must outlive this object.
     FailureDetector(MembershipState& state, Disseminator& disseminator, UpdateMerger& merger)
         : state_(state), disseminator_(disseminator), merger_(merger) {}
 
-    /// Sets the first probe at a random time within the period, so that a fleet that was started at once does not
-    /// probe at once ever after.
+    /// Schedules the first probe at a random time within the period, so that processes that start at the same time do
+    /// not probe in lockstep.
     void start(Timestamp now);
 
-    /// Does what is due: indirect probes, the next period, suspicions and relays whose time is over.
+    /// Performs what is due: indirect probes, the next period, suspicion deadlines and the expiry of relays.
     void tick(Timestamp now, Effects& effects);
 
-    /// When `tick` is due.
+    /// Returns when `tick` is due.
     Timestamp next_deadline() const;
 
-    /// Answers a probe, unless it was meant for another process at this endpoint.
+    /// Answers a probe, unless its target is another process at this endpoint.
     void on_ping(const Message& ping, const Endpoint& from, Effects& effects);
 
-    /// Probes a member for the sender.
+    /// Probes a member on behalf of the sender.
     void on_ping_request(Timestamp now, const Message& request, const Endpoint& from, Effects& effects);
 
-    /// Ends this process's own probe, or passes the answer on to whom the probe was made for.
+    /// Completes this process's own probe, or relays the ack to the process on whose behalf the probe was sent.
     void on_ack(const Message& ack, Effects& effects);
 
-    /// A member that was asked to probe has had no answer either.
+    /// Records that a member that was asked to probe has received no answer either.
     void on_nack(const Message& nack);
 
-    /// After this process did not run for the gap: what it missed meanwhile is not the fault of others.
-    void compensate_stall(Duration gap);
+    /// Compensates for a stall of this process: discards the open probe and the relays, and postpones all suspicions
+    /// by `stall_duration`, because other members are not at fault for messages that this process did not handle.
+    void compensate_stall(Duration stall_duration);
 
-    /// Drops the open probe without a verdict.
+    /// Discards the open probe without suspecting its target.
     void cancel_probe() { probe_.reset(); }
 
 private:
     enum class ProbePhase : std::uint8_t { direct, indirect, answered };
 
-    /// The probe of the present period.
+    /// The probe of the current period.
     struct Probe {
         MemberIndex target = no_member;
         std::uint64_t target_start_time_us = 0;
         std::uint32_t sequence = 0;
-        /// When other members are asked.
+        /// When the indirect probes are sent.
         Timestamp indirect_at{0};
         ProbePhase phase = ProbePhase::direct;
         unsigned nacks_expected = 0;
--- a/src/membership/local_health.hpp
+++ b/src/membership/local_health.hpp
@@ -1,4 +1,4 @@
-/// Lifeguard's local health: a process that has reason to doubt itself gives others more time.
+/// Lifeguard's local health: a process that may itself be degraded probes less often and allows more time for answers.
 #pragma once
 
 namespace cressledge::membership {
@@ -6,19 +6,19 @@
 /// Local health multiplier (Dadgar, Phillips, Currey: "Lifeguard", 2017, section 4.1).
 class LocalHealth {
 public:
-    /// A probe was answered.
+    /// Records a sign of good local health, such as an answered probe.
     void improve() {
         if (score_ > 0)
             --score_;
     }
 
-    /// A sign that the fault is this process's own: a missed nack, a refutation, a stall.
+    /// Records a sign of a local fault: a missed nack, a refutation of a claim about this process, or a stall.
     void degrade() {
         if (score_ < max_score)
             ++score_;
     }
 
-    /// Factor by which the probe period is longer, 1 to 5.
+    /// Returns the factor by which the probe period is extended, from 1 to 5.
     int multiplier() const { return 1 + score_; }
 
 private:
--- a/src/membership/member_index_table.hpp
+++ b/src/membership/member_index_table.hpp
@@ -1,5 +1,5 @@
-/// Dense numbers for member ids, so that a membership table is a vector and not a tree of strings. One table for a
-/// process; the emulator's many membership tables share one, as their members' ids are the same.
+/// Maps member ids to dense indices, so that member records can be stored in a vector. A process has one index table;
+/// all membership tables of the emulator share one, because their member ids are the same.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,24 @@
 
 namespace cressledge::membership {
 
-/// Index of a member in the tables of this process; not on the wire.
+/// Index of a member in the tables of this process. Not part of the wire format.
 using MemberIndex = std::uint32_t;
+/// Index that stands for an unknown member.
 constexpr MemberIndex no_member = ~MemberIndex{0};
 
-/// Assigns an index to each id and takes it back.
+/// Assigns an index to each member id and reuses released indices.
 class MemberIndexTable {
 public:
-    /// `no_member` if the id has no index.
+    /// Returns the index of the id, or `no_member` if it has none.
     MemberIndex find(std::string_view id) const {
         const auto it = index_by_id_.find(std::string(id));
         return it == index_by_id_.end() ? no_member : it->second;
     }
 
-    /// The index of the id; a new one if it had none.
+    /// Returns the index of the id. Assigns one if it has none.
     MemberIndex add(std::string_view id) {
-        if (const MemberIndex known = find(id); known != no_member)
-            return known;
+        if (const MemberIndex existing = find(id); existing != no_member)
+            return existing;
         MemberIndex index = static_cast<MemberIndex>(ids_.size());
         if (free_indices_.empty()) {
             ids_.emplace_back(id);
@@ -40,17 +41,17 @@
         return index;
     }
 
-    /// Takes the index back; the next new id gets it. Only for a table that nobody shares.
+    /// Releases an index for reuse by the next new id. Must not be called on a shared table.
     void release(MemberIndex index) {
         index_by_id_.erase(ids_[index]);
         ids_[index].clear();
         free_indices_.push_back(index);
     }
 
-    /// Empty for an index that was released.
+    /// Returns the id of an index, or an empty string if the index was released.
     const std::string& id(MemberIndex index) const { return ids_[index]; }
 
-    /// One more than the largest index that was ever assigned.
+    /// Returns one more than the largest index that was ever assigned.
     std::size_t size() const { return ids_.size(); }
 
 private:
--- a/src/membership/member_records.hpp
+++ b/src/membership/member_records.hpp
@@ -1,5 +1,4 @@
-/// The other members of the fleet as this process knows them. Holds facts; which update wins is decided in
-/// update_merger.hpp.
+/// Storage for the other members of the fleet. update_merger.hpp decides which update takes precedence.
 #pragma once
 
 #include <cstddef>
@@ -13,55 +12,56 @@
 
 namespace cressledge::membership {
 
-/// What is known of one member.
+/// Record of one member.
 struct MemberRecord {
-    /// When the state last changed in this table.
+    /// Time of the last state change in this table.
     Timestamp changed_at{0};
     std::uint64_t start_time_us = 0;
     Endpoint endpoint;
     std::uint32_t incarnation = 0;
     MemberState state = MemberState::dead;
-    /// False for an index that is free or belongs to another table.
+    /// False if the index is free or is in use by another table only.
     bool is_known = false;
 };
 
-/// Records by member index, with the number of live members and the list of departed ones.
+/// Records by member index, with the number of live members and the list of departed members.
 ///
-/// Invariant: `live_count()` is the number of known records that are alive or suspect; `departed()` lists all others.
+/// Invariant: `live_count()` is the number of known members that are alive or suspect, and `departed()` lists all
+/// other known members.
 class MemberRecords {
 public:
-    /// Null if the member is not known.
+    /// Returns the record of a member, or null if the member is not known.
     MemberRecord* find(MemberIndex index);
-    /// Null if the member is not known.
+    /// Returns the record of a member, or null if the member is not known.
     const MemberRecord* find(MemberIndex index) const;
 
-    /// The record of a known member.
+    /// Returns the record of a known member.
     MemberRecord& at(MemberIndex index) { return records_[index]; }
-    /// The record of a known member.
+    /// Returns the record of a known member.
     const MemberRecord& at(MemberIndex index) const { return records_[index]; }
 
-    /// Whether the member is known, and alive or suspect.
+    /// Returns whether the member is known and is alive or suspect.
     bool is_live(MemberIndex index) const;
 
-    /// Adds a live member. `index_count`: size of the index table, for which there is to be room.
+    /// Adds a live member. `index_count` is the size of the index table, for which capacity is allocated.
     void add(MemberIndex index, const MemberRecord& record, std::size_t index_count);
 
     /// Sets the state of a known member.
     void set_state(MemberIndex index, MemberState state, Timestamp now);
 
-    /// Drops the departed members that have not changed for the retention, and returns their indices.
+    /// Removes the departed members whose last state change is at least `retention` ago. Returns their indices.
     std::vector<MemberIndex> remove_expired(Timestamp now, Duration retention);
 
-    /// Live members, this process not counted.
+    /// Number of live members, not counting this process.
     std::size_t live_count() const { return live_count_; }
 
-    /// Known members that are dead or have left, until the retention drops them.
+    /// Known members that are dead or have left, until `remove_expired` removes them.
     const std::vector<MemberIndex>& departed() const { return departed_; }
 
-    /// Known members, live or departed.
+    /// Number of known members, live or departed.
     std::size_t known_count() const { return live_count_ + departed_.size(); }
 
-    /// Calls `visit(index, record)` for each known member in the order of the indices.
+    /// Calls `visit(index, record)` for each known member in index order.
     template <class Visit>
     void for_each(Visit visit) const {
         for (MemberIndex index = 0; index < records_.size(); ++index)
--- a/src/membership/membership_settings.hpp
+++ b/src/membership/membership_settings.hpp
@@ -1,4 +1,5 @@
-/// Settings of the membership protocol, and what a process says of itself. Read from an operator's file in `config/`.
+/// Settings of the membership protocol and the identity of the local member. `config/` reads them from the operator's
+/// configuration file.
 #pragma once
 
 #include <cstddef>
@@ -10,37 +11,38 @@
 
 namespace cressledge::membership {
 
-/// Part of a probe's time in which the direct answer is awaited, before other members are asked to probe.
+/// Fraction of the probe period after which an unanswered direct probe is followed by indirect probes.
 constexpr double direct_probe_fraction = 0.3;
 
-/// Settings of SWIM with Lifeguard's refinements. All processes of a fleet should have the same.
+/// Settings of SWIM with the Lifeguard extensions. All processes of a fleet should use the same values.
 struct MembershipSettings {
-    /// One member is probed in each period; also the time within which a probe has to be answered.
+    /// Probe period. One member is probed per period, and the probe has to be answered within it.
     Duration probe_interval{500'000};
-    /// Members that are asked to probe one that does not answer; also the confirmations that shorten a suspicion.
+    /// Number of members that are asked to probe an unresponsive member. Also the number of confirmations that reduce
+    /// the suspicion timeout to its minimum.
     unsigned indirect_probe_count = 3;
-    /// The shortest suspicion, in units of `probe_interval` times log10 of the fleet's size.
+    /// Minimum suspicion timeout, in units of `probe_interval` times log10 of the fleet size.
     double suspicion_multiplier = 3.0;
-    /// A suspicion that nobody confirms, in units of the shortest.
+    /// Timeout of a suspicion without confirmations, in units of the minimum suspicion timeout.
     double max_suspicion_multiplier = 2.0;
-    /// Between two gossip rounds while there are updates to send.
+    /// Time between two gossip rounds while updates are pending.
     Duration gossip_interval{100'000};
-    /// Members that get a message in one gossip round.
+    /// Number of members that receive a message in one gossip round.
     unsigned gossip_fanout = 3;
-    /// How often one process sends one update, in units of log10 of the fleet's size, rounded up.
+    /// Number of times that a process transmits an update, in units of log10 of the fleet size, rounded up.
     unsigned retransmit_multiplier = 6;
-    /// Between two full exchanges in a fleet of up to 32 members; longer in larger ones.
+    /// Mean time between two full exchanges in a fleet of up to 32 members. Proportionally longer in larger fleets.
     Duration exchange_interval{10'000'000};
-    /// How long dead and departed members are remembered.
+    /// Time after which dead and left members are removed from the table.
     Duration departed_retention{600'000'000};
-    /// Members that are remembered, departed ones included; further ones are counted and not taken in.
+    /// Maximum number of members in the table, including departed ones. Further members are counted and rejected.
     std::size_t max_members = 20'000;
 };
 
-/// The process that a membership table belongs to.
+/// Identity of the process that owns a membership table.
 struct LocalMember {
     std::string id;
-    /// Where other processes reach it.
+    /// Endpoint at which other processes reach this one.
     Endpoint endpoint;
     std::uint64_t start_time_us = 0;
 };
--- a/src/membership/membership_state.hpp
+++ b/src/membership/membership_state.hpp
@@ -1,5 +1,5 @@
-/// What the parts of a membership table share: this process, the members it knows, and the queues between the parts.
-/// Internal to the module; from outside only membership_table.hpp is used.
+/// State shared by the components of a membership table: the local member, the known members, the probe order and the
+/// suspicions. Internal to the module; other modules include only membership_table.hpp.
 #pragma once
 
 #include <cstdint>
@@ -15,33 +15,33 @@
 
 namespace cressledge::membership {
 
-/// Owned by the membership table; its parts hold references.
+/// Shared state. Owned by the membership table; its components hold references to it.
 struct MembershipState {
-    /// `is_index_table_shared`: whether other tables use `index_table` too; `random_seed` seeds its random
-    /// choices.
+    /// `is_index_table_shared` states whether other membership tables use `index_table` too. `random_seed` seeds the
+    /// random source.
     MembershipState(MemberIndexTable& index_table, bool is_index_table_shared,
                     const MembershipSettings& initial_settings, const LocalMember& local_member,
                     std::uint64_t random_seed);
     MembershipState(const MembershipState&) = delete;
     MembershipState& operator=(const MembershipState&) = delete;
 
-    /// log10 of the fleet's size, at least 1: the number of gossip rounds grows with it.
+    /// Returns log10 of the fleet size, at least 1. The number of gossip rounds that an update needs grows with it.
     double log_size_factor() const;
 
-    /// The number of a new ping.
+    /// Returns the sequence number for a new ping.
     std::uint32_t next_sequence() { return ++last_sequence; }
 
     MemberIndexTable& indices;
-    /// Others use the index table too: nothing is released in it.
+    /// Whether other membership tables use the index table too. No index is released in that case.
     const bool shares_indices;
     MembershipSettings settings;
 
     LocalMember local;
     const MemberIndex local_index;
     std::uint32_t local_incarnation = 0;
-    /// Shutting down: says `left` of itself.
+    /// Whether this process is shutting down and announces itself as `left`.
     bool is_leaving = false;
-    /// A process that started later holds this process's id.
+    /// Whether a process that started later holds this process's id.
     bool is_displaced = false;
     LocalHealth local_health;
 
--- a/src/membership/membership_table.cpp
+++ b/src/membership/membership_table.cpp
@@ -9,10 +9,10 @@
 namespace cressledge::membership {
 namespace {
 
-/// Departed members are looked through in this part of their retention.
+/// Interval between two removals of expired departed members, as a fraction of their retention.
 constexpr double forget_interval_fraction = 0.1;
 
-/// Makes a suspect's part of the digest differ from that of the same member alive.
+/// Returns the digest contribution of a suspect, which has to differ from that of the same member when alive.
 std::uint64_t suspect_digest(std::uint64_t member_digest) {
     return member_digest * 31 + 7;
 }
@@ -139,7 +139,7 @@
     return XXH3_64bits_withSeed(id.data(), id.size(), seed);
 }
 
-// A sum: the order in which members became known does not matter.
+// The digest is a sum, so that it does not depend on the order in which members became known.
 std::uint64_t MembershipTable::digest() const {
     const bool is_member = !state_.is_displaced && !state_.is_leaving;
     std::uint64_t sum = is_member ? member_digest(state_.local.id, state_.local.endpoint) : 0;
--- a/src/membership/membership_table.hpp
+++ b/src/membership/membership_table.hpp
@@ -1,19 +1,20 @@
-/// One process's table of the members of its fleet: SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
-/// Infection-style Process Group Membership Protocol", DSN 2002) with suspicion and incarnations, and of Lifeguard
-/// (Dadgar, Phillips, Currey, 2017) the suspicion time that shrinks with independent confirmations, the local health
-/// and the buddy system: a suspect is the first to hear of its suspicion.
+/// The membership table of one process. Implements SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
+/// Infection-style Process Group Membership Protocol", DSN 2002) with suspicion and incarnations, and these Lifeguard
+/// extensions (Dadgar, Phillips, Currey, 2017): suspicion timeouts that independent confirmations shorten, local
+/// health, and the buddy system, which notifies a suspect of its suspicion in the first message sent to it.
 ///
-/// A pure state machine: time, randomness and received messages go in; messages to send and changes to report come
-/// out. It has no I/O and no clock. Times are Unix microseconds; a clock that is set back stands still.
+/// The table is a pure state machine without I/O and without a clock. Its inputs are time, a random seed and received
+/// messages; its outputs are messages to send and changes to report. Times are Unix microseconds. If the caller's
+/// clock is set back, the table's time does not advance until the clock has caught up.
 ///
-///     alive   -> suspect  a probe got no answer, or another member says so
-///     suspect -> alive    the member refuted with a higher incarnation
-///     suspect -> dead     the suspicion's time ran out, or another member says so
-///     dead    -> alive    it was alive after all (a partition healed), or started again
-///     any     -> left     it said so itself
+///     alive   -> suspect  a probe was not answered, or another member reported the suspicion
+///     suspect -> alive    the member refuted the suspicion with a higher incarnation
+///     suspect -> dead     the suspicion timed out, or another member reported the death
+///     dead    -> alive    the member refuted its death (after a healed partition) or restarted
+///     any     -> left     the member announced its departure
 ///
-/// Its parts: update_merger.hpp decides which claim holds, failure_detector.hpp probes, disseminator.hpp spreads
-/// updates, anti_entropy.hpp schedules full exchanges.
+/// Components: update_merger.hpp resolves conflicting claims, failure_detector.hpp probes members, disseminator.hpp
+/// spreads updates, and anti_entropy.hpp schedules full exchanges.
 #pragma once
 
 #include <cstddef>
@@ -38,14 +39,14 @@
 
 namespace cressledge::membership {
 
-/// What is known of one member, for reports.
+/// Snapshot of one member's record, for reporting.
 struct MemberInfo {
     std::string id;
     Endpoint endpoint;
     MemberState state;
     std::uint32_t incarnation;
     std::uint64_t start_time_us;
-    /// When the state last changed in this table.
+    /// Time of the last state change in this table.
     Timestamp changed_at;
 };
 
@@ -58,66 +59,68 @@
     using MemberInfo = membership::MemberInfo;
     using OutgoingMessage = membership::OutgoingMessage;
 
-    /// `member_indices` outlives the table. `shares_member_indices`: others use them too, and none is released.
+    /// `member_indices` must outlive the table. `shares_member_indices` states whether other tables use it too; if so,
+    /// this table releases no index. `seeds` are the endpoints used to find the fleet.
     MembershipTable(MemberIndexTable& member_indices, bool shares_member_indices,
                     const MembershipSettings& settings, const LocalMember& local_member,
                     std::vector<Endpoint> seeds, std::uint64_t random_seed, Timestamp now);
 
-    /// When `tick` is due. It may be called sooner.
+    /// Returns when `tick` is due. Calling it earlier is allowed.
     Timestamp next_deadline() const;
 
-    /// Does what is due.
+    /// Performs all actions that are due at `now`.
     void tick(Timestamp now, Effects& effects);
 
-    /// Takes a received datagram in. `from`: where the answer goes.
+    /// Handles a received datagram. Answers are sent to `from`.
     void on_message(Timestamp now, const Message& message, const Endpoint& from, Effects& effects);
 
-    /// The whole table, for an exchange. `type`: `exchange` or `exchange_reply`.
+    /// Returns a message with the full table, for an exchange. `type` is `exchange` or `exchange_reply`.
     Message full_state(MessageType type) const;
 
-    /// Takes the other side's full state in.
+    /// Merges the full state that was received in an exchange.
     void merge_full_state(Timestamp now, const Message& message, Effects& effects);
 
-    /// Begins to tell the others, over the next rounds, that this process leaves.
+    /// Starts announcing, over the next gossip rounds, that this process leaves the fleet.
     void leave(Timestamp now);
 
-    /// Whether this process leaves and has said so as often as it takes.
+    /// Returns whether this process is leaving and its announcement has been transmitted often enough.
     bool departure_announced() const;
 
-    /// For a table that starts in full knowledge: nothing is to be spread, and no exchange is due soon.
+    /// Marks the table as converged: discards pending updates and skips the early exchanges.
     void assume_converged();
 
-    /// Takes new settings and seeds over; members and suspicions stay.
+    /// Replaces the settings and seeds. Members and open suspicions are kept.
     void reconfigure(const MembershipSettings& settings, std::vector<Endpoint> seeds);
 
-    /// This process as a member: id and endpoint.
+    /// Identity of this process as a member.
     const LocalMember& local_member() const { return state_.local; }
-    /// This process's incarnation, raised above that of a suspicion of itself to refute it.
+    /// Incarnation of this process. Raised above the incarnation of a false claim to refute it.
     std::uint32_t incarnation() const { return state_.local_incarnation; }
 
-    /// Whether a process that started later holds this process's id.
+    /// Returns whether a process that started later holds this process's id.
     bool is_displaced() const { return state_.is_displaced; }
-    /// Whether this process has begun to announce that it leaves.
+    /// Returns whether `leave` has been called.
     bool is_leaving() const { return state_.is_leaving; }
 
-    /// Alive and suspect members, this process not counted.
+    /// Number of alive and suspect members, not counting this process.
     std::size_t live_count() const { return state_.records.live_count(); }
-    /// Suspect members.
+    /// Number of suspect members.
     std::size_t suspect_count() const { return state_.suspicions.size(); }
 
-    /// All known members but this process, by id.
+    /// Returns all known members except this process, ordered by id.
     std::vector<MemberInfo> members() const;
 
-    /// Empty if no such member is known.
+    /// Returns the state of a member, or nothing if the member is not known.
     std::optional<MemberState> state_of(std::string_view id) const;
 
-    /// Of the live members' ids, endpoints and states, this process included: equal where two tables agree.
+    /// Returns a digest of the ids, endpoints and states of all live members, including this process. Tables with the
+    /// same view have equal digests.
     std::uint64_t digest() const;
 
-    /// The part of an alive member in the digest, which is the sum of these.
+    /// Returns the contribution of one alive member to the digest. The digest is the sum of all contributions.
     static std::uint64_t member_digest(const std::string& id, const Endpoint& endpoint);
 
-    /// Counts of messages and changes since the start.
+    /// Event counters since the start.
     const Counters& counters() const { return state_.counters; }
 
 private:
--- a/src/membership/probe_order.cpp
+++ b/src/membership/probe_order.cpp
@@ -6,6 +6,7 @@
 namespace cressledge::membership {
 namespace {
 
+/// Maximum number of random draws to find a live member.
 constexpr int max_draws = 16;
 
 }  // namespace
--- a/src/membership/probe_order.hpp
+++ b/src/membership/probe_order.hpp
@@ -1,4 +1,5 @@
-/// Whom to probe next: randomized round-robin (SWIM, section 4.3), which bounds the time until a member is probed.
+/// Randomized round-robin selection of probe targets (SWIM, section 4.3), which bounds the time until a member is
+/// probed.
 #pragma once
 
 #include <cstddef>
@@ -10,26 +11,27 @@
 
 namespace cressledge::membership {
 
-/// A list of members that is shuffled anew after each round. Departed members stay in it until the round ends, so a
-/// member that was dead for a moment keeps its place.
+/// A list of members that is reshuffled after each round. Departed members stay in the list until the round ends, so
+/// that a member that is dead only briefly keeps its position.
 class ProbeOrder {
 public:
-    /// Both outlive this object.
+    /// Both arguments must outlive this object.
     ProbeOrder(const MemberRecords& records, RandomSource& random) : records_(records), random_(random) {}
 
-    /// Puts the member at a random place among those that are still to come in this round.
+    /// Inserts the member at a random position among the members that are still to be probed in this round.
     void insert(MemberIndex index);
 
-    /// Takes the member out, for one that is forgotten.
+    /// Removes a member that is removed from the table.
     void erase(MemberIndex index);
 
-    /// The next live member of the round; a new round begins where the last one is over. `no_member`: none is live.
+    /// Returns the next live member of the round, and starts a new round if the current one has ended. Returns
+    /// `no_member` if no member is live.
     MemberIndex next();
 
-    /// A live member at random. `no_member`: none was found in a bounded number of draws.
+    /// Returns a random live member, or `no_member` if none was found in a bounded number of draws.
     MemberIndex random_live_member() const;
 
-    /// Whether a live member is reached at this endpoint.
+    /// Returns whether a live member has this endpoint.
     bool has_live_member_at(const Endpoint& endpoint) const;
 
 private:
--- a/src/membership/random_source.hpp
+++ b/src/membership/random_source.hpp
@@ -1,4 +1,4 @@
-/// The random numbers of one membership table. Seeded, so that a run in the emulator can be repeated.
+/// Random number source of one membership table. Seeded, so that emulator runs are reproducible.
 #pragma once
 
 #include <cstddef>
@@ -9,19 +9,19 @@
 
 namespace cressledge::membership {
 
-/// PCG32 (O'Neill, 2014) with the draws that the protocol needs.
+/// PCG32 generator (O'Neill, 2014) with the distributions that the protocol uses.
 class RandomSource {
 public:
-    /// Tables with one seed and different streams draw independent numbers.
+    /// Sources with the same seed and different streams are independent.
     RandomSource(std::uint64_t seed, std::uint64_t stream) : generator_(seed, stream) {}
 
-    /// The next number of the stream.
+    /// Returns the next number of the stream.
     std::uint32_t next() { return generator_(); }
 
-    /// Uniform in [0, bound); the bound is not zero.
+    /// Returns a number uniform in [0, bound). `bound` must not be zero.
     std::uint32_t uniform(std::size_t bound) { return generator_(static_cast<std::uint32_t>(bound)); }
 
-    /// Uniform between zero and the duration.
+    /// Returns a duration uniform in [0, max).
     Duration jitter(Duration max) {
         constexpr double to_unit_interval = 0x1p-32;
         return Duration(
--- a/src/membership/relay_table.hpp
+++ b/src/membership/relay_table.hpp
@@ -1,4 +1,4 @@
-/// Probes that this process makes for others (SWIM's indirect probes), until they are answered or their time is over.
+/// Indirect probes (SWIM) that this process sends on behalf of other members, until they are answered or expire.
 #pragma once
 
 #include <cstddef>
@@ -12,32 +12,33 @@
 
 namespace cressledge::membership {
 
-/// A probe on behalf of another process.
+/// A probe sent on behalf of another process.
 struct Relay {
     Endpoint requester;
-    /// The requester's own number of the probe, for the answer.
+    /// The requester's sequence number of the probe, used in the answer.
     std::uint32_t requester_sequence = 0;
     Timestamp expires_at{0};
 };
 
-/// Open relays by the sequence number of this process's own ping. Bounded, as strangers can cause entries.
+/// Open relays by the sequence number of this process's own ping. The size is bounded, because any process that can
+/// send datagrams to this one can cause entries.
 class RelayTable {
 public:
-    /// Whether no more relays may be opened.
+    /// Returns whether the maximum number of relays is open.
     bool is_full() const { return relays_.size() >= max_relays; }
-    /// Opens a relay for this process's ping with `sequence`.
+    /// Opens a relay for this process's ping with the number `sequence`. The caller checks `is_full` first.
     void add(std::uint32_t sequence, const Relay& relay) { relays_[sequence] = relay; }
 
-    /// Removes and returns the relay that the answer with this number belongs to.
+    /// Removes and returns the relay of the ping with the number `sequence`, if any.
     std::optional<Relay> take(std::uint32_t sequence);
 
-    /// Removes and returns the relays whose time is over.
+    /// Removes and returns the relays that have expired.
     std::vector<Relay> take_expired(Timestamp now);
 
-    /// `never` if there is no relay.
+    /// Returns the earliest expiry, or `never` if there is no relay.
     Timestamp next_deadline() const;
 
-    /// Drops all relays.
+    /// Discards all relays.
     void clear() { relays_.clear(); }
 
 private:
--- a/src/membership/suspicion_table.cpp
+++ b/src/membership/suspicion_table.cpp
@@ -6,10 +6,11 @@
 namespace cressledge::membership {
 namespace {
 
-/// Part of a suspicion's time after which the member is asked once more.
+/// Fraction of the suspicion timeout after which the member is pinged once more.
 constexpr double recheck_fraction = 0.6;
 
-/// From the longest to the shortest time by the logarithm of the confirmations (Lifeguard, section 4.2).
+/// Returns the suspicion timeout. It decreases from the maximum to the minimum with the logarithm of the number of
+/// confirmations (Lifeguard, section 4.2).
 Duration suspicion_duration(const SuspicionTiming& timing, unsigned confirmations) {
     if (timing.confirmations_needed == 0)
         return timing.min;
@@ -52,9 +53,9 @@
     const Duration duration = suspicion_duration(timing, suspicion.confirmations);
     suspicion.expires_at = suspicion.started_at + duration;
     suspicion.recheck_at = std::max(now, suspicion.started_at + scaled(duration, recheck_fraction));
-    // Confirmations may bring the end near; the answer to the last check needs its time to come.
+    // Confirmations may move the expiry close to the present, but the answer to the recheck needs time to arrive.
     if (!suspicion.is_rechecked)
-        suspicion.expires_at = std::max(suspicion.expires_at, suspicion.recheck_at + timing.answer_time);
+        suspicion.expires_at = std::max(suspicion.expires_at, suspicion.recheck_at + timing.recheck_timeout);
     timers_.insert({suspicion.next_deadline(), member});
 }
 
@@ -79,12 +80,12 @@
     return Due{member, DueAction::recheck};
 }
 
-void SuspicionTable::postpone(Duration gap) {
+void SuspicionTable::postpone(Duration delay) {
     timers_.clear();
     for (auto& [member, suspicion] : suspicions_) {
-        suspicion.started_at += gap;
-        suspicion.expires_at += gap;
-        suspicion.recheck_at += gap;
+        suspicion.started_at += delay;
+        suspicion.expires_at += delay;
+        suspicion.recheck_at += delay;
         timers_.insert({suspicion.next_deadline(), member});
     }
 }
--- a/src/membership/suspicion_table.hpp
+++ b/src/membership/suspicion_table.hpp
@@ -1,4 +1,4 @@
-/// Open suspicions and their deadlines. Knows nothing of messages; the failure detector acts on what is due.
+/// Open suspicions and their deadlines. The failure detector sends the messages for suspicions that are due.
 #pragma once
 
 #include <compare>
@@ -14,79 +14,79 @@
 
 namespace cressledge::membership {
 
-/// Who raised a suspicion: this process's own probe, or another member's claim.
+/// Origin of a suspicion: a probe of this process, or a report from another member.
 enum class SuspicionOrigin : std::uint8_t { local_probe, remote_report };
 
-/// How long suspicions last at the present size of the fleet.
+/// Suspicion timeouts for the current fleet size.
 struct SuspicionTiming {
-    /// With all confirmations.
+    /// Timeout once `confirmations_needed` confirmations have been received.
     Duration min{0};
-    /// With none.
+    /// Timeout without confirmations.
     Duration max{0};
-    /// Confirmations that bring the time down to `min`; zero where the fleet is too small to have them.
+    /// Number of confirmations that reduce the timeout to `min`. Zero if the fleet is too small to provide them.
     unsigned confirmations_needed = 0;
-    /// The time that a suspect has for its answer to the last check.
-    Duration answer_time{0};
+    /// Time that a suspect has to answer the recheck.
+    Duration recheck_timeout{0};
 };
 
-/// One suspicion.
+/// State of one suspicion.
 struct Suspicion {
     Timestamp started_at{0};
-    /// The member is dead then.
+    /// When the member is declared dead.
     Timestamp expires_at{0};
-    /// The member is asked once more then, so that a refutation that was lost costs nobody its membership.
+    /// When the member is pinged once more, so that a lost refutation does not cause a false death.
     Timestamp recheck_at{0};
     unsigned confirmations = 0;
     bool is_raised_locally = false;
     bool is_rechecked = false;
-    /// Distinct members that hold the suspicion, the latest last.
+    /// Distinct members that raised or confirmed the suspicion, in order of arrival.
     std::vector<MemberIndex> accusers;
 
-    /// When the suspicion is next due: its recheck, or once rechecked, its expiry.
+    /// Returns the time of the recheck, or of the expiry if the member has been rechecked.
     Timestamp next_deadline() const { return is_rechecked ? expires_at : recheck_at; }
 };
 
-/// Suspicions by member, in the order of their deadlines.
+/// Suspicions by member, ordered by deadline.
 ///
 /// Invariant: each suspicion has exactly one timer, at its `next_deadline()`.
 class SuspicionTable {
 public:
-    /// What the owner has to do for a suspicion whose deadline has come.
+    /// Action that the owner of the table takes for a suspicion that is due.
     enum class DueAction : std::uint8_t { recheck, declare_dead };
-    /// A suspicion whose deadline has come, with what to do.
+    /// A suspicion that is due, with the action to take.
     struct Due {
         MemberIndex member;
         DueAction action;
     };
 
-    /// Starts a suspicion of a member that has none.
+    /// Starts a suspicion of a member. The member must not be suspect yet.
     void start(Timestamp now, MemberIndex member, MemberIndex accuser, SuspicionOrigin origin,
                const SuspicionTiming& timing);
 
-    /// One more accusation of a suspect. Returns whether it confirms the suspicion: independently, and while fewer
-    /// than `max_confirmations` have.
+    /// Records a further accusation of a suspect. Returns whether it counts as a confirmation: the accuser is a new
+    /// one, and fewer than `max_confirmations` have been counted.
     bool confirm(Timestamp now, MemberIndex member, MemberIndex accuser, SuspicionOrigin origin,
                  unsigned max_confirmations, const SuspicionTiming& timing);
 
-    /// Ends the member's suspicion, if there is one.
+    /// Ends the member's suspicion, if any.
     void end(MemberIndex member);
 
-    /// The next suspicion whose deadline has come. After `declare_dead` the caller ends it.
+    /// Returns the next suspicion that is due, or nothing. After `declare_dead` the caller must end the suspicion.
     std::optional<Due> pop_due(Timestamp now);
 
-    /// Moves all deadlines.
-    void postpone(Duration gap);
+    /// Moves all deadlines by `delay` into the future.
+    void postpone(Duration delay);
 
-    /// `never` if there is no suspicion.
+    /// Returns the earliest deadline, or `never` if there is no suspicion.
     Timestamp next_deadline() const;
 
-    /// The latest member that accused the suspect.
+    /// Returns the member that last raised or confirmed the suspicion.
     MemberIndex last_accuser(MemberIndex member) const { return suspicions_.at(member).accusers.back(); }
 
-    /// Members that this process's own probes found silent.
+    /// Returns the suspects that did not answer this process's own probes.
     std::vector<MemberIndex> raised_locally() const;
 
-    /// Suspicions held.
+    /// Number of open suspicions.
     std::size_t size() const { return suspicions_.size(); }
 
 private:
--- a/src/membership/time.hpp
+++ b/src/membership/time.hpp
@@ -1,4 +1,4 @@
-/// Time in the membership protocol: Unix microseconds, as everywhere in the program.
+/// Time types of the membership protocol, in Unix microseconds like the rest of the program.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 using base::Duration;
 using base::Timestamp;
 
-/// A deadline that does not come.
+/// Deadline of an event that is not scheduled.
 constexpr Timestamp never = Timestamp::max();
 
-/// The duration times the factor, rounded towards zero.
+/// Returns `duration` times `factor`, rounded towards zero.
 inline Duration scaled(Duration duration, double factor) {
     return Duration(static_cast<std::int64_t>(static_cast<double>(duration.count()) * factor));
 }
--- a/src/membership/update_merger.cpp
+++ b/src/membership/update_merger.cpp
@@ -25,7 +25,7 @@
     if (update.start_time_us < record->start_time_us)
         return;
     if (update.start_time_us > record->start_time_us)
-        return apply_later_process(now, member, update, effects);
+        return apply_newer_process(now, member, update, effects);
     switch (update.state) {
         case MemberState::alive:
             return apply_alive(now, member, update, source, effects);
@@ -38,7 +38,7 @@
     }
 }
 
-void UpdateMerger::apply_later_process(Timestamp now, MemberIndex member, const MemberUpdate& update,
+void UpdateMerger::apply_newer_process(Timestamp now, MemberIndex member, const MemberUpdate& update,
                                        Effects& effects) {
     MemberRecord& record = state_.records.at(member);
     if (!is_departed(record.state) && record.endpoint != update.endpoint)
@@ -49,7 +49,7 @@
     record.incarnation = update.incarnation;
     set_state(now, member, is_departed(update.state) ? update.state : MemberState::alive, effects);
     if (update.state == MemberState::suspect)
-        suspect_as_reported(now, member, update, effects);
+        apply_reported_suspicion(now, member, update, effects);
 }
 
 void UpdateMerger::apply_alive(Timestamp now, MemberIndex member, const MemberUpdate& update,
@@ -57,7 +57,7 @@
     MemberRecord& record = state_.records.at(member);
     if (update.incarnation > record.incarnation) {
         record.incarnation = update.incarnation;
-        // The process itself may say that it is now reached elsewhere.
+        // A claim with a higher incarnation comes from the member itself, whose endpoint may have changed.
         record.endpoint = update.endpoint;
         if (record.state == MemberState::suspect)
             ++state_.counters.suspicions_refuted;
@@ -81,7 +81,7 @@
         if (record.state == MemberState::suspect)
             disseminator_.announce(member);
     }
-    suspect_as_reported(now, member, update, effects);
+    apply_reported_suspicion(now, member, update, effects);
 }
 
 void UpdateMerger::apply_dead(Timestamp now, MemberIndex member, const MemberUpdate& update,
@@ -90,7 +90,8 @@
     if (update.incarnation < record.incarnation || is_departed(record.state))
         return;
     record.incarnation = update.incarnation;
-    // The other half of a healed partition holds this half for dead: whoever lives gets to refute first.
+    // After a partition heals, each side's table lists the other side's members as dead. They are only suspected here,
+    // so that live members can refute the claim.
     if (source == UpdateSource::exchange)
         suspect(now, member, state_.local_index, SuspicionOrigin::remote_report, effects);
     else
@@ -126,32 +127,33 @@
         {update.id, update.endpoint, std::nullopt, MemberState::alive, update.incarnation, false});
     disseminator_.announce(member);
     if (update.state == MemberState::suspect)
-        suspect_as_reported(now, member, update, effects);
+        apply_reported_suspicion(now, member, update, effects);
 }
 
 void UpdateMerger::apply_about_self(Timestamp now, const MemberUpdate& update, Effects& effects) {
     if (update.start_time_us > state_.local.start_time_us)
-        return apply_later_report_of_own_id(update, effects);
+        return apply_newer_claim_to_own_id(update, effects);
     if (update.start_time_us < state_.local.start_time_us || state_.is_leaving)
         return;
-    const bool is_wrong = update.state != MemberState::alive;
-    const bool is_outdated = is_wrong ? update.incarnation < state_.local_incarnation
-                                      : update.incarnation <= state_.local_incarnation;
+    const bool is_false_claim = update.state != MemberState::alive;
+    const bool is_outdated = is_false_claim ? update.incarnation < state_.local_incarnation
+                                            : update.incarnation <= state_.local_incarnation;
     if (is_outdated)
         return;
     state_.local_incarnation = std::min(update.incarnation + 1, max_incarnation);
-    if (is_wrong) {
+    if (is_false_claim) {
         ++state_.counters.own_refutations;
         state_.local_health.degrade();
     }
     disseminator_.announce(state_.local_index);
-    // The suspicion in the other tables does not wait.
+    // The refutation has to reach the other tables before the suspicion expires there.
     disseminator_.gossip_by(now);
 }
 
-void UpdateMerger::apply_later_report_of_own_id(const MemberUpdate& update, Effects& effects) {
+void UpdateMerger::apply_newer_claim_to_own_id(const MemberUpdate& update, Effects& effects) {
     LocalMember& local = state_.local;
-    // An earlier process at this endpoint whose clock was ahead, or another one that has ended: the id is free.
+    // The claim is about an earlier process at this endpoint whose clock was ahead, or about a process that has ended.
+    // In both cases the id is free.
     if (update.endpoint == local.endpoint || is_departed(update.state)) {
         local.start_time_us = std::min(update.start_time_us + 1, max_start_time_us);
         state_.local_incarnation = 0;
@@ -195,8 +197,8 @@
         ++state_.counters.left;
 }
 
-void UpdateMerger::suspect_as_reported(Timestamp now, MemberIndex member, const MemberUpdate& update,
-                                       Effects& effects) {
+void UpdateMerger::apply_reported_suspicion(Timestamp now, MemberIndex member, const MemberUpdate& update,
+                                            Effects& effects) {
     suspect(now, member, state_.indices.find(update.accuser_id), SuspicionOrigin::remote_report, effects);
 }
 
@@ -205,7 +207,7 @@
     const MemberState old_state = state_.records.at(member).state;
     if (is_departed(old_state))
         return;
-    // An accuser that is not known here is nobody's independent confirmation.
+    // An unknown accuser does not count as an independent confirmation.
     if (accuser == no_member)
         accuser = state_.local_index;
     if (old_state != MemberState::suspect) {
@@ -214,7 +216,7 @@
         return set_state(now, member, MemberState::suspect, effects);
     }
     const unsigned max_confirmations = state_.settings.indirect_probe_count;
-    // The confirmation is to be spread too.
+    // Confirmations are disseminated too.
     if (state_.suspicions.confirm(now, member, accuser, origin, max_confirmations, suspicion_timing()))
         disseminator_.announce(member);
 }
@@ -226,7 +228,7 @@
     timing.max = scaled(timing.min, settings.max_suspicion_multiplier);
     const bool has_enough_members = state_.records.live_count() > settings.indirect_probe_count + 1;
     timing.confirmations_needed = has_enough_members ? settings.indirect_probe_count : 0;
-    timing.answer_time = scaled(settings.probe_interval, direct_probe_fraction);
+    timing.recheck_timeout = scaled(settings.probe_interval, direct_probe_fraction);
     return timing;
 }
 
--- a/src/membership/update_merger.hpp
+++ b/src/membership/update_merger.hpp
@@ -1,8 +1,8 @@
-/// Decides which of two claims about a member holds, and changes the table by it. Every change of a member's state goes
-/// through here.
+/// Resolves conflicting claims about a member and applies the result to the table. All state changes of members are
+/// made here.
 ///
-/// Claims about one id are ordered by start time, then incarnation, then state. Of two processes that claim one id the
-/// one that started later holds it in every table, so that all tables agree; the other is displaced.
+/// Claims about one id are ordered by start time, then incarnation, then state. If two processes claim the same id,
+/// the one that started later holds it in every table, so that all tables agree; the other one is displaced.
 #pragma once
 
 #include <cstdint>
@@ -14,34 +14,34 @@
 
 namespace cressledge::membership {
 
-/// How a claim came: in a datagram, or with another process's whole table.
+/// How a claim was received: in a datagram, or with the full state of another process.
 enum class UpdateSource : std::uint8_t { gossip, exchange };
 
 /// Applies claims to the membership state (SWIM, section 4.2).
 class UpdateMerger {
 public:
-    /// Both outlive this object.
+    /// Both arguments must outlive this object.
     UpdateMerger(MembershipState& state, Disseminator& disseminator)
         : state_(state), disseminator_(disseminator) {}
 
-    /// Applies the sender's claim about itself and the updates of its message.
+    /// Applies the sender's claim about itself and all updates of the message.
     void apply_message(Timestamp now, const Message& message, UpdateSource source, Effects& effects);
 
-    /// Suspects a known member, or confirms the suspicion. `accuser`: `no_member` counts as this process.
+    /// Marks a known member as suspect, or confirms its suspicion. An `accuser` of `no_member` counts as this process.
     void suspect(Timestamp now, MemberIndex member, MemberIndex accuser, SuspicionOrigin origin,
                  Effects& effects);
 
-    /// Sets the state of a known member and has it spread.
+    /// Sets the state of a known member and queues it for dissemination.
     void set_state(Timestamp now, MemberIndex member, MemberState new_state, Effects& effects);
 
-    /// Forgets the members that departed longer ago than the retention.
+    /// Removes the members that departed longer ago than the retention.
     void forget_departed(Timestamp now);
 
 private:
     void apply(Timestamp now, const MemberUpdate& update, UpdateSource source, Effects& effects);
     void apply_about_self(Timestamp now, const MemberUpdate& update, Effects& effects);
-    void apply_later_report_of_own_id(const MemberUpdate& update, Effects& effects);
-    void apply_later_process(Timestamp now, MemberIndex member, const MemberUpdate& update, Effects& effects);
+    void apply_newer_claim_to_own_id(const MemberUpdate& update, Effects& effects);
+    void apply_newer_process(Timestamp now, MemberIndex member, const MemberUpdate& update, Effects& effects);
     void apply_alive(Timestamp now, MemberIndex member, const MemberUpdate& update, UpdateSource source,
                      Effects& effects);
     void apply_suspect(Timestamp now, MemberIndex member, const MemberUpdate& update, Effects& effects);
@@ -49,7 +49,8 @@
                     Effects& effects);
     void apply_left(Timestamp now, MemberIndex member, const MemberUpdate& update, Effects& effects);
     void add_member(Timestamp now, const MemberUpdate& update, Effects& effects);
-    void suspect_as_reported(Timestamp now, MemberIndex member, const MemberUpdate& update, Effects& effects);
+    void apply_reported_suspicion(Timestamp now, MemberIndex member, const MemberUpdate& update,
+                                  Effects& effects);
     void count_transition(MemberState old_state, MemberState new_state);
     SuspicionTiming suspicion_timing() const;
 
