--- a/src/gossip/exchange_connection.cpp
+++ b/src/gossip/exchange_connection.cpp
@@ -22,8 +22,8 @@
     return stream_ != nullptr;
 }
 
-void ExchangeConnection::set_deadline(base::Timestamp time, std::function<void()> on_expired) {
-    deadline_ = timers_.schedule(time, std::move(on_expired));
+void ExchangeConnection::set_deadline(base::Timestamp deadline, std::function<void()> on_expired) {
+    deadline_ = timers_.schedule(deadline, std::move(on_expired));
 }
 
 void ExchangeConnection::send_frame(const std::string& frame) {
@@ -49,7 +49,7 @@
     if (received_.size() < frame_bytes)
         return;
     has_received_frame_ = true;
-    // The handler may destroy this object while it reads the frame.
+    // Moved to a local variable because the handler may destroy this object while it reads the frame.
     const std::string frame = std::move(received_);
     handler_.on_exchange_frame(*this, std::string_view(frame).substr(frame_header_bytes));
 }
--- a/src/gossip/exchange_connection.hpp
+++ b/src/gossip/exchange_connection.hpp
@@ -1,5 +1,4 @@
-/// One connection of a full exchange: one frame each way. Reads and writes; what the frames say is decided by its
-/// handler.
+/// The connection of one full exchange, which carries one frame in each direction. The handler interprets the frames.
 #pragma once
 
 #include <cstdint>
@@ -14,63 +13,64 @@
 
 namespace cressledge::gossip {
 
-/// Who opened the connection. The one that did sends the first frame; the other answers and ends the connection.
+/// Which side opened the connection. `outbound` means that this process did. The side that opened the connection sends
+/// the first frame; the other side replies and closes the connection.
 enum class ExchangeDirection : std::uint8_t { outbound, inbound };
 
-/// Owns its stream and its deadline until it is destroyed.
+/// Owns the stream and the deadline of one exchange.
 class ExchangeConnection final : public net::Stream::Owner {
 public:
     using Lease = connection_admission::FileDescriptorBudget::Lease;
 
-    /// Hears of the connection. Each call but `on_exchange_open` may destroy it.
+    /// Handles the events of a connection. Each function except `on_exchange_open` may destroy the connection.
     class Handler {
     public:
         virtual ~Handler() = default;
-        /// An outbound connection is there.
+        /// An outbound connection is established.
         virtual void on_exchange_open(ExchangeConnection& connection) = 0;
-        /// The other side's whole frame, without its header.
+        /// The peer's frame was received. `body` is the frame without its header.
         virtual void on_exchange_frame(ExchangeConnection& connection, std::string_view body) = 0;
-        /// The frame is longer than allowed, or longer than its header says.
+        /// The received frame is longer than the allowed maximum, or longer than its header states.
         virtual void on_exchange_oversized(ExchangeConnection& connection) = 0;
-        /// The connection has ended, or never came about.
+        /// The connection has ended or could not be established.
         virtual void on_exchange_end(ExchangeConnection& connection) = 0;
     };
 
-    /// `handler` is told of the frame and of the end; `timers` holds the deadline.
+    /// `handler` receives the events, and `timers` holds the deadline. Both must outlive the connection.
     ExchangeConnection(Handler& handler, base::TimerQueue& timers, ExchangeDirection direction)
         : handler_(handler), timers_(timers), direction_(direction) {}
     ~ExchangeConnection() override;
     ExchangeConnection(const ExchangeConnection&) = delete;
     ExchangeConnection& operator=(const ExchangeConnection&) = delete;
 
-    /// False if there is no connection; the lease has been given back then.
+    /// Starts connecting to a peer. Returns false on failure; the lease has then been released.
     bool connect(uv_loop_t* loop, const net::Address& address, Lease lease);
-    /// Accepts a connection of another member. False if there is none; the lease has been given back then.
+    /// Accepts a connection from a peer. Returns false if none is pending; the lease has then been released.
     bool accept(net::Listener& listener, Lease lease);
 
-    /// Calls `on_expired` at this time, unless the connection is destroyed before.
-    void set_deadline(base::Timestamp time, std::function<void()> on_expired);
+    /// Calls `on_expired` at `deadline` unless the connection is destroyed earlier.
+    void set_deadline(base::Timestamp deadline, std::function<void()> on_expired);
 
-    /// The second of the two frames is the last thing that is written.
+    /// Sends this side's frame. On an inbound connection the frame is the reply, and writing is shut down after it.
     void send_frame(const std::string& frame);
 
-    /// The id under which the exchange manager keeps this connection.
+    /// Slot id of this connection in the exchange manager.
     base::SlotId id() const { return id_; }
-    /// Set by the exchange manager once the connection has a slot.
+    /// Sets the slot id. Called by the exchange manager when it has assigned a slot.
     void set_id(base::SlotId id) { id_ = id; }
-    /// Whether this side opened the connection or accepted it.
+    /// Returns which side opened the connection.
     ExchangeDirection direction() const { return direction_; }
-    /// Whether this side opened the connection.
+    /// Returns whether this process opened the connection.
     bool is_outbound() const { return direction_ == ExchangeDirection::outbound; }
 
-    /// Whether the other side's whole frame has come.
+    /// Returns whether the peer's complete frame has been received.
     bool has_received_frame() const { return has_received_frame_; }
 
-    /// net::Stream::Owner: the connection is established; the handler is told.
+    /// net::Stream::Owner: the connection is established. Notifies the handler.
     void on_open() override;
-    /// net::Stream::Owner: gathers the bytes of the other side's frame.
+    /// net::Stream::Owner: collects the bytes of the peer's frame, and notifies the handler when it is complete.
     void on_bytes(std::string_view bytes) override;
-    /// net::Stream::Owner: the stream is over, or was `refused`; the handler is told.
+    /// net::Stream::Owner: the stream has ended, or the connection was `refused`. Notifies the handler.
     void on_end(bool refused) override;
 
 private:
--- a/src/gossip/exchange_manager.cpp
+++ b/src/gossip/exchange_manager.cpp
@@ -15,12 +15,12 @@
 using connection_admission::DescriptorPurpose;
 using membership::MessageType;
 
-/// After which the listener is looked at again when there was no descriptor for a connection.
+/// Delay before accepting again after no file descriptor was available.
 constexpr base::Duration accept_retry_delay{100'000};
-/// Room for the frame's header and everything of a message but its updates.
-constexpr std::size_t message_header_bytes = 1'000;
+/// Upper bound of the size of the frame header and a message without its updates.
+constexpr std::size_t max_message_header_bytes = 1'000;
 
-/// Number of updates, from the first, whose encoding fits the bytes.
+/// Returns the number of leading updates whose encoding fits into `free_bytes`.
 std::size_t fitting_update_count(const std::vector<membership::MemberUpdate>& updates,
                                  std::size_t free_bytes) {
     std::size_t count = 0;
@@ -87,11 +87,11 @@
             return end(connection.id());
         set_deadline(connection);
     }
-    // Until one has ended.
+    // At the limit. `end` resumes the listener.
     environment_.listener.set_paused(true);
 }
 
-// The listener is paused meanwhile, so that the loop does not wake for its backlog again and again.
+// The listener is paused during the delay, so that its backlog does not wake the event loop repeatedly.
 void ExchangeManager::retry_accept_later() {
     environment_.listener.set_paused(true);
     const base::Timestamp retry_at = environment_.loop.unix_now() + accept_retry_delay;
@@ -102,12 +102,12 @@
 std::string ExchangeManager::make_frame(MessageType type) {
     membership::Message message = environment_.membership.full_state(type);
     std::vector<membership::MemberUpdate>& updates = message.updates;
-    // Of a very large table each exchange tells another part.
+    // If the table does not fit into one frame, each exchange sends a different random range of it.
     if (!updates.empty()) {
         const auto first = random_(static_cast<std::uint32_t>(updates.size()));
         std::rotate(updates.begin(), updates.begin() + first, updates.end());
     }
-    updates.resize(fitting_update_count(updates, max_frame_bytes - message_header_bytes));
+    updates.resize(fitting_update_count(updates, max_frame_bytes - max_message_header_bytes));
     return encode_frame(membership::encode(message, fleet_name_));
 }
 
@@ -131,7 +131,7 @@
     const bool is_outbound = connection.is_outbound();
     if (message.type != (is_outbound ? MessageType::exchange_reply : MessageType::exchange))
         return fail(connection, membership::DropReason::malformed);
-    // The reply is sent before the merge: the other side's own claims are nothing new to it.
+    // The reply is sent before the merge, because the peer already knows the claims that it sent.
     if (!is_outbound)
         send_state(connection, MessageType::exchange_reply);
     membership::Effects effects;
--- a/src/gossip/exchange_manager.hpp
+++ b/src/gossip/exchange_manager.hpp
@@ -1,8 +1,8 @@
-/// Full exchanges with other processes: opens and accepts the connections, bounds their number and time, and merges
-/// what comes into the membership table.
+/// Manages the full exchanges with other processes: opens and accepts connections, limits their number and duration,
+/// and merges the received state into the membership table.
 ///
-/// An exchange is one frame (frame.hpp) each way. The process that connects sends first; the other answers and ends the
-/// connection.
+/// An exchange consists of one frame (frame.hpp) in each direction. The process that connects sends first; the other
+/// process replies and closes the connection.
 #pragma once
 
 #include <cstddef>
@@ -23,7 +23,7 @@
 
 namespace cressledge::gossip {
 
-/// What an exchange manager works with; all outlive it.
+/// Dependencies of an exchange manager. All must outlive it.
 struct ExchangeEnvironment {
     net::Loop& loop;
     base::TimerQueue& timers;
@@ -33,28 +33,29 @@
     GossipStatistics& statistics;
 };
 
-/// Owns the connections of full exchanges. Each is ended when its exchange is over or its time has run out.
+/// Owns the connections of full exchanges. Ends each one when its exchange is complete or has timed out.
 class ExchangeManager final : private ExchangeConnection::Handler {
 public:
-    /// Connections at once, each way.
+    /// Maximum number of concurrent exchanges in each direction.
     static constexpr std::size_t max_exchanges_per_direction = 8;
-    /// Of a larger table a random part is sent. Fits the bounded write buffer of a stream.
+    /// Maximum frame size. Fits into the bounded write buffer of a stream. Of a larger table a random range is sent.
     static constexpr std::size_t max_frame_bytes = 200U << 10U;
-    /// Within which an exchange has to be over.
+    /// Time limit of an exchange.
     static constexpr base::Duration exchange_timeout{2'000'000};
 
+    /// Called with the effects of a merge.
     using EffectsHandler = std::function<void(membership::Effects& effects)>;
 
-    /// `on_effects` carries out what a merged table wants done.
+    /// `on_effects` carries out the effects of merging a received table.
     ExchangeManager(const ExchangeEnvironment& environment, std::string fleet_name, std::uint64_t seed,
                     EffectsHandler on_effects);
     ExchangeManager(const ExchangeManager&) = delete;
     ExchangeManager& operator=(const ExchangeManager&) = delete;
 
-    /// Opens an exchange. Counted as failed if there is no room for it.
+    /// Starts an exchange with `peer`. Counts it as failed if the limit is reached or no descriptor is available.
     void start(const membership::Endpoint& peer);
 
-    /// Accepts the connections that wait at the listener, as far as there is room.
+    /// Accepts pending connections up to the limit.
     void accept_pending();
 
 private:
--- a/src/gossip/frame.hpp
+++ b/src/gossip/frame.hpp
@@ -1,5 +1,5 @@
-/// The frame that a full exchange has on a connection: four bytes of length, the most significant first, and a
-/// membership message.
+/// Frame format of a full exchange: a length of four bytes, most significant byte first, followed by a membership
+/// message of that length.
 #pragma once
 
 #include <cstddef>
@@ -8,12 +8,13 @@
 
 namespace cressledge::gossip {
 
+/// Size of the length field.
 constexpr std::size_t frame_header_bytes = 4;
 
-/// The body with its header.
+/// Returns `body` preceded by its frame header.
 std::string encode_frame(const std::string& body);
 
-/// Length of the body in bytes. `bytes` begins with a whole header at least.
+/// Returns the length of the body in bytes. `bytes` must start with a complete frame header.
 std::size_t decode_frame_length(std::string_view bytes);
 
 }  // namespace cressledge::gossip
--- a/src/gossip/gossip_node.cpp
+++ b/src/gossip/gossip_node.cpp
@@ -9,9 +9,10 @@
 namespace cressledge::gossip {
 namespace {
 
+/// The UDP socket and the listener.
 constexpr int socket_count = 2;
 
-/// What this process says of itself, once the port is known that was bound.
+/// Returns the identity of the local member. The advertised port defaults to the port that was bound.
 membership::LocalMember local_member(const Settings& settings, std::uint16_t bound_port,
                                      base::Timestamp now) {
     membership::LocalMember local;
@@ -69,10 +70,10 @@
 
 void GossipNode::arm_timer() {
     const base::Timestamp next = membership_->next_deadline();
-    if (membership_timer_.is_scheduled() && next == armed_for_)
+    if (membership_timer_.is_scheduled() && next == timer_deadline_)
         return;
     membership_timer_.cancel();
-    armed_for_ = next;
+    timer_deadline_ = next;
     if (next == membership::never)
         return;
     membership_timer_ = timers_.schedule(next, [this] { on_timer(); });
--- a/src/gossip/gossip_node.hpp
+++ b/src/gossip/gossip_node.hpp
@@ -1,5 +1,5 @@
-/// The I/O beside a membership table: datagrams and full exchanges on one address, its timer, its metrics and its log
-/// lines. It decides nothing about members.
+/// The I/O of a membership table: datagrams and full exchanges on one address, the timer, metrics and log lines. All
+/// decisions about members are made by the membership table.
 #pragma once
 
 #include <cstdint>
@@ -21,36 +21,37 @@
 
 namespace cressledge::gossip {
 
-/// This process as a member of its fleet.
+/// Runs the membership protocol of this process.
 class GossipNode {
 public:
+    /// Maximum number of concurrent exchanges in each direction.
     static constexpr std::size_t max_exchanges_per_direction = ExchangeManager::max_exchanges_per_direction;
-    /// The two sockets, and the connections of exchanges.
+    /// Number of file descriptors that a node needs: two sockets and the connections of exchanges.
     static constexpr std::size_t descriptors_needed = 2 + 2 * max_exchanges_per_direction;
 
-    /// Joins the fleet. Throws std::runtime_error if the address cannot be taken.
+    /// Binds the sockets and joins the fleet. Throws std::runtime_error if the address cannot be bound.
     GossipNode(net::Loop& loop, base::TimerQueue& timers,
                connection_admission::FileDescriptorBudget& descriptors, const Settings& settings,
                std::uint64_t seed);
     GossipNode(const GossipNode&) = delete;
     GossipNode& operator=(const GossipNode&) = delete;
 
-    /// Takes new settings and seeds over without leaving the fleet.
+    /// Replaces the settings and seeds without leaving the fleet.
     void reconfigure(const membership::MembershipSettings& settings,
                      const std::vector<membership::Endpoint>& seeds) {
         membership_->reconfigure(settings, seeds);
     }
 
-    /// Begins to tell the others that this process leaves; see `MembershipTable::departure_announced`.
+    /// Starts announcing that this process leaves the fleet. See `MembershipTable::departure_announced`.
     void leave();
 
-    /// This process's view of the fleet, for the admin address and the log.
+    /// Returns this process's membership table, for status documents and log lines.
     const membership::MembershipTable& membership() const { return *membership_; }
 
     /// Appends the metrics `fleet.*`.
     void append_metrics(base::Metrics& metrics);
 
-    /// JSON: this process, the digest and the number of members, and unless brief the members.
+    /// Returns a JSON document with the local member, the digest, the member counts and, unless `brief`, the members.
     std::string status_json(bool brief);
 
 private:
@@ -73,7 +74,7 @@
     MemberChangeLog change_log_;
     std::unique_ptr<ExchangeManager> exchanges_;
     base::TimerHandle membership_timer_;
-    base::Timestamp armed_for_{0};
+    base::Timestamp timer_deadline_{0};
 };
 
 }  // namespace cressledge::gossip
--- a/src/gossip/gossip_settings.hpp
+++ b/src/gossip/gossip_settings.hpp
@@ -1,4 +1,4 @@
-/// Settings of this process as a member of a fleet. Read from the section `fleet` of an operator's file in `config/`.
+/// Settings of a gossip node. `config/` reads them from the section `fleet` of the operator's configuration file.
 #pragma once
 
 #include <string>
@@ -9,14 +9,16 @@
 
 namespace cressledge::gossip {
 
-/// What a gossip node is started with.
+/// Startup settings of a gossip node.
 struct Settings {
     std::string fleet_name;
     std::string member_id;
-    /// Where the sockets are bound.
+    /// Endpoint to which the sockets are bound.
     membership::Endpoint listen;
-    /// Where other processes reach this one. No address: `listen`; port 0: the port that was bound.
+    /// Endpoint at which other processes reach this one. Defaults to `listen` if the address is 0, and to the bound
+    /// port if the port is 0.
     membership::Endpoint advertise;
+    /// Endpoints used to find the fleet.
     std::vector<membership::Endpoint> seeds;
     membership::MembershipSettings membership;
 };
--- a/src/gossip/gossip_statistics.hpp
+++ b/src/gossip/gossip_statistics.hpp
@@ -1,4 +1,4 @@
-/// What the I/O of a gossip node has counted since its start.
+/// I/O counters of a gossip node since its start.
 #pragma once
 
 #include <array>
@@ -10,14 +10,14 @@
 
 namespace cressledge::gossip {
 
-/// Totals and rates of a node's datagrams and exchanges.
+/// Totals and rates of the datagrams and exchanges of a gossip node.
 struct GossipStatistics {
-    /// Counts one datagram that was dropped for `reason`.
+    /// Counts one received message that was dropped for `reason`.
     void count_drop(membership::DropReason reason) { ++dropped_by_reason[static_cast<std::size_t>(reason)]; }
 
     TrafficMeter sent;
     TrafficMeter received;
-    /// Received messages that were dropped, by `membership::DropReason`.
+    /// Number of dropped received messages, by `membership::DropReason`.
     std::array<std::uint64_t, membership::drop_reason_count> dropped_by_reason{};
     std::uint64_t failed_exchanges = 0;
 };
--- a/src/gossip/gossip_status.cpp
+++ b/src/gossip/gossip_status.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::int64_t microseconds_per_millisecond = 1'000;
 
-/// Alive members, this process included.
+/// Returns the number of alive members, including this process.
 std::size_t alive_count(const MembershipTable& table) {
     return table.live_count() - table.suspect_count() + 1;
 }
--- a/src/gossip/gossip_status.hpp
+++ b/src/gossip/gossip_status.hpp
@@ -1,4 +1,4 @@
-/// What operators read of a gossip node: metrics and a JSON document. The names are listed in docs/operators/fleet.md.
+/// Metrics and the JSON status document of a gossip node. docs/operators/fleet.md lists the names.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,16 @@
 
 namespace cressledge::gossip {
 
-/// How much of the table the status document shows.
+/// Level of detail of the status document.
 enum class StatusDetail : std::uint8_t { summary, members };
 
-/// Appends the metrics `fleet.*`. `unsent_datagrams`: what the socket could not send at once.
+/// Appends the metrics `fleet.*`. `unsent_datagrams` is the number of datagrams that were dropped because the socket
+/// could not send them at once.
 void append_gossip_metrics(const membership::MembershipTable& table, GossipStatistics& statistics,
                            std::uint64_t unsent_datagrams, base::Timestamp now, base::Metrics& metrics);
 
-/// This process, the digest and the number of members, and on request the members.
+/// Returns the status document: the local member, the digest, the member counts and, with `StatusDetail::members`, the
+/// members. Ends with a newline.
 std::string gossip_status_json(const std::string& fleet_name, const membership::MembershipTable& table,
                                base::Timestamp now, StatusDetail detail);
 
--- a/src/gossip/member_change_log.cpp
+++ b/src/gossip/member_change_log.cpp
@@ -10,7 +10,8 @@
 
 constexpr std::int64_t microseconds_per_second = 1'000'000;
 
-/// `from` is left out for a member that was not known before. Ids have no character that needs quoting.
+/// Formats the change as `key=value` fields. `from` is omitted for a member that was not known before. Member ids need
+/// no quotes, as they contain no spaces.
 std::string format_fields(const membership::MemberChange& change, std::uint64_t suppressed_lines) {
     std::string fields = "member=" + change.id;
     if (change.old_state && !change.displaced)
@@ -20,13 +21,13 @@
     fields +=
         fmt::format(" incarnation={} address={}", change.incarnation, membership::to_string(change.endpoint));
     if (suppressed_lines > 0)
-        fields += fmt::format(" suppressed_lines={}", suppressed_lines);
+        fields += fmt::format(" suppressed={}", suppressed_lines);
     return fields;
 }
 
 }  // namespace
 
-bool MemberChangeLog::try_acquire_line(base::Timestamp now) {
+bool MemberChangeLog::try_acquire_log_line(base::Timestamp now) {
     const std::int64_t second = now.count() / microseconds_per_second;
     if (second != current_second_) {
         current_second_ = second;
@@ -40,7 +41,7 @@
 }
 
 void MemberChangeLog::write(base::Timestamp now, const membership::MemberChange& change) {
-    if (!try_acquire_line(now))
+    if (!try_acquire_log_line(now))
         return;
     const std::string fields = format_fields(change, std::exchange(suppressed_lines_, 0));
     if (change.displaced)
--- a/src/gossip/traffic_meter.cpp
+++ b/src/gossip/traffic_meter.cpp
@@ -19,8 +19,8 @@
     if (second - current_second_ >= static_cast<std::int64_t>(bytes_by_second_.size())) {
         bytes_by_second_.fill(0);
     } else {
-        for (std::int64_t begun = current_second_ + 1; begun <= second; ++begun)
-            bytes_in(begun) = 0;
+        for (std::int64_t new_second = current_second_ + 1; new_second <= second; ++new_second)
+            bytes_in(new_second) = 0;
     }
     current_second_ = std::max(current_second_, second);
 }
@@ -40,7 +40,7 @@
     advance_to(now);
     const std::uint64_t sum =
         std::accumulate(bytes_by_second_.begin(), bytes_by_second_.end(), std::uint64_t{0});
-    return (sum - bytes_in(current_second_)) / averaged_seconds;
+    return (sum - bytes_in(current_second_)) / rate_window_seconds;
 }
 
 }  // namespace cressledge::gossip
--- a/src/gossip/transport.cpp
+++ b/src/gossip/transport.cpp
@@ -5,7 +5,7 @@
 namespace cressledge::gossip {
 namespace {
 
-/// A UDP port of the kernel's choosing may be taken for TCP: so many are tried.
+/// Maximum number of attempts to bind port 0. The UDP port that the kernel chooses may be in use for TCP.
 constexpr int max_bind_attempts = 16;
 
 }  // namespace
--- a/src/gossip/transport.hpp
+++ b/src/gossip/transport.hpp
@@ -1,4 +1,4 @@
-/// The sockets of the gossip port: one port for datagrams and for connections.
+/// The sockets of the gossip port. One port number is used for both datagrams and connections.
 #pragma once
 
 #include <functional>
@@ -12,21 +12,21 @@
 
 namespace cressledge::gossip {
 
-/// The IPv4 socket address of a member's endpoint.
+/// Returns the IPv4 socket address of an endpoint.
 net::Address to_address(const membership::Endpoint& endpoint);
 
-/// All zero for an address that is not IPv4.
+/// Returns the endpoint of a socket address. All fields are zero if the address is not IPv4.
 membership::Endpoint to_endpoint(const net::Address& address);
 
-/// A UDP socket and a listener on one port.
+/// A UDP socket and a listener on the same port.
 struct GossipTransport {
     std::unique_ptr<net::UdpSocket> datagrams;
     std::unique_ptr<net::Listener> listener;
     membership::Endpoint local_endpoint;
 };
 
-/// Binds both sockets. For port 0 the kernel chooses one that is free for both. Throws std::runtime_error if the
-/// address cannot be taken.
+/// Binds both sockets. For port 0 it uses a port chosen by the kernel that is free for both. Throws std::runtime_error
+/// if the address cannot be bound.
 GossipTransport open_transport(uv_loop_t* loop, const membership::Endpoint& requested,
                                const net::UdpSocket::ReceiveHandler& on_datagram,
                                const std::function<void()>& on_connection);
