--- a/tests/cressledge/gossip_test.cpp
+++ b/tests/cressledge/gossip_test.cpp
@@ -1,4 +1,4 @@
-/// Gossip nodes on loopback: their sockets, full exchanges, metrics and status document.
+/// Gossip nodes on the loopback interface: sockets, full exchanges, metrics and the status document.
 #include <nlohmann/json.hpp>
 
 #include "admin/admin_server.hpp"
@@ -19,7 +19,7 @@
     return {0x7F000001U, static_cast<std::uint16_t>(port)};
 }
 
-/// Nodes of one process; each knows the first as its seed.
+/// Gossip nodes in one process. The first node is the seed of all others.
 struct GossipFixture {
     TestLoop loop;
     connection_admission::FileDescriptorBudget descriptors{descriptor_plan()};
@@ -41,8 +41,8 @@
     void run_until(const std::function<bool()>& done) {
         loop.run_until([&] { return done(); });
     }
-    /// Whether so many nodes run, and each has all of them alive.
-    bool agreed(std::size_t count) {
+    /// Returns whether exactly `count` nodes run, and each of them sees all of them alive.
+    bool have_converged(std::size_t count) {
         std::size_t running = 0;
         for (const auto& node : nodes) {
             if (node == nullptr)
@@ -53,34 +53,36 @@
         }
         return running == count;
     }
+    /// Returns the value of the metric `fleet.<name>` of a node.
     std::uint64_t metric(gossip::GossipNode& node, const std::string& name) {
         cressledge::base::Metrics metrics;
         node.append_metrics(metrics);
         for (const auto& [metric_name, value] : metrics)
             if (metric_name == "fleet." + name)
                 return value;
-        FAIL("no such metric: " + name);
+        FAIL("metric not found: fleet." + name);
         return 0;
     }
 };
 
-/// A socket that is no node.
+/// A UDP socket that does not belong to a gossip node.
 struct DatagramSender {
     explicit DatagramSender(TestLoop& loop)
         : socket(loop.loop.uv(), loopback_address(0),
-                 [this](std::string_view b, const net::Address&) { received.emplace_back(b); }) {}
+                 [this](std::string_view bytes, const net::Address&) { received.emplace_back(bytes); }) {}
     std::vector<std::string> received;
     net::UdpSocket socket;
 };
 
 }  // namespace
 
-TEST_CASE("gossip node: nodes on loopback find each other, notice who ended, and are told who leaves") {
+TEST_CASE(
+    "gossip node: nodes on loopback join each other, detect a crash, and receive an announced departure") {
     GossipFixture fixture;
     take_log();
     for (const char* id : {"n1", "n2", "n3", "n4"})
         fixture.add(id);
-    fixture.run_until([&] { return fixture.agreed(4); });
+    fixture.run_until([&] { return fixture.have_converged(4); });
     const auto status = nlohmann::json::parse(fixture.nodes[1]->status_json(false));
     CHECK(status["fleet"] == "maps");
     CHECK(status["self"]["id"] == "n2");
@@ -90,13 +92,13 @@
           membership::to_string(fixture.nodes[0]->membership().local_member().endpoint));
     CHECK(status["digest"] == nlohmann::json::parse(fixture.nodes[3]->status_json(true))["digest"]);
     CHECK_FALSE(nlohmann::json::parse(fixture.nodes[3]->status_json(true)).contains("members"));
-    fixture.nodes[2].reset();  // without a word
-    fixture.run_until([&] { return fixture.agreed(3); });
+    fixture.nodes[2].reset();  // ends without announcing its departure
+    fixture.run_until([&] { return fixture.have_converged(3); });
     CHECK(fixture.nodes[0]->membership().state_of("n3") == membership::MemberState::dead);
     fixture.nodes[3]->leave();
     fixture.run_until([&] { return fixture.nodes[3]->membership().departure_announced(); });
     fixture.nodes[3].reset();
-    fixture.run_until([&] { return fixture.agreed(2); });
+    fixture.run_until([&] { return fixture.have_converged(2); });
     CHECK(fixture.nodes[0]->membership().state_of("n4") == membership::MemberState::left);
     CHECK(take_log().find("membership: member state changed member=n3 from=suspect to=dead incarnation=0 ") !=
           std::string::npos);
@@ -106,24 +108,25 @@
     CHECK(fixture.metric(*fixture.nodes[0], "left") == 1);
 }
 
-TEST_CASE("gossip node: garbage at its port is counted by reason, not answered, and stops no probe") {
+TEST_CASE("gossip node: invalid datagrams are counted by reason, not answered, and do not stop the probes") {
     GossipFixture fixture;
     gossip::GossipNode& n1 = fixture.add("n1");
     fixture.add("n2");
-    fixture.add("stranger", "charts");  // it has n1 as its seed and is of another fleet
+    fixture.add("foreign", "charts");  // a member of another fleet with n1 as its seed
     fixture.run_until(
         [&] { return n1.membership().live_count() == 1 && fixture.metric(n1, "dropped.other_fleet") > 0; });
     DatagramSender sender(fixture.loop);
-    const net::Address to = gossip::to_address(n1.membership().local_member().endpoint);
-    membership::Message m;
-    m.type = membership::MessageType::gossip;
-    m.sender = {"x1", loopback_endpoint(9), 1, 0, membership::MemberState::alive, {}};
-    std::string later = membership::encode(m, "maps");
-    later[1] = 9;  // the version
+    const net::Address destination = gossip::to_address(n1.membership().local_member().endpoint);
+    membership::Message message;
+    message.type = membership::MessageType::gossip;
+    message.sender = {"x1", loopback_endpoint(9), 1, 0, membership::MemberState::alive, {}};
+    std::string other_version = membership::encode(message, "maps");
+    other_version[1] = 9;  // the protocol version
     for (int i = 0; i < 2'000; ++i) {
-        sender.socket.send(to, std::string(static_cast<std::size_t>(i % 1500), static_cast<char>(i)));
-        sender.socket.send(to, later);
-        sender.socket.send(to, std::string(2'000, 'z'));
+        sender.socket.send(destination,
+                           std::string(static_cast<std::size_t>(i % 1500), static_cast<char>(i)));
+        sender.socket.send(destination, other_version);
+        sender.socket.send(destination, std::string(2'000, 'z'));
         if (i % 50 == 0)
             fixture.loop.loop.run_once(false);
     }
@@ -134,14 +137,14 @@
     CHECK(fixture.metric(n1, "dropped.malformed") > 0);
     CHECK(sender.received.empty());
     CHECK(n1.membership().live_count() == 1);
-    CHECK_FALSE(n1.membership().state_of("stranger").has_value());
+    CHECK_FALSE(n1.membership().state_of("foreign").has_value());
     const std::uint64_t probes = fixture.metric(n1, "probes"), acks = fixture.metric(n1, "acks");
     fixture.run_until(
         [&] { return fixture.metric(n1, "probes") > probes + 2 && fixture.metric(n1, "acks") > acks + 2; });
     CHECK(n1.membership().suspect_count() == 0);
 }
 
-TEST_CASE("gossip node: partial, oversized and silent exchanges delay neither each other nor a new node") {
+TEST_CASE("gossip node: partial, oversized and idle exchanges do not delay each other or a new node") {
     GossipFixture fixture;
     gossip::GossipNode& n1 = fixture.add("n1");
     const int port = n1.membership().local_member().endpoint.port;
@@ -161,7 +164,7 @@
                malformed_peers[2]->is_closed;
     });
     fixture.add("n2");
-    fixture.run_until([&] { return fixture.agreed(2); });  // once the silent ones have had their time
+    fixture.run_until([&] { return fixture.have_converged(2); });  // after the idle exchanges have timed out
     CHECK(fixture.metric(n1, "dropped.oversized") == 2);
     CHECK(fixture.metric(n1, "dropped.malformed") == 1);
     CHECK(fixture.metric(n1, "exchanges_failed") >= 3);
@@ -169,24 +172,25 @@
           2 * gossip::GossipNode::descriptors_needed);
 }
 
-TEST_CASE("gossip node: of two processes with one id the earlier is displaced until the later has ended") {
+TEST_CASE(
+    "gossip node: of two processes with the same id the earlier is displaced until the later has ended") {
     GossipFixture fixture;
     fixture.add("n1");
-    gossip::GossipNode& first = fixture.add("twin");
-    fixture.run_until([&] { return fixture.agreed(2); });
-    gossip::GossipNode& second = fixture.add("twin");
-    fixture.run_until([&] { return first.membership().is_displaced(); });
-    CHECK_FALSE(second.membership().is_displaced());
+    gossip::GossipNode& earlier = fixture.add("n2");
+    fixture.run_until([&] { return fixture.have_converged(2); });
+    gossip::GossipNode& later = fixture.add("n2");
+    fixture.run_until([&] { return earlier.membership().is_displaced(); });
+    CHECK_FALSE(later.membership().is_displaced());
     const auto members = fixture.nodes[0]->membership().members();
     REQUIRE(members.size() == 1);
-    CHECK(members[0].endpoint == second.membership().local_member().endpoint);
-    CHECK(nlohmann::json::parse(first.status_json(true))["self"]["displaced"] == true);
-    CHECK(take_log().find("membership: local member displaced member=twin ") != std::string::npos);
+    CHECK(members[0].endpoint == later.membership().local_member().endpoint);
+    CHECK(nlohmann::json::parse(earlier.status_json(true))["self"]["displaced"] == true);
+    CHECK(take_log().find("membership: local member displaced member=n2 ") != std::string::npos);
     fixture.nodes[2].reset();
-    fixture.run_until([&] { return !first.membership().is_displaced() && fixture.agreed(2); });
+    fixture.run_until([&] { return !earlier.membership().is_displaced() && fixture.have_converged(2); });
 }
 
-TEST_CASE("admin server: /v1/fleet gives the membership table, and 404 where there is none") {
+TEST_CASE("admin server: /v1/fleet returns the membership table, or 404 if there is none") {
     GossipFixture fixture;
     gossip::GossipNode& n1 = fixture.add("n1");
     struct NodeSource final : admin::AdminSource {
--- a/tests/cressledge/membership_fleet_test.cpp
+++ b/tests/cressledge/membership_fleet_test.cpp
@@ -1,4 +1,4 @@
-/// Whole fleets of membership tables in the emulator.
+/// Convergence and failure detection of emulated fleets of membership tables.
 #include "emulator/fleet.hpp"
 #include "membership_fixture.hpp"
 
@@ -10,7 +10,8 @@
 
 }  // namespace
 
-TEST_CASE("emulated fleet: processes that start at once agree, though their only seed starts last") {
+TEST_CASE(
+    "emulated fleet: processes that start at the same time converge, even if their only seed starts last") {
     Fleet fleet(60, fast_settings(), {}, 3);
     for (int i = 1; i < 60; ++i)
         fleet.start({59});
@@ -20,7 +21,7 @@
                     [&] { return fleet.has_converged(); }));
 }
 
-TEST_CASE("emulated fleet: a crash and a leave are known to all, and no live member is declared dead") {
+TEST_CASE("emulated fleet: a crash and a departure reach all members, and no live member is declared dead") {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Fleet fleet(50, fast_settings(), {0.01, Duration(200), Duration(2'000)}, seed);
         fleet.start_converged(50);
@@ -40,7 +41,7 @@
     }
 }
 
-TEST_CASE("emulated fleet: the halves of a partition find each other when it heals") {
+TEST_CASE("emulated fleet: the two sides of a partition rejoin when it heals") {
     Fleet fleet(40, fast_settings(), {}, 5);
     fleet.start_converged(40);
     fleet.set_cut_links([](std::size_t a, std::size_t b) { return (a < 20) != (b < 20); });
@@ -53,11 +54,11 @@
     CHECK(fleet.false_deaths() == 0);
 }
 
-TEST_CASE("emulated fleet: a link dead in one direction, and a member that cannot send") {
+TEST_CASE("emulated fleet: a link that is cut in one direction, and a member that cannot send") {
     Fleet fleet(30, fast_settings(), {}, 6);
     fleet.start_converged(30);
     fleet.set_cut_links(
-        [](std::size_t from, std::size_t to) { return from == 3 && to == 4; });  // 4 does not hear 3
+        [](std::size_t from, std::size_t to) { return from == 3 && to == 4; });  // 4 receives nothing from 3
     fleet.run(fleet.now() + milliseconds(20'000));
     CHECK(fleet.has_converged());
     CHECK(fleet.false_deaths() == 0);
@@ -73,7 +74,7 @@
                     [&] { return fleet.has_converged(); }));
 }
 
-TEST_CASE("emulated fleet: a member that was paused for three seconds comes back and suspects nobody") {
+TEST_CASE("emulated fleet: a member that was paused for three seconds suspects no other member and rejoins") {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         Fleet fleet(30, fast_settings(), {}, seed);
         fleet.start_converged(30);
@@ -87,7 +88,7 @@
 }
 
 TEST_CASE(
-    "emulated fleet: with a tenth of the datagrams lost, suspicions are refuted and nobody is declared "
+    "emulated fleet: with a tenth of the datagrams lost, suspicions are refuted and no member is declared "
     "dead") {
     Fleet fleet(60, fast_settings(), {0.1, Duration(200), Duration(2'000)}, 8);
     fleet.start_converged(60);
@@ -102,7 +103,7 @@
     CHECK(refutations > 0);
 }
 
-TEST_CASE("emulated fleet: six in ten members are replaced within seven seconds") {
+TEST_CASE("emulated fleet: the fleet converges after 30 of 50 members are replaced within seven seconds") {
     Fleet fleet(80, fast_settings(), {}, 9);
     fleet.start_converged(50);
     for (std::size_t i = 0; i < 30; ++i) {
