--- a/src/connection_admission/descriptor_plan.cpp
+++ b/src/connection_admission/descriptor_plan.cpp
@@ -6,16 +6,17 @@
 namespace cressledge::connection_admission {
 namespace {
 
-/// A link may be dialled again before the connection before it has been closed.
+/// A link may reconnect before its previous connection is closed.
 constexpr std::size_t connections_per_platform_link = 2;
-/// Files open only while they are read.
+/// Guaranteed and maximum number of files that are open only while they are read.
 constexpr std::size_t guaranteed_short_lived_files = 2;
 constexpr std::size_t max_short_lived_files = 8;
+/// Maximum number of guaranteed connections to the records service.
 constexpr std::size_t max_guaranteed_records = 4;
-/// A new connection has its descriptor before the one evicted for it gives back its own.
+/// A new connection acquires its descriptor before the connection evicted for it releases its own.
 constexpr std::size_t eviction_overlap = 1;
-/// Rejected connections get at most one in so many of the descriptors beyond the guarantees.
-constexpr std::size_t rejection_slots_divisor = 8;
+/// At most one in this many of the descriptors beyond the guaranteed ones is for a rejected connection.
+constexpr std::size_t spare_descriptors_per_rejection_slot = 8;
 
 DescriptorQuotas plan_quotas(const DescriptorDemand& demand) {
     DescriptorQuotas quotas{};
@@ -37,7 +38,7 @@
 }  // namespace
 
 DescriptorShortage::DescriptorShortage(std::size_t limit, std::size_t min_limit)
-    : std::invalid_argument(std::to_string(limit) + " descriptors are too few: at least " +
+    : std::invalid_argument(std::to_string(limit) + " file descriptors are too few: the minimum is " +
                             std::to_string(min_limit)),
       limit_(limit),
       min_limit_(min_limit) {}
@@ -56,7 +57,8 @@
     if (min_limit > limit)
         throw DescriptorShortage(limit, min_limit);
     const std::size_t spare = limit - min_limit;
-    const std::size_t rejection_slots = std::min(demand.rejection_slots, spare / rejection_slots_divisor);
+    const std::size_t rejection_slots =
+        std::min(demand.rejection_slots, spare / spare_descriptors_per_rejection_slot);
     const std::size_t available = limit - guaranteed - eviction_overlap - rejection_slots;
     plan.rejection_slots = static_cast<std::uint32_t>(rejection_slots);
     plan.max_connections = static_cast<std::uint32_t>(std::min<std::size_t>(max_connections, available));
--- a/src/connection_admission/descriptor_plan.hpp
+++ b/src/connection_admission/descriptor_plan.hpp
@@ -1,4 +1,4 @@
-// Divides the file descriptors that the process may open among their purposes.
+// Divides the file descriptor limit of the process among the purposes of descriptors.
 #pragma once
 
 #include <cstddef>
@@ -9,46 +9,46 @@
 
 namespace cressledge::connection_admission {
 
-/// How many descriptors an installation wants at most for each purpose.
+/// Maximum numbers of descriptors that a configuration uses, by purpose.
 struct DescriptorDemand {
     std::size_t listeners = 0;
     std::size_t platform_links = 0;
     std::size_t records = 0;
     std::size_t upstream = 0;
-    /// Rejected connections of clients that are still read.
+    /// Rejected client connections that are still read.
     std::size_t rejection_slots = 0;
-    /// Connections of clients reserved for groups.
+    /// Client connections reserved for client groups.
     std::size_t reserved_connections = 0;
     /// Files that stay open.
     std::size_t open_files = 0;
     std::size_t admin = 0;
     std::size_t gossip = 0;
-    /// The part of `upstream` that is guaranteed.
+    /// Guaranteed descriptors of `upstream`, if it asks for as many.
     std::size_t min_upstream = 4;
 };
 
-/// What each purpose gets.
+/// The quotas of the purposes and the resulting limits of client connections.
 struct DescriptorPlan {
     /// Descriptors that the process may have open.
     std::size_t limit = 0;
-    /// The part of `limit` that is open without a lease of the budget, such as standard output.
+    /// Descriptors within `limit` that are open without a lease, such as standard output.
     std::size_t unmanaged = 0;
     DescriptorQuotas quotas{};
-    /// Connections of clients for which there are descriptors.
+    /// Client connections for which there are descriptors.
     std::uint32_t max_connections = 0;
     /// Rejection slots for which there are descriptors.
     std::uint32_t rejection_slots = 0;
 };
 
-/// Thrown by plan_descriptors() if not even the guaranteed numbers of descriptors fit into the limit. The
-/// message reads "LIMIT descriptors are too few: at least MIN_LIMIT".
+/// Thrown by plan_descriptors() if the guaranteed numbers of descriptors do not fit into the limit. The
+/// message is "LIMIT file descriptors are too few: the minimum is MIN_LIMIT".
 class DescriptorShortage : public std::invalid_argument {
 public:
     DescriptorShortage(std::size_t limit, std::size_t min_limit);
 
     /// The descriptors that the process may have open.
     std::size_t limit() const { return limit_; }
-    /// The least limit for which there is a plan.
+    /// The smallest limit for which a plan exists.
     std::size_t min_limit() const { return min_limit_; }
 
 private:
@@ -56,8 +56,9 @@
     std::size_t min_limit_;
 };
 
-/// Plans for up to `max_connections` connections of clients. Throws DescriptorShortage if not even the
-/// guaranteed numbers fit into `limit`.
+/// Plans descriptors for up to `max_connections` client connections. `unmanaged` is the number of descriptors
+/// that are open without a lease. Throws DescriptorShortage if the guaranteed numbers do not fit into
+/// `limit`.
 DescriptorPlan plan_descriptors(std::size_t limit, std::size_t unmanaged, const DescriptorDemand& demand,
                                 std::uint32_t max_connections);
 
--- a/src/connection_admission/network_error.hpp
+++ b/src/connection_admission/network_error.hpp
@@ -1,32 +1,32 @@
-// The typed reasons why a network of a client group is refused.
+// Errors in the networks of a client group.
 #pragma once
 
 #include <string>
 
 namespace cressledge::connection_admission {
 
-/// Why parse_network() or NetworkGroupTable::add() refuses a network.
+/// Why parse_network() or NetworkGroupTable::add() rejects a network.
 enum class NetworkErrorCause {
-    /// The text is no IPv4 or IPv6 address with an optional prefix length.
+    /// The text is not an IPv4 or IPv6 address with an optional prefix length.
     not_a_network,
     /// The address has bits set beyond its prefix length, as in 10.0.0.1/8.
     host_bits_set,
-    /// The network is listed already.
+    /// The network is already listed.
     duplicate,
-    /// The network overlaps one listed for the same group.
+    /// The network overlaps another network of the same group.
     overlaps_own_group,
 };
 
-/// Why a network is refused, with the networks concerned.
+/// Why a network was rejected, with the networks involved.
 struct NetworkError {
     NetworkErrorCause cause = NetworkErrorCause::not_a_network;
-    /// The text that was read, or the network that was to be added, in its usual notation.
+    /// The text that was parsed, or the network that was to be added, in CIDR notation.
     std::string network;
-    /// For `overlaps_own_group`: the listed network that it overlaps; empty otherwise.
+    /// For `overlaps_own_group`: the listed network that it overlaps. Otherwise empty.
     std::string listed_network;
 };
 
-/// The reason as the settings' error message writes it, for example "a duplicate: 10.0.0.0/8".
+/// The text for the error message about the settings, for example "a duplicate: 10.0.0.0/8".
 std::string to_string(const NetworkError& error);
 
 }  // namespace cressledge::connection_admission
--- a/src/connection_admission/network_group_table.cpp
+++ b/src/connection_admission/network_group_table.cpp
@@ -12,6 +12,7 @@
 
 namespace ip = boost::asio::ip;
 
+/// Length in bits of the prefix of IPv4-mapped addresses, ::ffff:0:0/96.
 constexpr unsigned v4_mapped_prefix_length = 96;
 
 }  // namespace
@@ -72,7 +73,7 @@
 
 NetworkGroupTable::Match NetworkGroupTable::longest_match(const IpAddress& address) const {
     for (const PrefixTable& table : prefix_tables_) {
-        // Only IPv6 networks are left then.
+        // The remaining tables hold only IPv6 networks.
         if (table.prefix_length < v4_mapped_prefix_length && address.is_v4())
             break;
         const auto found = table.groups_by_base_address.find(address.masked(table.prefix_length));
--- a/src/connection_admission/network_group_table.hpp
+++ b/src/connection_admission/network_group_table.hpp
@@ -1,4 +1,4 @@
-// The networks of listed clients, by client group.
+// Maps the networks of listed clients to client groups.
 #pragma once
 
 #include <cstddef>
@@ -12,36 +12,38 @@
 
 namespace cressledge::connection_admission {
 
-/// 0: no group; the first group is 1.
+/// Index of a client group: 0 means no group; the first group has index 1.
 using GroupIndex = std::size_t;
 
-/// Reads 10.0.0.0/8, 2001:db8::/32, or one address. Returns nothing and sets `error` if the text is no
-/// network or has bits set beyond its prefix.
+/// Parses a CIDR block such as 10.0.0.0/8 or 2001:db8::/32, or a single address. Returns nothing and sets
+/// `error` if the text is neither, or if bits are set beyond the prefix.
 std::optional<Network> parse_network(const std::string& text, NetworkError& error);
 
-/// Finds the client group of an address by the longest listed prefix that contains it.
+/// Finds the client group of an address by longest prefix match.
 class NetworkGroupTable {
 public:
-    /// Returns false and sets `error` if the network is listed already, or overlaps with one of its own
-    /// group: the first says nothing, the second probably hides a mistake. A network inside one of another
-    /// group is an exception to it.
+    /// Adds a network to a group. Returns false and sets `error` if the network is already listed, which
+    /// would have no effect, or overlaps another network of the same group, which is probably a mistake. A
+    /// network inside a network of another group is allowed and overrides it.
     bool add(const Network& network, GroupIndex group_index, NetworkError& error);
 
+    /// Result of longest_match().
     struct Match {
         GroupIndex group_index = 0;
-        /// Of the network that lists the address.
+        /// Prefix length of the matching network.
         unsigned prefix_length = 0;
     };
-    /// The group of the longest prefix that contains the address.
+    /// The group with the longest prefix that matches the address; group index 0 if none matches.
     Match longest_match(const IpAddress& address) const;
 
-    /// The number of networks.
+    /// Number of networks.
     std::size_t size() const { return entries_.size(); }
 
 private:
     struct IpAddressHash {
         std::size_t operator()(const IpAddress& address) const noexcept;
     };
+    /// The networks with the same prefix length.
     struct PrefixTable {
         unsigned prefix_length = 0;
         std::unordered_map<IpAddress, GroupIndex, IpAddressHash> groups_by_base_address;
@@ -51,11 +53,13 @@
         GroupIndex group_index = 0;
     };
 
-    /// Why the network can't be added; nothing if it can.
+    /// Why the network cannot be added, or nothing if it can.
     std::optional<NetworkError> find_conflict(const Network& network, GroupIndex group_index) const;
+    /// Finds or inserts the table of a prefix length.
     PrefixTable& prefix_table_of(unsigned prefix_length);
 
-    /// The longest prefix first. A look-up costs one probe for each prefix length in use.
+    /// In descending order of prefix length. A lookup takes one hash table lookup for each prefix length in
+    /// use.
     std::vector<PrefixTable> prefix_tables_;
     std::vector<NetworkEntry> entries_;
 };
--- a/tests/cressledge/config_test.cpp
+++ b/tests/cressledge/config_test.cpp
@@ -146,7 +146,7 @@
     CHECK(of("    - {name: c, networks: [10.1.0.0/16]}\n") ==
           "o.yaml:12: networks: a duplicate: 10.1.0.0/16");
     CHECK(of("    - name: c\n      networks:\n        - 10.3.0.0/16\n        - 10.3.3.0/24\n") ==
-          "o.yaml:15: networks: overlaps one of its group: 10.3.3.0/24 and 10.3.0.0/16");
+          "o.yaml:15: networks: overlaps another network of its group: 10.3.3.0/24 and 10.3.0.0/16");
     CHECK(of("    - {name: c, networks: []}\n") == "o.yaml:12: networks: no list");
     CHECK(of("    - {name: c, networks: [\"::1\"], reserve: {connections: 40}}\n") ==
           "o.yaml:12: reserve: the reserves take all of the 100 connections");
--- a/tests/cressledge/file_descriptor_budget_test.cpp
+++ b/tests/cressledge/file_descriptor_budget_test.cpp
@@ -1,3 +1,4 @@
+// Descriptor plans and leases, without opening any descriptor.
 #include "connection_admission/file_descriptor_budget.hpp"
 
 #include <utility>
@@ -10,16 +11,17 @@
 using namespace cressledge::testing;
 using namespace cressledge::connection_admission;
 
-TEST_CASE("file descriptor budget: each purpose gets its guaranteed number, whatever the others use") {
+TEST_CASE("file descriptor budget: each purpose gets its guaranteed number, regardless of the others") {
     DescriptorDemand demand;
     demand.listeners = 2;
     demand.upstream = 40;
     demand.min_upstream = 6;
     demand.reserved_connections = 3;
     const DescriptorPlan plan = plan_descriptors(40, 5, demand, 100);
-    // All but the unmanaged ones, listeners, files, upstream calls, and one for the overlap of an eviction.
+    // All but the unmanaged descriptors, listeners, files, upstream calls and the overlap of one eviction.
     CHECK(plan.max_connections == 40 - 5 - 2 - 2 - 6 - 1);
-    CHECK_THROWS_WITH(plan_descriptors(18, 5, demand, 100), "18 descriptors are too few: at least 19");
+    CHECK_THROWS_WITH(plan_descriptors(18, 5, demand, 100),
+                      "18 file descriptors are too few: the minimum is 19");
     CHECK_THROWS_AS(plan_descriptors(18, 5, demand, 100), DescriptorShortage);
     FileDescriptorBudget budget(plan);
     std::vector<FileDescriptorBudget::Lease> frontend_leases;
@@ -42,7 +44,8 @@
 }
 
 TEST_CASE(
-    "file descriptor budget: an upstream call evicts a connection, and EMFILE lowers the limit for a while") {
+    "file descriptor budget: an upstream call evicts a connection, and EMFILE lowers the limit "
+    "temporarily") {
     DescriptorDemand demand;
     demand.upstream = 10;
     demand.min_upstream = 1;
@@ -62,7 +65,7 @@
     CHECK((first && second));
     CHECK(frontend_leases.size() == max_leases - 1);
     second.release();
-    // EMFILE below the limit: one connection is evicted, and the number in use is the limit for a while.
+    // EMFILE below the limit evicts one connection, and the number in use becomes the limit temporarily.
     budget.on_system_exhausted(start_time);
     CHECK(frontend_leases.size() == max_leases - 2);
     frontend_leases.push_back(budget.try_acquire(start_time, DescriptorPurpose::frontend));
--- a/tests/cressledge/network_group_table_test.cpp
+++ b/tests/cressledge/network_group_table_test.cpp
@@ -1,3 +1,4 @@
+// Parsing of networks and longest prefix match.
 #include "connection_admission/network_group_table.hpp"
 
 #include <string>
@@ -10,7 +11,7 @@
 using namespace cressledge::testing;
 using namespace cressledge::connection_admission;
 
-TEST_CASE("network group table: the longest prefix wins, and an IPv4 address equals its mapped form") {
+TEST_CASE("network group table: longest prefix match, and an IPv4 address equals its IPv4-mapped form") {
     NetworkGroupTable networks;
     NetworkError error;
     const auto add = [&](const char* text, GroupIndex group_index) {
@@ -18,7 +19,7 @@
         return network && networks.add(*network, group_index, error);
     };
     REQUIRE(add("10.0.0.0/8", 1));
-    // An exception to group 1.
+    // Overrides group 1.
     REQUIRE(add("10.1.2.0/24", 2));
     REQUIRE(add("2001:db8::/32", 1));
     REQUIRE(add("::/0", 3));
@@ -27,7 +28,7 @@
     CHECK(networks.longest_match(parse_address("::ffff:10.1.2.3")).group_index == 2);
     CHECK(networks.longest_match(parse_address("2001:db8::1")).group_index == 1);
     CHECK(networks.longest_match(parse_address("2002::1")).group_index == 3);
-    // No IPv6 network contains IPv4.
+    // An IPv6 network does not match IPv4 addresses.
     CHECK(networks.longest_match(parse_address("192.0.2.1")).group_index == 0);
     struct InvalidNetwork {
         const char* text;
@@ -38,11 +39,12 @@
         {"10.0.0.0/8", NetworkErrorCause::duplicate, "a duplicate: 10.0.0.0/8"},
         {"::ffff:10.0.0.0/104", NetworkErrorCause::duplicate, "a duplicate: 10.0.0.0/8"},
         {"10.7.0.0/16", NetworkErrorCause::overlaps_own_group,
-         "overlaps one of its group: 10.7.0.0/16 and 10.0.0.0/8"},
+         "overlaps another network of its group: 10.7.0.0/16 and 10.0.0.0/8"},
         {"10.0.0.1/8", NetworkErrorCause::host_bits_set, "bits set beyond its prefix: 10.0.0.1/8"},
-        {"10.0.0.0/33", NetworkErrorCause::not_a_network, "not a network: 10.0.0.0/33"},
-        {"tiles.example.org", NetworkErrorCause::not_a_network, "not a network: tiles.example.org"},
-        {"", NetworkErrorCause::not_a_network, "not a network: "},
+        {"10.0.0.0/33", NetworkErrorCause::not_a_network, "not an address or CIDR block: 10.0.0.0/33"},
+        {"tiles.example.org", NetworkErrorCause::not_a_network,
+         "not an address or CIDR block: tiles.example.org"},
+        {"", NetworkErrorCause::not_a_network, "not an address or CIDR block: "},
     };
     for (const auto& [text, expected_cause, expected_error] : invalid_networks) {
         CHECK_FALSE(add(text, 1));
