--- a/src/connection_admission/address_hash.hpp
+++ b/src/connection_admission/address_hash.hpp
@@ -1,4 +1,4 @@
-// The hash of an address.
+// Keyed hash of an IP address.
 #pragma once
 
 #define XXH_INLINE_ALL
@@ -8,7 +8,7 @@
 
 namespace cressledge::connection_admission {
 
-/// XXH3 with a secret seed: guards against clients that choose addresses with the same hash.
+/// XXH3 of the address. With a secret `seed`, clients cannot choose addresses whose hashes collide.
 inline std::uint64_t hash_address(const IpAddress& address, std::uint64_t seed) {
     const std::uint64_t hash_input[2] = {address.high, address.low};
     return XXH3_64bits_withSeed(hash_input, sizeof hash_input, seed);
--- a/src/connection_admission/client_group_usage.hpp
+++ b/src/connection_admission/client_group_usage.hpp
@@ -1,4 +1,4 @@
-// The reserved capacity of a client group and what of it is in use.
+// Reserved capacity of a client group and its current usage.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +7,9 @@
 
 namespace cressledge::connection_admission {
 
-/// The limits and reserved capacity of one client group, and what of it is in use now.
+/// Limits, reserved capacity and current usage of one client group.
 struct ClientGroupUsage {
+    /// Limits of each source in the group.
     SourceLimits source_limits;
     std::uint32_t reserved_connections = 0;
     std::uint32_t reserved_requests = 0;
--- a/src/connection_admission/connection_limiter.cpp
+++ b/src/connection_admission/connection_limiter.cpp
@@ -6,17 +6,19 @@
 namespace cressledge::connection_admission {
 namespace {
 
-/// At most one line in this time for one source.
+/// Minimum time between log lines about the same source.
 constexpr Duration source_log_interval{10'000'000};
-/// At most one line in this time for all sources together.
+/// Minimum time between log lines about any source.
 constexpr Duration log_interval{1'000'000};
+/// Lower bound of the Retry-After of a connection rate rejection.
 constexpr Duration min_retry_after{50'000};
 constexpr double microseconds_per_second = 1e6;
-/// One source may use one in so many rejection slots: other rejected clients shall get a reason as well.
-constexpr std::uint32_t rejection_slots_divisor = 4;
+/// One source may use at most one in this many of the rejection slots, so that other rejected clients also
+/// get a response.
+constexpr std::uint32_t rejection_slots_per_source_divisor = 4;
 
-/// How long a source that opens connections too fast is to wait for its next token.
-Duration retry_after_of_rate(const SourceLimits& limits, Duration max_retry_after) {
+/// The Retry-After of a source over its connection rate: the time in which its bucket gains one token.
+Duration connection_rate_retry_after(const SourceLimits& limits, Duration max_retry_after) {
     if (limits.connections_per_second <= 0.0)
         return max_retry_after;
     const double token_interval = microseconds_per_second / limits.connections_per_second;
@@ -82,8 +84,7 @@
     if (registry_.open_connections() < settings().max_connections)
         return {};
     const ClientGroupUsage& group = registry_.group(source_ref.group_index);
-    // After a reconfiguration that lowered the limit only reserves are still served, one connection for
-    // another.
+    // While a lowered limit is exceeded, only a group within its reserve may replace another connection.
     const bool may_evict = registry_.open_connections() == settings().max_connections ||
                            group.open_connections < group.reserved_connections;
     SlotIndex evicted_slot = no_slot;
@@ -94,8 +95,8 @@
     return {std::nullopt, evicted_slot};
 }
 
-// The dynamic threshold of shared-memory switches (Choudhury and Hahne, 1998): a source may have as many
-// connections as are still free times a factor, so that the fuller the table, the less one source can take.
+// Dynamic threshold as in shared-memory switches (Choudhury and Hahne, 1998): the limit of a source is the
+// number of free connections times a factor, so it falls as more connections are in use.
 bool ConnectionLimiter::exceeds_dynamic_threshold(const SourceRef& source_ref) const {
     if (source_ref.group_index != unlisted_group || settings().dynamic_threshold_factor <= 0.0)
         return false;
@@ -114,7 +115,8 @@
     decision.rejected = true;
     decision.reason = reason;
     decision.should_log = record_rejection(now, reason, source);
-    const std::uint32_t max_source_slots = std::max(1U, settings().rejection_slots / rejection_slots_divisor);
+    const std::uint32_t max_source_slots =
+        std::max(1U, settings().rejection_slots / rejection_slots_per_source_divisor);
     if (registry_.rejection_slots_in_use() >= settings().rejection_slots ||
         source.rejection_slots >= max_source_slots)
         return decision;
@@ -177,7 +179,7 @@
     return decision;
 }
 
-// Its rejection was recorded when the connection was opened.
+// The rejection is not recorded again: it was recorded when the connection was opened.
 ConnectionLimiter::RequestDecision ConnectionLimiter::reject_on_rejected_connection(
     const ConnectionSlot& slot) const {
     RequestDecision decision;
@@ -185,8 +187,8 @@
     decision.reason = slot.rejection_reason;
     decision.retry_after = settings().max_retry_after;
     if (slot.rejection_reason == RejectionReason::connection_rate)
-        decision.retry_after = retry_after_of_rate(registry_.group(slot.source.group_index).source_limits,
-                                                   settings().max_retry_after);
+        decision.retry_after = connection_rate_retry_after(
+            registry_.group(slot.source.group_index).source_limits, settings().max_retry_after);
     return decision;
 }
 
@@ -222,7 +224,7 @@
         registry_.slots().set_state(ConnectionSlotTable::index_of(slot_id), SlotState::awaiting_request, now);
 }
 
-// ---- what an operator reads ----
+// ---- reports ----
 
 std::vector<SourceReport> ConnectionLimiter::top_rejected_sources(std::size_t max_sources) const {
     return report_top_rejected_sources(registry_.sources(), settings(), max_sources);
--- a/src/connection_admission/connection_registry.cpp
+++ b/src/connection_admission/connection_registry.cpp
@@ -6,11 +6,12 @@
 namespace cressledge::connection_admission {
 namespace {
 
-/// Sources that are tracked at least, for each connection that may be open.
+/// Minimum number of tracked sources for each connection of the connection limit.
 constexpr std::size_t min_tracked_sources_per_connection = 4;
+/// Length in bits of the prefix of IPv4-mapped addresses, ::ffff:0:0/96.
 constexpr unsigned v4_mapped_prefix_length = 96;
 
-std::size_t subtract_to_zero(std::size_t a, std::size_t b) {
+std::size_t saturating_subtract(std::size_t a, std::size_t b) {
     return a > b ? a - b : 0;
 }
 
@@ -49,15 +50,15 @@
 std::size_t ConnectionRegistry::max_shared_requests() const {
     const std::size_t max_requests =
         settings_.max_in_flight_requests == 0 ? settings_.max_connections : settings_.max_in_flight_requests;
-    return std::min(subtract_to_zero(max_requests, reserved_requests_),
-                    subtract_to_zero(settings_.max_connections, reserved_connections_));
+    return std::min(saturating_subtract(max_requests, reserved_requests_),
+                    saturating_subtract(settings_.max_connections, reserved_connections_));
 }
 
 SourceRef ConnectionRegistry::find_or_insert_source(Timestamp now, const IpAddress& address) {
     const NetworkGroupTable::Match match = settings_.networks.longest_match(address);
     unsigned prefix_length =
         address.is_v4() ? v4_mapped_prefix_length + settings_.v4_prefix_length : settings_.v6_prefix_length;
-    // A listed client is never counted together with others outside the network that lists it.
+    // A source must not mix a listed client with clients outside the network that lists it.
     if (match.group_index != unlisted_group)
         prefix_length = std::max(prefix_length, match.prefix_length);
     const auto group_index = static_cast<std::uint32_t>(match.group_index);
@@ -148,7 +149,7 @@
     for (SlotIndex i = 0; i < slots_.slots().size(); ++i)
         if (slots_[i].state != SlotState::free)
             indices.push_back(i);
-    // Relinked in this order each list keeps its own.
+    // Relinking in this order preserves the order of each list.
     std::sort(indices.begin(), indices.end(),
               [this](SlotIndex a, SlotIndex b) { return slots_[a].state_since < slots_[b].state_since; });
     std::vector<PreviousSlot> previous_slots;
@@ -165,7 +166,7 @@
 void ConnectionRegistry::relink_slot(Timestamp now, const PreviousSlot& previous) {
     ConnectionSlot& slot = slots_[previous.index];
     slot.source = find_or_insert_source(now, slot.address);
-    // It is in no list of its new group yet.
+    // Prevents set_state() from unlinking the slot: it is not in a list of its new group yet.
     slot.state = SlotState::free;
     slots_.set_state(previous.index, previous.state, slot.state_since);
     count_connection(slot);
--- a/src/connection_admission/connection_registry.hpp
+++ b/src/connection_admission/connection_registry.hpp
@@ -1,5 +1,5 @@
-// All connections in their slots, the sources and client groups they belong to, and every count of them,
-// under the settings in force. Keeps the counts consistent; ConnectionLimiter decides what may happen.
+// The connection slots, sources and client groups under the current settings, with the counts of each. Keeps
+// the counts consistent; ConnectionLimiter makes the admission decisions.
 #pragma once
 
 #include <cstddef>
@@ -13,13 +13,13 @@
 
 namespace cressledge::connection_admission {
 
-/// A connection in the caller's terms.
+/// Identifies a connection by the caller's listener index and connection id.
 struct ConnectionRef {
     std::uint32_t listener_index = 0;
     std::uint64_t connection_id = 0;
 };
 
-/// What is known of a connection before it has a slot.
+/// A new connection that has no slot yet.
 struct IncomingConnection {
     IpAddress address;
     SourceRef source;
@@ -28,40 +28,42 @@
 
 /// Owns the slots, the sources and the usage of each client group.
 ///
-/// Invariant: every count equals the number of slots that it counts; see check_invariants().
+/// Invariant: every stored count agrees with the slots; see check_invariants().
 class ConnectionRegistry {
 public:
-    /// `seed` keeps clients from choosing addresses that collide in the tables of sources.
+    /// `seed` is the hash seed of the source tables; keep it secret so that clients cannot choose addresses
+    /// that collide.
     ConnectionRegistry(Settings settings, std::uint64_t seed);
 
-    /// Counts the open connections anew under the new groups; none is closed.
+    /// Applies new settings and recounts the open connections under the new groups. Closes no connection.
     void reconfigure(Timestamp now, Settings settings);
-    /// The settings in force; `max_connections` is at least 1.
+    /// The current settings; `max_connections` is at least 1.
     const Settings& settings() const { return settings_; }
 
-    /// The source of an address and the group that lists it. May evict a source without connections from its
-    /// table.
+    /// Returns the source of an address and the group that lists it. Inserting a new source may evict one
+    /// without connections from its table.
     SourceRef find_or_insert_source(Timestamp now, const IpAddress& address);
 
-    /// Gives the connection a free slot, of which there must be one, in this state.
+    /// Assigns a free slot to the connection and sets its state. There must be a free slot.
     SlotIndex occupy_slot(Timestamp now, const IncomingConnection& connection, SlotState state);
-    /// Does nothing if the slot has been released before.
+    /// Releases the slot and updates the counts. Does nothing if the slot is already released.
     void release_slot(ConnectionSlotId slot_id);
 
     /// Counts the slot's request as in flight.
     void count_in_flight(ConnectionSlot& slot);
-    /// Does nothing if the slot's request is not counted.
+    /// Stops counting the slot's request as in flight. Does nothing if it is not counted.
     void uncount_in_flight(ConnectionSlot& slot);
 
-    /// The slots; whether a slot's request is in flight changes through the functions above alone.
+    /// The slots. Call count_in_flight() and uncount_in_flight() instead of setting
+    /// ConnectionSlot::counts_as_in_flight.
     ConnectionSlotTable& slots() { return slots_; }
     const ConnectionSlotTable& slots() const { return slots_; }
     /// The sources of all groups.
     SourceRegistry& sources() { return sources_; }
     const SourceRegistry& sources() const { return sources_; }
-    /// `group_index` must be of the settings in force.
+    /// `group_index` must be valid for the current settings.
     const ClientGroupUsage& group(GroupIndex group_index) const { return groups_[group_index]; }
-    /// A selector over these tables; it must not outlive the registry.
+    /// A selector over the slots, sources and groups; it must not outlive the registry.
     EvictionSelector eviction_selector() const { return {slots_, sources_, groups_}; }
 
     /// Slots in use other than rejection slots.
@@ -75,11 +77,11 @@
     /// Memory of slots and sources, in bytes.
     std::size_t memory_bytes() const { return sources_.memory_bytes() + slots_.memory_bytes(); }
 
-    /// For tests: throws std::logic_error if a count differs from the slots that it counts.
+    /// For tests: throws std::logic_error if a stored count differs from the slots.
     void check_invariants() const;
 
 private:
-    /// A slot as it was before a reconfiguration.
+    /// The state of a slot before a reconfiguration.
     struct PreviousSlot {
         SlotIndex index;
         SlotState state;
@@ -93,29 +95,30 @@
     void apply_settings(Settings settings);
     ClientGroupUsage& group_of(const ConnectionSlot& slot) { return groups_[slot.source.group_index]; }
 
-    /// Adds the slot to, or takes it from, the counts of connections of its source and group.
+    /// Add the slot to, or remove it from, the connection counts of its source and group.
     void count_connection(const ConnectionSlot& slot);
     void uncount_connection(const ConnectionSlot& slot);
 
-    /// The slots in use, in the order in which they entered their states. Takes them out of all counts and
-    /// lists.
+    /// Removes the slots in use from all counts and lists. Returns them in the order in which they entered
+    /// their states.
     std::vector<PreviousSlot> unlink_slots_in_use();
+    /// Adds a slot to the counts and lists of its new group.
     void relink_slot(Timestamp now, const PreviousSlot& previous);
 
-    /// Returns what the slots say of each group.
+    /// Counts the connections and requests of each group from the slots.
     std::vector<GroupCounts> check_slots() const;
-    void check_groups(const std::vector<GroupCounts>& counts) const;
-    void check_sources(const std::vector<GroupCounts>& counts) const;
+    void check_groups(const std::vector<GroupCounts>& counts_by_group) const;
+    void check_sources(const std::vector<GroupCounts>& counts_by_group) const;
 
     Settings settings_;
     SourceRegistry sources_;
     ConnectionSlotTable slots_;
-    /// Indexed by group; the first one is of clients that no group lists.
+    /// Indexed by group; index 0 stands for the clients that no group lists.
     std::vector<ClientGroupUsage> groups_;
     std::size_t open_connections_ = 0;
     std::size_t rejection_slots_in_use_ = 0;
     std::size_t shared_in_flight_requests_ = 0;
-    /// Sums over the groups.
+    /// Sums over all groups.
     std::size_t reserved_connections_ = 0;
     std::size_t reserved_requests_ = 0;
 };
--- a/src/connection_admission/connection_registry_invariants.cpp
+++ b/src/connection_admission/connection_registry_invariants.cpp
@@ -1,4 +1,4 @@
-// The self-check of ConnectionRegistry, for tests.
+// Consistency checks of ConnectionRegistry, called by tests.
 #include <algorithm>
 #include <stdexcept>
 #include <string>
@@ -30,8 +30,9 @@
             continue;
         const bool is_in_flight = slot.state == SlotState::request_in_flight;
         require(!slot.counts_as_in_flight || is_in_flight || slot.state == SlotState::closing,
-                "a request is counted as in flight and is not");
-        require(!is_in_flight || slot.counts_as_in_flight, "a request in flight is not counted");
+                "a slot without a request in flight is counted as in flight");
+        require(!is_in_flight || slot.counts_as_in_flight,
+                "a slot with a request in flight is not counted as in flight");
         if (slot.state == SlotState::rejected) {
             ++rejected_connections;
             continue;
@@ -41,8 +42,8 @@
         ++counts.open_connections;
         counts.in_flight_requests += slot.counts_as_in_flight ? 1 : 0;
     }
-    require(open_connections == open_connections_, "the number of open connections is wrong");
-    require(rejected_connections == rejection_slots_in_use_, "the number of rejection slots is wrong");
+    require(open_connections == open_connections_, "open_connections differs from the slots");
+    require(rejected_connections == rejection_slots_in_use_, "rejection_slots_in_use differs from the slots");
     return counts_by_group;
 }
 
@@ -51,14 +52,15 @@
     for (std::size_t group_index = 0; group_index < groups_.size(); ++group_index) {
         const GroupCounts& counts = counts_by_group[group_index];
         require(counts.open_connections == groups_[group_index].open_connections,
-                "a group's number of open connections is wrong");
+                "open_connections of a group differs from the slots");
         require(counts.in_flight_requests == groups_[group_index].in_flight_requests,
-                "a group's number of requests in flight is wrong");
+                "in_flight_requests of a group differs from the slots");
         const std::uint32_t within_reserve =
             std::min(counts.in_flight_requests, groups_[group_index].reserved_requests);
         shared_requests += counts.in_flight_requests - within_reserve;
     }
-    require(shared_requests == shared_in_flight_requests_, "the number of shared requests is wrong");
+    require(shared_requests == shared_in_flight_requests_,
+            "shared_in_flight_requests differs from the slots");
 }
 
 void ConnectionRegistry::check_sources(const std::vector<GroupCounts>& counts_by_group) const {
@@ -74,8 +76,8 @@
     for (const GroupCounts& counts : counts_by_group)
         group_requests += counts.in_flight_requests;
     require(connections == open_connections_ + rejection_slots_in_use_,
-            "the sources' numbers of connections are wrong");
-    require(source_requests == group_requests, "the sources' numbers of requests in flight are wrong");
+            "open_connections and rejection_slots of the sources differ from the slots");
+    require(source_requests == group_requests, "in_flight_requests of the sources differ from the groups");
 }
 
 }  // namespace cressledge::connection_admission
--- a/src/connection_admission/connection_slot_table.cpp
+++ b/src/connection_admission/connection_slot_table.cpp
@@ -3,6 +3,7 @@
 namespace cressledge::connection_admission {
 namespace {
 
+/// An id holds the generation above this bit and the index below it.
 constexpr unsigned generation_shift = 32;
 
 }  // namespace
--- a/src/connection_admission/connection_slot_table.hpp
+++ b/src/connection_admission/connection_slot_table.hpp
@@ -1,5 +1,5 @@
-// The slots of open and rejected connections, and for each client group and evictable state a list of its
-// slots in the order in which they entered it. Decides nothing.
+// Slots of open and rejected connections. For each client group and evictable state, the table links the
+// slots in the order in which they entered that state.
 #pragma once
 
 #include <array>
@@ -15,90 +15,95 @@
 
 namespace cressledge::connection_admission {
 
-/// Names a slot and the connection in it: a released slot gets a new id. Never 0.
+/// Identifies a slot and its current connection; a slot gets a new id when it is released. Never 0.
 using ConnectionSlotId = std::uint64_t;
 
-/// Position of a slot in its table.
+/// Index of a slot in its table.
 using SlotIndex = std::uint32_t;
+/// The index that stands for "no slot".
 constexpr SlotIndex no_slot = ~SlotIndex{0};
 
-/// What the connection of a slot is doing. Connections in the first three states can be evicted.
+/// State of a slot and its connection. Connections in the first three states can be evicted.
 enum class SlotState : std::uint8_t {
-    /// No whole request has been read yet, or the last one got its response without being in flight.
+    /// No complete request has been read yet, or a response was sent to a request that was not in flight.
     awaiting_request,
     /// Between two requests.
     idle,
-    /// The last response is being sent; its request counts as in flight until the connection is closed.
+    /// The last response has been passed to the connection for sending; its request counts as in flight until
+    /// the connection is closed.
     closing,
+    /// A request has been admitted and its response has not been sent.
     request_in_flight,
-    /// Rejected when it was opened, and read until its request can get a response.
+    /// Rejected when it was opened, and read until its request can be answered.
     rejected,
+    /// The slot holds no connection.
     free
 };
 
-/// The number of states that come first in SlotState and in which a connection can be evicted.
+/// Number of states, at the start of SlotState, in which a connection can be evicted.
 constexpr std::size_t evictable_state_count = 3;
 
-/// One connection.
+/// A slot and its connection.
 struct ConnectionSlot {
     IpAddress address;
-    /// The caller's own id of the connection.
+    /// The caller's id of the connection.
     std::uint64_t connection_id = 0;
+    /// When the slot entered `state`.
     Timestamp state_since{0};
     SourceRef source;
     std::uint32_t listener_index = 0;
-    /// Counts the connections that this slot has held.
+    /// Incremented when the slot is released, so that old ids do not match the next connection.
     std::uint32_t generation = 1;
-    /// Neighbours in the list of its group and state.
+    /// Neighbors in the list of the group and state.
     SlotIndex previous = no_slot;
     SlotIndex next = no_slot;
     SlotState state = SlotState::free;
-    /// Whether its request is included in the numbers of requests in flight.
+    /// Whether the request is included in the counts of requests in flight.
     bool counts_as_in_flight = false;
-    /// Of a slot in the state `rejected`.
+    /// Valid only in the state `rejected`.
     RejectionReason rejection_reason = RejectionReason::source_connections;
 };
 
-/// Owns the slots and their lists. Ids of released slots are never used again.
+/// Owns the slots and their lists. Ids of released slots are not reused.
 class ConnectionSlotTable {
 public:
-    /// Makes room for at least this many slots; never gives any back.
+    /// Grows the table to at least `slot_count` slots; never shrinks it.
     void grow_to(std::size_t slot_count);
 
-    /// Starts with empty lists for this many groups. All listed slots must have been unlinked before.
+    /// Replaces all lists by empty ones for `group_count` groups. Every slot must be unlinked first.
     void reset_groups(std::size_t group_count);
 
-    /// Returns nullptr if the connection of this id is gone.
+    /// Returns nullptr if the slot has been released since it had this id.
     const ConnectionSlot* find(ConnectionSlotId slot_id) const;
     ConnectionSlot* find(ConnectionSlotId slot_id) {
         return const_cast<ConnectionSlot*>(std::as_const(*this).find(slot_id));
     }
 
-    /// The id of the connection that the slot holds now.
+    /// The current id of the slot.
     ConnectionSlotId id_of(SlotIndex index) const;
-    /// The slot that an id names, whether or not its connection is gone.
+    /// The index of the slot with this id, whether or not the id is still current.
     static SlotIndex index_of(ConnectionSlotId slot_id) { return static_cast<SlotIndex>(slot_id); }
 
     ConnectionSlot& operator[](SlotIndex index) { return slots_[index]; }
     const ConnectionSlot& operator[](SlotIndex index) const { return slots_[index]; }
 
-    /// Takes a free slot; there must be one. Its state stays `free` until set_state().
+    /// Returns a free slot; there must be one. Its state remains `free` until set_state().
     SlotIndex acquire();
-    /// Ends the life of its id.
+    /// Frees the slot and invalidates its id.
     void release(SlotIndex index);
 
-    /// Moves the slot to the end of the list of its group and the new state, if that state is evictable.
+    /// Sets the state and, if it is evictable, appends the slot to the list of its group and state.
     void set_state(SlotIndex index, SlotState state, Timestamp now);
-    /// Takes the slot out of its list; its state is unchanged.
+    /// Removes the slot from its list, if it is in one. Does not change its state.
     void unlink(SlotIndex index);
 
-    /// The slot of the group that has been longest in this evictable state, or no_slot. `next` leads to the
-    /// others.
+    /// The slot of the group that has been in this evictable state for longest, or no_slot. Follow
+    /// ConnectionSlot::next for the others.
     SlotIndex oldest(std::uint32_t group_index, SlotState state) const;
 
     /// All slots, free ones included.
     const std::vector<ConnectionSlot>& slots() const { return slots_; }
-    /// Memory of the slots and lists, in bytes.
+    /// Memory of the slots and of the list of free slots, in bytes.
     std::size_t memory_bytes() const;
 
 private:
@@ -108,7 +113,7 @@
     };
     using SlotLists = std::array<SlotList, evictable_state_count>;
 
-    /// The list that the slot belongs to, or nullptr if its state has none.
+    /// The list of the group and state of the slot, or nullptr if the state is not evictable.
     SlotList* list_of(const ConnectionSlot& slot);
 
     std::vector<ConnectionSlot> slots_;
--- a/src/connection_admission/descriptor_purpose.hpp
+++ b/src/connection_admission/descriptor_purpose.hpp
@@ -1,4 +1,4 @@
-// What the process opens file descriptors for.
+// Purposes of file descriptors and their quotas.
 #pragma once
 
 #include <array>
@@ -7,40 +7,41 @@
 
 namespace cressledge::connection_admission {
 
-/// What a file descriptor is open for. Each purpose has a quota of its own.
+/// What a file descriptor is used for. Each purpose has its own quota.
 enum class DescriptorPurpose : std::uint8_t {
     /// Listening sockets of the frontends.
     listener,
-    /// Links of the platform.
+    /// Connections of platform links.
     platform_link,
     /// Connections to the records service.
     records,
     /// Connections to upstream hosts.
     upstream,
-    /// Files, open only while they are read or for as long as the process runs.
+    /// Files, whether open only while they are read or permanently.
     file,
-    /// Connections of clients.
+    /// Client connections.
     frontend,
-    /// The admin address: its listener and connections.
+    /// The listener and connections of the admin address.
     admin,
-    /// The fleet's gossip: its sockets and full exchanges.
+    /// Gossip sockets and full exchanges.
     gossip
 };
 
 /// Number of enumerators of DescriptorPurpose.
 constexpr std::size_t descriptor_purpose_count = 8;
 
-/// The purpose as log lines and metrics spell it.
+/// The name of the purpose in log lines and metrics.
 const char* to_string(DescriptorPurpose purpose);
 
-/// Numbers of file descriptors of one purpose.
+/// Guaranteed and maximum number of file descriptors of one purpose.
 struct DescriptorQuota {
-    /// Available whatever the other purposes use.
+    /// Available regardless of the usage of other purposes.
     std::size_t guaranteed = 0;
+    /// Upper bound for new leases.
     std::size_t maximum = 0;
 };
 
-/// Indexed by DescriptorPurpose.
+/// Quotas indexed by DescriptorPurpose.
 using DescriptorQuotas = std::array<DescriptorQuota, descriptor_purpose_count>;
 
 }  // namespace cressledge::connection_admission
--- a/src/connection_admission/eviction_selector.cpp
+++ b/src/connection_admission/eviction_selector.cpp
@@ -5,12 +5,14 @@
 namespace cressledge::connection_admission {
 namespace {
 
-/// A client that sends a request usually does so sooner after it has connected.
+/// Grace period for a client to send its request or read its last response. Most clients send their request
+/// within it after connecting.
 constexpr Duration request_arrival_grace{250'000};
-/// Slots looked at in each list: bounds the cost of a choice.
+/// Slots scanned in each list; bounds the cost of a selection.
 constexpr std::size_t max_scanned_slots = 16;
 
-/// Whether one source has far more connections open than another: more than twice as many and some.
+/// Whether a source has far more connections open than another: more than `factor` times as many plus
+/// `margin`.
 bool has_far_more_connections(const Source& source, const Source& other) {
     constexpr std::uint32_t factor = 2;
     constexpr std::uint32_t margin = 8;
@@ -21,17 +23,17 @@
 
 SlotIndex EvictionSelector::select(Timestamp now, const Source* new_source) const {
     const Timestamp grace_started_at = now - request_arrival_grace;
-    // Clients that have been slower with their request than usual.
-    SlotIndex slot = find_slot_of_heaviest_source(SlotState::awaiting_request, grace_started_at, nullptr);
-    // Clients that have had time to read their last response.
+    // Clients that did not send a request within the grace period.
+    SlotIndex slot = find_slot_of_largest_source(SlotState::awaiting_request, grace_started_at, nullptr);
+    // Clients that had the grace period to read their last response.
     if (slot == no_slot)
-        slot = find_slot_of_heaviest_source(SlotState::closing, grace_started_at, nullptr);
+        slot = find_slot_of_largest_source(SlotState::closing, grace_started_at, nullptr);
     if (slot == no_slot && new_source != nullptr)
-        slot = find_slot_of_heaviest_source(SlotState::awaiting_request, now, new_source);
+        slot = find_slot_of_largest_source(SlotState::awaiting_request, now, new_source);
     if (slot == no_slot)
-        slot = find_slot_of_heaviest_source(SlotState::idle, now, nullptr);
+        slot = find_slot_of_largest_source(SlotState::idle, now, nullptr);
     if (slot == no_slot)
-        slot = find_slot_of_heaviest_source(SlotState::awaiting_request, now, nullptr);
+        slot = find_slot_of_largest_source(SlotState::awaiting_request, now, nullptr);
     return slot;
 }
 
@@ -53,9 +55,9 @@
     return group_index != unlisted_group && group.open_connections <= group.reserved_connections;
 }
 
-SlotIndex EvictionSelector::find_slot_of_heaviest_source(SlotState state, Timestamp max_state_since,
-                                                         const Source* new_source) const {
-    SlotIndex best = no_slot;
+SlotIndex EvictionSelector::find_slot_of_largest_source(SlotState state, Timestamp max_state_since,
+                                                        const Source* new_source) const {
+    SlotIndex selected = no_slot;
     std::uint32_t max_connections = 0;
     for (std::uint32_t group = 0; group < groups_.size(); ++group) {
         if (is_within_reserve(group))
@@ -71,16 +73,16 @@
             if (new_source != nullptr &&
                 (&source == new_source || !has_far_more_connections(source, *new_source)))
                 continue;
-            const bool is_heavier = best == no_slot || source.open_connections > max_connections;
-            const bool is_older = best != no_slot && source.open_connections == max_connections &&
-                                  slot.state_since < slots_[best].state_since;
-            if (!is_heavier && !is_older)
+            const bool is_larger = selected == no_slot || source.open_connections > max_connections;
+            const bool is_older = selected != no_slot && source.open_connections == max_connections &&
+                                  slot.state_since < slots_[selected].state_since;
+            if (!is_larger && !is_older)
                 continue;
-            best = candidate;
+            selected = candidate;
             max_connections = source.open_connections;
         }
     }
-    return best;
+    return selected;
 }
 
 }  // namespace cressledge::connection_admission
--- a/src/connection_admission/file_descriptor_budget.cpp
+++ b/src/connection_admission/file_descriptor_budget.cpp
@@ -5,10 +5,11 @@
 namespace cressledge::connection_admission {
 namespace {
 
-/// How long a limit that the system has shown is believed.
+/// How long the limit observed at a refusal by the system remains in force.
 constexpr Duration observed_limit_ttl{200'000};
 
-bool outranks_new_connections(DescriptorPurpose purpose) {
+/// Whether a client connection may be evicted to provide a descriptor for this purpose.
+bool has_priority_over_connections(DescriptorPurpose purpose) {
     return purpose != DescriptorPurpose::frontend;
 }
 
@@ -33,12 +34,13 @@
     for (const PurposeUsage& other : usage_)
         if (&other != &usage && other.used < other.quota.guaranteed)
             reserved_for_others += other.quota.guaranteed - other.used;
-    // The limit that the system has shown binds connections of clients only: whether there is a descriptor
-    // for another purpose is best found out by trying.
-    if (now < observed_limit_expires_at_ && used_ >= observed_limit_ && !outranks_new_connections(purpose))
+    // The observed limit applies to client connections only. For other purposes, the system call itself shows
+    // whether a descriptor is available.
+    if (now < observed_limit_expires_at_ && used_ >= observed_limit_ &&
+        !has_priority_over_connections(purpose))
         return false;
-    // A guarantee is not weighed against other guarantees: the condition below keeps descriptors for all of
-    // them.
+    // Within its guarantee a purpose need not leave room for the guarantees of others: the condition below
+    // already reserves descriptors for all of them.
     if (usage.used < usage.quota.guaranteed)
         return used_ < limit_;
     return used_ + reserved_for_others < limit_;
@@ -47,7 +49,7 @@
 bool FileDescriptorBudget::evict_one_connection() {
     if (!evict_connection_ || is_evicting_)
         return false;
-    // Guards against recursion: the code that closes a connection may ask for a descriptor itself.
+    // Prevents recursion: closing a connection may itself acquire a descriptor.
     is_evicting_ = true;
     const bool evicted = evict_connection_();
     is_evicting_ = false;
@@ -59,7 +61,7 @@
 FileDescriptorBudget::Lease FileDescriptorBudget::try_acquire(Timestamp now, DescriptorPurpose purpose) {
     PurposeUsage& usage = usage_of(purpose);
     bool granted = can_acquire(now, purpose);
-    if (!granted && outranks_new_connections(purpose) && usage.used < usage.quota.maximum)
+    if (!granted && has_priority_over_connections(purpose) && usage.used < usage.quota.maximum)
         granted = evict_one_connection() && can_acquire(now, purpose);
     if (!granted) {
         ++usage.denied;
--- a/src/connection_admission/file_descriptor_budget.hpp
+++ b/src/connection_admission/file_descriptor_budget.hpp
@@ -1,8 +1,7 @@
-// The file descriptors of the whole process: whoever opens a file or a socket takes a lease first and holds
-// it for as long as the descriptor is open. No I/O.
+// File descriptor budget of the process. Code that opens a file or socket acquires a lease first and holds it
+// while the descriptor is open. Performs no I/O.
 //
-// Invariant: used() <= limit(), and every purpose that uses fewer than its guaranteed number can get up to
-// it.
+// Invariant: used() <= limit(), and every purpose can acquire its guaranteed number of descriptors.
 #pragma once
 
 #include <array>
@@ -17,16 +16,16 @@
 
 namespace cressledge::connection_admission {
 
-/// Hands out leases within the limit of the process and the quotas of its purposes. Must outlive its leases.
+/// Grants leases within the limit of the process and the quotas of the purposes. Must outlive its leases.
 class FileDescriptorBudget {
 public:
     using Quota = DescriptorQuota;
     using Quotas = DescriptorQuotas;
 
-    /// The right to have one descriptor open; returned to the budget on destruction. Movable.
+    /// Permission to have one descriptor open; released on destruction. Movable.
     class Lease {
     public:
-        /// An empty lease: no right.
+        /// An empty lease, which permits nothing.
         Lease() = default;
         Lease(Lease&& other) noexcept
             : budget_(std::exchange(other.budget_, nullptr)), purpose_(other.purpose_) {}
@@ -37,7 +36,7 @@
         }
         ~Lease() { release(); }
 
-        /// Leaves the lease empty.
+        /// Returns the descriptor to the budget and leaves the lease empty.
         void release() {
             if (budget_ != nullptr)
                 std::exchange(budget_, nullptr)->release(purpose_);
@@ -53,38 +52,39 @@
         DescriptorPurpose purpose_ = DescriptorPurpose::file;
     };
 
-    /// Counts the descriptors that `plan` names as open without a lease as used from the start.
+    /// Counts the unmanaged descriptors of `plan` as used.
     explicit FileDescriptorBudget(const DescriptorPlan& plan);
     FileDescriptorBudget(const FileDescriptorBudget&) = delete;
     FileDescriptorBudget& operator=(const FileDescriptorBudget&) = delete;
 
-    /// Returns an empty lease if no descriptor is available. Before that, for any purpose but connections of
-    /// clients, it has such a connection evicted through the callback of on_exhausted().
+    /// Acquires a lease. If no descriptor is available and the purpose is not client connections, evicts a
+    /// client connection through the callback of on_exhausted() and tries once more. Returns an empty lease
+    /// on failure.
     Lease try_acquire(Timestamp now, DescriptorPurpose purpose);
 
-    /// Tells that the system refused a descriptor (EMFILE, ENFILE) for which there was a lease; the lease
-    /// must have been released. For a short time the number in use now is the limit for connections of
-    /// clients, and one of them is evicted, so that the next attempt finds a descriptor.
+    /// Records that the system refused a descriptor (EMFILE, ENFILE) despite a lease. Release that lease
+    /// first. The number of descriptors then in use becomes the limit for client connections for a short
+    /// time, and one client connection is evicted so that the next attempt can succeed.
     void on_system_exhausted(Timestamp now);
 
-    /// Leases that are out stay out, also beyond the new limits.
+    /// Applies a new plan. Existing leases remain valid even if they exceed the new limits.
     void reconfigure(const DescriptorPlan& plan);
 
-    /// The callback closes a connection without a request in flight and returns true, or returns false if
+    /// Sets the callback that closes a client connection without a request in flight. It returns false if
     /// there is none.
     void on_exhausted(std::function<bool()> evict_connection) {
         evict_connection_ = std::move(evict_connection);
     }
-    /// The callback runs after each release.
+    /// Sets the callback that runs after each release of a lease.
     void on_released(std::function<void()> callback) { on_released_ = std::move(callback); }
 
-    /// Descriptors in use, with those that are open without a lease.
+    /// Descriptors in use, including those that are open without a lease.
     std::size_t used() const { return used_; }
-    /// Leases of this purpose that are out.
+    /// Current leases of this purpose.
     std::size_t used(DescriptorPurpose purpose) const { return usage_of(purpose).used; }
     /// Descriptors that the process may have open.
     std::size_t limit() const { return limit_; }
-    /// Leases that were refused.
+    /// Leases of this purpose that were refused.
     std::uint64_t denied(DescriptorPurpose purpose) const { return usage_of(purpose).denied; }
     /// Connections evicted to free a descriptor.
     std::uint64_t evicted_connections() const { return evicted_connections_; }
@@ -102,7 +102,9 @@
     const PurposeUsage& usage_of(DescriptorPurpose purpose) const {
         return usage_[static_cast<std::size_t>(purpose)];
     }
+    /// Whether a lease is available without an eviction.
     bool can_acquire(Timestamp now, DescriptorPurpose purpose) const;
+    /// Calls the eviction callback. Returns whether a connection was closed.
     bool evict_one_connection();
     void release(DescriptorPurpose purpose);
 
@@ -111,7 +113,8 @@
     std::size_t unmanaged_;
     std::array<PurposeUsage, descriptor_purpose_count> usage_{};
     std::size_t used_;
-    /// The limit that the system has shown; in force before `observed_limit_expires_at_`.
+    /// Descriptors in use when the system last refused one; the limit for client connections until
+    /// `observed_limit_expires_at_`.
     std::size_t observed_limit_ = 0;
     Timestamp observed_limit_expires_at_{0};
     std::function<bool()> evict_connection_;
--- a/src/connection_admission/ip_address.cpp
+++ b/src/connection_admission/ip_address.cpp
@@ -6,9 +6,10 @@
 namespace cressledge::connection_admission {
 namespace {
 
+/// Length in bits of the prefix of IPv4-mapped addresses, ::ffff:0:0/96.
 constexpr unsigned v4_mapped_prefix_length = 96;
 
-/// A mask of the first bits of a half address; `prefix_length` is 0 to 64.
+/// Mask of the first `prefix_length` (0 to 64) bits of one half of an address.
 std::uint64_t prefix_mask(unsigned prefix_length) {
     return prefix_length == 0 ? 0 : ~std::uint64_t{0} << (64U - prefix_length);
 }
--- a/src/connection_admission/rejection_reason.hpp
+++ b/src/connection_admission/rejection_reason.hpp
@@ -1,4 +1,4 @@
-// Why a connection or a request was rejected, and counts of it.
+// Reasons for rejecting a connection or request, and counts by reason.
 #pragma once
 
 #include <array>
@@ -7,26 +7,27 @@
 
 namespace cressledge::connection_admission {
 
-/// Why a client was rejected. The first four are about a new connection, the last two about a request.
+/// Why a connection or request was rejected. The first four reasons apply to a new connection, the last two
+/// to a request.
 enum class RejectionReason : std::uint8_t {
     /// The source opens connections faster than its token bucket allows.
     connection_rate,
-    /// The source has as many connections open as it may.
+    /// The source has reached its limit of open connections.
     source_connections,
-    /// The source has more connections open than Settings::dynamic_threshold_factor allows.
+    /// The source has reached the dynamic threshold; see Settings::dynamic_threshold_factor.
     dynamic_threshold,
     /// All connections are in use and none can be evicted.
     total_connections,
-    /// The source has as many requests in flight as it may.
+    /// The source has reached its limit of requests in flight.
     source_requests,
-    /// All requests outside the groups' reserves are in flight.
+    /// The limit of requests in flight outside the groups' reserves is reached.
     total_requests
 };
 
 /// Number of enumerators of RejectionReason.
 constexpr std::size_t rejection_reason_count = 6;
 
-/// The reason as metrics and log lines spell it.
+/// The name of the reason in metrics and log lines.
 const char* to_string(RejectionReason reason);
 
 /// Number of rejections by reason, indexed by RejectionReason.
--- a/src/connection_admission/source_registry.hpp
+++ b/src/connection_admission/source_registry.hpp
@@ -1,5 +1,5 @@
-// The sources of all client groups: listed and unlisted ones in separate tables, so that unlisted sources
-// cannot evict listed ones however many addresses they use.
+// The sources of all clients. Listed and unlisted sources have separate tables, so that unlisted sources
+// cannot evict listed ones, regardless of the number of addresses they use.
 #pragma once
 
 #include <cstddef>
@@ -9,23 +9,24 @@
 
 namespace cressledge::connection_admission {
 
-/// The group of clients that no network lists.
+/// Group index of the clients that no network lists.
 constexpr std::uint32_t unlisted_group = 0;
 
-/// A source and the group whose limits hold for it.
+/// Refers to a source and to the group whose limits apply to it.
 struct SourceRef {
     std::uint32_t group_index = unlisted_group;
     SourceTable::SourceIndex source_index = 0;
     bool operator==(const SourceRef&) const = default;
 };
 
-/// Owns the two tables of sources.
+/// Owns the tables of unlisted and listed sources.
 class SourceRegistry {
 public:
-    /// `unlisted_capacity` is rounded up to a power of two; a quarter of it is added for listed sources.
+    /// `unlisted_capacity` is rounded up to a power of two; the table of listed sources has a quarter of
+    /// that.
     SourceRegistry(std::size_t unlisted_capacity, std::uint64_t seed);
 
-    /// The entry that a reference names; see SourceTable::SourceIndex for how long it is valid.
+    /// The source that a reference refers to; SourceTable::SourceIndex documents how long it is valid.
     Source& at(const SourceRef& source) { return table(source.group_index).at(source.source_index); }
     const Source& at(const SourceRef& source) const {
         return table(source.group_index).at(source.source_index);
@@ -39,15 +40,15 @@
         return group_index == unlisted_group ? unlisted_ : listed_;
     }
 
-    /// Sources that no client group lists, and those that one does.
+    /// The tables of the sources that no client group lists and of those that one lists.
     const SourceTable& unlisted() const { return unlisted_; }
     const SourceTable& listed() const { return listed_; }
 
-    /// Sources in both tables.
+    /// Number of sources in both tables.
     std::size_t size() const { return unlisted_.size() + listed_.size(); }
     /// Memory of both tables, in bytes.
     std::size_t memory_bytes() const { return unlisted_.memory_bytes() + listed_.memory_bytes(); }
-    /// Rejections of sources whose entries have been evicted from either table.
+    /// Rejections of the sources that have been evicted from either table.
     RejectionCounts evicted_rejections() const;
 
 private:
--- a/src/connection_admission/source_table.cpp
+++ b/src/connection_admission/source_table.cpp
@@ -10,13 +10,13 @@
 namespace cressledge::connection_admission {
 namespace {
 
-/// The entry with the least rank is replaced first: one without rate debt, then one with few rejections, then
-/// the one that has not been seen for longest.
+/// The entry with the lowest rank is replaced first: entries with a full token bucket before others, then
+/// those with fewer rejections, then the least recently seen.
 using EvictionRank = std::tuple<bool, std::uint64_t, Timestamp>;
 
 EvictionRank rank_of(const Source& source, const SourceLimits& limits) {
-    const bool has_rate_debt = source.bucket.tokens() < limits.connection_burst;
-    return {has_rate_debt, source.total_rejections(), source.last_seen};
+    const bool is_bucket_below_capacity = source.bucket.tokens() < limits.connection_burst;
+    return {is_bucket_below_capacity, source.total_rejections(), source.last_seen};
 }
 
 bool is_entry_of(const Source& entry, const IpAddress& base_address, unsigned prefix_length) {
@@ -54,8 +54,8 @@
         Source& candidate = entries_[i];
         if (is_entry_of(candidate, base_address, prefix_length))
             return i;
-        const bool has_free_entry = victim != capacity() && !entries_[victim].in_use;
-        if (has_free_entry || candidate.open_connections != 0 || candidate.rejection_slots != 0)
+        const bool found_unused_entry = victim != capacity() && !entries_[victim].in_use;
+        if (found_unused_entry || candidate.open_connections != 0 || candidate.rejection_slots != 0)
             continue;
         if (candidate.in_use && limits.connections_per_second > 0.0)
             candidate.bucket.refill(now, limits);
@@ -72,7 +72,8 @@
                           const SourceLimits& limits) {
     double tokens = limits.connection_burst;
     if (entry.in_use) {
-        // Guards the rate against addresses that rotate: the new source takes over the bucket with the entry.
+        // The new source inherits the tokens of the evicted one, so that rotating addresses cannot evade the
+        // rate.
         tokens = std::min(tokens, entry.bucket.tokens());
         for (std::size_t reason = 0; reason < rejection_reason_count; ++reason)
             evicted_rejections_[reason] += entry.rejections[reason];
--- a/src/connection_admission/token_bucket.cpp
+++ b/src/connection_admission/token_bucket.cpp
@@ -12,12 +12,13 @@
 }  // namespace
 
 void TokenBucket::refill(Timestamp now, const SourceLimits& limits) {
-    // Guards against a clock that is set back: without this nothing would be refilled until it has caught up.
+    // If the clock is set back, refilling continues from the new time. Without the lower bound of 0, no token
+    // would be added until the clock had caught up.
     const Duration elapsed = std::max(Duration(0), now - last_refill_);
     last_refill_ = now;
-    const double due =
+    const double added_tokens =
         static_cast<double>(elapsed.count()) * seconds_per_microsecond * limits.connections_per_second;
-    tokens_ = std::min(limits.connection_burst, tokens_ + due);
+    tokens_ = std::min(limits.connection_burst, tokens_ + added_tokens);
 }
 
 bool TokenBucket::try_acquire(Timestamp now, const SourceLimits& limits, Duration& wait) {
--- a/src/connection_admission/token_bucket.hpp
+++ b/src/connection_admission/token_bucket.hpp
@@ -1,26 +1,27 @@
-// The rate limit of new connections of one source.
+// Rate limit of the new connections of one source.
 #pragma once
 
 #include "connection_admission/settings.hpp"
 
 namespace cressledge::connection_admission {
 
-/// A token bucket for new connections: `connections_per_second` on average, `connection_burst` at once.
+/// A token bucket for new connections. Its rate is SourceLimits::connections_per_second and its capacity is
+/// SourceLimits::connection_burst.
 ///
-/// The limits are arguments of each call because a new configuration may change them.
+/// The limits are passed to each call because a reconfiguration may change them.
 class TokenBucket {
 public:
-    /// Takes one token. Returns false if there is none; `wait` is then the time until there is one.
-    /// Without a configured rate every call succeeds.
+    /// Takes one token. If there is none, returns false and sets `wait` to the time until one is available.
+    /// Always succeeds if no rate is configured.
     bool try_acquire(Timestamp now, const SourceLimits& limits, Duration& wait);
 
-    /// Adds the tokens that have become due since the last refill.
+    /// Adds the tokens for the time since the last refill.
     void refill(Timestamp now, const SourceLimits& limits);
 
-    /// Starts again at `now` with this number of tokens.
+    /// Sets the number of tokens and the time of the last refill.
     void reset(Timestamp now, double tokens);
 
-    /// Tokens as of the last refill.
+    /// Number of tokens; it does not include the time since the last refill.
     double tokens() const { return tokens_; }
 
 private:
