--- a/tests/cressledge/connection_limiter_fixture.hpp
+++ b/tests/cressledge/connection_limiter_fixture.hpp
@@ -1,4 +1,4 @@
-// A connection limiter on a scripted clock, for tests. No sockets.
+// Test fixture: a connection limiter with a simulated clock and without sockets.
 #pragma once
 
 #include <cstdint>
@@ -11,6 +11,7 @@
 
 namespace cressledge::testing {
 
+/// Parses an IPv4 or IPv6 address; fails the test if `text` is not one.
 inline connection_admission::IpAddress parse_address(const std::string& text) {
     connection_admission::NetworkError error;
     const auto network = connection_admission::parse_network(text, error);
@@ -19,20 +20,21 @@
     return network->base_address;
 }
 
+/// Start of the simulated clock: 2025-12-01 08:00:00 UTC.
 constexpr Timestamp start_time{1'764'576'000'000'000};
 
 constexpr Duration milliseconds(std::int64_t count) {
     return Duration(count * 1000);
 }
 
-/// A limiter, made of `settings` on its first use, with the connections that it has given slots. Checks the
-/// limiter's invariants at its end.
+/// A limiter, created from `settings` on first use, and the slots it has assigned. The destructor checks the
+/// limiter's invariants.
 struct ConnectionLimiterFixture {
     connection_admission::Settings settings;
     std::unique_ptr<connection_admission::ConnectionLimiter> instance;
     Timestamp now = start_time;
     std::uint64_t last_connection_id = 0;
-    /// By connection id.
+    /// Slots of open connections by connection id.
     std::map<std::uint64_t, connection_admission::ConnectionSlotId> slots;
 
     ConnectionLimiterFixture() {
@@ -44,6 +46,7 @@
             instance->check_invariants();
     }
 
+    /// Adds a client group with one network. Call it before limiter(), or reconfigure the limiter afterwards.
     void add_group(const std::string& network, const std::string& name, std::uint32_t reserved_connections,
                    std::uint32_t reserved_requests, const connection_admission::SourceLimits& limits = {}) {
         settings.groups.push_back({name, limits, reserved_connections, reserved_requests});
@@ -52,6 +55,7 @@
                                       settings.groups.size(), error));
     }
 
+    /// The limiter, created on the first call.
     connection_admission::ConnectionLimiter& limiter() {
         constexpr std::uint64_t hash_seed = 7;
         if (!instance)
@@ -59,6 +63,7 @@
         return *instance;
     }
 
+    /// Opens a connection and tracks its slot and the slot evicted for it.
     connection_admission::ConnectionLimiter::ConnectionDecision open(
         const connection_admission::IpAddress& address) {
         const auto decision = limiter().admit_connection(now, address, 0, ++last_connection_id);
@@ -72,7 +77,7 @@
         return open(parse_address(address));
     }
 
-    /// Opens a connection with a request in flight.
+    /// Opens a connection and admits a request on it; both must be admitted.
     connection_admission::ConnectionSlotId open_with_request(const std::string& address) {
         const auto decision = open(address);
         REQUIRE((decision.slot_id != 0 && !decision.rejected));
--- a/tests/cressledge/connection_limiter_test.cpp
+++ b/tests/cressledge/connection_limiter_test.cpp
@@ -1,4 +1,4 @@
-// The connection limiter on a scripted clock.
+// Tests of the connection limiter with a simulated clock and without sockets.
 #include "connection_admission/connection_limiter.hpp"
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 using namespace cressledge::connection_admission;
 
 TEST_CASE(
-    "connection limiter: a source over a limit of its own is rejected with the reason, other sources are "
+    "connection limiter: a source over one of its limits is rejected with the reason, other sources are "
     "not") {
     ConnectionLimiterFixture fixture;
     fixture.settings.unlisted_source_limits = {3, 2, 4.0, 5.0};
@@ -28,12 +28,12 @@
     CHECK(decision.retry_after > Duration(0));
     CHECK(fixture.open("127.0.0.9").reason == RejectionReason::source_connections);
     CHECK(fixture.open("127.0.0.9").rejected);
-    // Five at once, then four a second.
+    // A burst of five connections, then four per second.
     CHECK(fixture.open("127.0.0.9").reason == RejectionReason::connection_rate);
     CHECK_FALSE(fixture.open("127.0.0.10").rejected);
     fixture.now += milliseconds(260);
     CHECK(fixture.open("127.0.0.9").reason == RejectionReason::source_connections);
-    // The clock is set back an hour: the bucket goes on filling from there.
+    // The clock is set back by an hour; the bucket refills from the new time.
     fixture.now -= milliseconds(3'600'000);
     CHECK(fixture.open("127.0.0.9").reason == RejectionReason::connection_rate);
     fixture.now += milliseconds(260);
@@ -47,7 +47,8 @@
 }
 
 TEST_CASE(
-    "connection limiter: unlisted addresses with one prefix are one source, a listed address is its own") {
+    "connection limiter: unlisted addresses with the same prefix are one source, a listed address is "
+    "separate") {
     ConnectionLimiterFixture fixture;
     fixture.settings.v4_prefix_length = 24;
     fixture.settings.unlisted_source_limits.max_connections = 2;
@@ -60,10 +61,10 @@
     CHECK(fixture.limiter().group_usage(1).open_connections == 1);
 }
 
-TEST_CASE("connection limiter: the fewer connections are free, the fewer one source may have") {
+TEST_CASE("connection limiter: the dynamic threshold of a source falls with the number of free connections") {
     ConnectionLimiterFixture fixture;
     fixture.settings.dynamic_threshold_factor = 1.0;
-    // Half of all connections.
+    // With a factor of 1, one source gets half of all connections.
     for (int i = 0; i < 10; ++i)
         fixture.open_with_request("127.0.0.9");
     CHECK(fixture.open("127.0.0.9").reason == RejectionReason::dynamic_threshold);
@@ -72,8 +73,8 @@
     CHECK(fixture.open("127.0.0.10").reason == RejectionReason::dynamic_threshold);
     for (int i = 0; i < 5; ++i)
         CHECK_FALSE(fixture.open("127.0.1." + std::to_string(i)).rejected);
-    // Of a source over its share one of its own connections is evicted, if one awaits a request for long
-    // enough.
+    // A source that has reached its dynamic threshold is admitted if one of its own connections has awaited a
+    // request beyond the grace period; that connection is evicted.
     ConnectionLimiterFixture other;
     other.settings.dynamic_threshold_factor = 1.0;
     for (int i = 0; i < 10; ++i)
@@ -86,19 +87,19 @@
 }
 
 TEST_CASE(
-    "connection limiter: evicts the longest waiting of the heaviest source, then idle ones, no request in "
-    "flight") {
+    "connection limiter: evicts the oldest waiting connection of the largest source, then idle ones, never "
+    "a request in flight") {
     ConnectionLimiterFixture fixture;
     const ConnectionSlotId in_flight_slot = fixture.open_with_request("127.0.0.1");
     const auto idle = fixture.open("127.0.0.2");
     REQUIRE(fixture.limiter().admit_request(fixture.now, idle.slot_id).admitted);
     fixture.limiter().on_response_sent(fixture.now, idle.slot_id, true);
-    // Awaits a request for as long as the flood, but is the only one of its source.
+    // Awaits a request as long as the connections of the flood, but is the only connection of its source.
     fixture.open("127.0.0.3");
     for (int i = 0; i < 17; ++i)
         fixture.open("127.0.0.9");
     fixture.now += milliseconds(10);
-    // All of them are new: the source with far more connections loses one.
+    // All are within the grace period, so a connection of the source with far more connections is evicted.
     const auto decision = fixture.open("127.0.0.4");
     REQUIRE(decision.evicted);
     CHECK(decision.evicted->connection_id == 4);
@@ -116,7 +117,8 @@
 }
 
 TEST_CASE(
-    "connection limiter: a closing connection is given time, and its request counts until it is closed") {
+    "connection limiter: a closing connection has a grace period, and its request counts until it is "
+    "closed") {
     ConnectionLimiterFixture fixture;
     fixture.settings.max_connections = 1;
     fixture.settings.rejection_slots = 0;
@@ -127,17 +129,17 @@
     fixture.now += milliseconds(260);
     CHECK(fixture.open("127.0.0.2").evicted);
     CHECK(fixture.limiter().shared_in_flight_requests() == 0);
-    // Its slot belongs to another connection by now.
+    // The slot has been reused for another connection, so the old id releases nothing.
     fixture.limiter().release_connection(slot_id);
     CHECK(fixture.limiter().open_connections() == 1);
 }
 
-TEST_CASE("connection limiter: a group gets its reserve back by evictions, and none of a request in flight") {
+TEST_CASE("connection limiter: a group regains its reserve by evictions, never of a request in flight") {
     ConnectionLimiterFixture fixture;
     fixture.add_group("127.1.0.0/16", "front-ends", 5, 5);
     for (int i = 0; i < 15; ++i)
         fixture.open_with_request("127.0.0." + std::to_string(i));
-    // Connections of the reserve may be used by others, its requests may not.
+    // Other clients may use reserved connections, but not reserved requests.
     for (int i = 0; i < 5; ++i) {
         const auto decision = fixture.open("127.0.3." + std::to_string(i));
         REQUIRE_FALSE(decision.rejected);
@@ -151,14 +153,14 @@
         CHECK(decision.evicted->connection_id > 15);
         CHECK(fixture.limiter().admit_request(fixture.now, decision.slot_id).admitted);
     }
-    // The group uses its reserve itself now, and beyond it its clients have no privilege.
+    // The group now uses its whole reserve and has no priority beyond it.
     CHECK(fixture.open("127.0.4.1").reason == RejectionReason::total_connections);
     CHECK(fixture.open("127.1.0.1").reason == RejectionReason::total_connections);
     CHECK(fixture.limiter().group_usage(1).in_flight_requests == 5);
 }
 
 TEST_CASE(
-    "connection limiter: a listed source has limits of its own, and the rest of its group keeps the "
+    "connection limiter: a listed source has its own limits, and other sources of its group keep the "
     "reserve") {
     ConnectionLimiterFixture fixture;
     fixture.add_group("127.1.0.0/16", "front-ends", 8, 8, {4, 3, 0.0, 1.0});
@@ -172,7 +174,7 @@
     CHECK(fixture.limiter().group_usage(1).open_connections == 8);
 }
 
-TEST_CASE("connection limiter: one source gets a part of the rejection slots only") {
+TEST_CASE("connection limiter: one source gets only a fraction of the rejection slots") {
     ConnectionLimiterFixture fixture;
     fixture.settings.unlisted_source_limits.max_connections = 1;
     fixture.open("127.0.0.9");
@@ -185,7 +187,7 @@
     fixture.open("127.0.0.8");
     CHECK(fixture.open("127.0.0.8").slot_id != 0);
     CHECK(fixture.limiter().rejection_slots_in_use() == 2);
-    // Each of the three counts once, although one was rejected as a connection and as a request.
+    // Each of the three connections counts once, although one was also rejected as a request.
     CHECK(fixture.limiter().rejections()[static_cast<std::size_t>(RejectionReason::source_connections)] == 3);
     fixture.limiter().release_connection(first.slot_id);
     CHECK(fixture.open("127.0.0.9").slot_id != 0);
@@ -205,20 +207,20 @@
     for (std::uint32_t i = 0; i < 20'000; ++i)
         admitted += fixture.open(IpAddress::from_v4(0x0a000000U + i)).rejected ? 0 : 1;
     CHECK(fixture.limiter().memory_bytes() == bytes);
-    // And not two for each of 20,000 addresses.
+    // Without the inherited tokens, each of the 20,000 addresses would get a burst of two.
     CHECK(admitted < 64 * 3);
-    // It is still known that this source has its one connection.
+    // The listed source is still tracked with its one connection.
     CHECK(fixture.open("127.1.0.1").reason == RejectionReason::source_connections);
     RejectionCounts sum = fixture.limiter().rejections_of_evicted_sources();
     for (const auto& report : fixture.limiter().top_rejected_sources(1'000))
-        for (std::size_t r = 0; r < rejection_reason_count; ++r)
-            sum[r] += report.rejections[r];
+        for (std::size_t i = 0; i < rejection_reason_count; ++i)
+            sum[i] += report.rejections[i];
     CHECK(sum == fixture.limiter().rejections());
 }
 
 TEST_CASE(
-    "connection limiter: reconfigured to lower limits it closes nothing and counts connections in their new "
-    "groups") {
+    "connection limiter: a reconfiguration to lower limits closes no connection and recounts them by their "
+    "new groups") {
     ConnectionLimiterFixture fixture;
     for (int i = 0; i < 12; ++i)
         fixture.open_with_request("127.0.0." + std::to_string(i));
@@ -243,38 +245,38 @@
     CHECK(fixture.limiter().open_connections() == 7);
 }
 
-// The invariants of connection_limiter.hpp, against random events.
+// Checks the invariants listed in connection_limiter.hpp under random events.
 TEST_CASE(
-    "connection limiter: a client within its group's reserve is always admitted, with its request, at random "
-    "events") {
+    "connection limiter: a client within its group's reserve is always admitted, with its request, under "
+    "random events") {
     for (std::uint32_t seed = 1; seed <= 200; ++seed) {
         std::mt19937 random(seed);
-        const auto below = [&](std::uint32_t n) { return static_cast<std::uint32_t>(random() % n); };
+        const auto random_below = [&](std::uint32_t n) { return static_cast<std::uint32_t>(random() % n); };
         ConnectionLimiterFixture fixture;
-        fixture.settings.max_connections = 8 + below(40);
-        fixture.settings.max_in_flight_requests = below(2) == 0 ? 0 : 6 + below(40);
-        fixture.settings.dynamic_threshold_factor = below(2) * 0.5;
-        fixture.settings.unlisted_source_limits = {below(2) * 6, below(2) * 3, below(2) * 20.0,
-                                                   1.0 + below(10)};
-        fixture.add_group("127.1.0.0/16", "a", 1 + below(3), 1 + below(2));
-        fixture.add_group("127.2.0.0/16", "b", 1 + below(3), 1 + below(2));
+        fixture.settings.max_connections = 8 + random_below(40);
+        fixture.settings.max_in_flight_requests = random_below(2) == 0 ? 0 : 6 + random_below(40);
+        fixture.settings.dynamic_threshold_factor = random_below(2) * 0.5;
+        fixture.settings.unlisted_source_limits = {random_below(2) * 6, random_below(2) * 3,
+                                                   random_below(2) * 20.0, 1.0 + random_below(10)};
+        fixture.add_group("127.1.0.0/16", "a", 1 + random_below(3), 1 + random_below(2));
+        fixture.add_group("127.2.0.0/16", "b", 1 + random_below(3), 1 + random_below(2));
         std::set<std::uint64_t> in_flight;  // connection ids
         for (int step = 0; step < 400; ++step) {
-            fixture.now += Duration(below(40'000));
+            fixture.now += Duration(random_below(40'000));
             const auto random_connection = [&] {
                 auto it = fixture.slots.begin();
-                std::advance(it, below(static_cast<std::uint32_t>(fixture.slots.size())));
+                std::advance(it, random_below(static_cast<std::uint32_t>(fixture.slots.size())));
                 return it;
             };
-            const std::uint32_t event = fixture.slots.empty() ? 0 : below(10);
+            const std::uint32_t event = fixture.slots.empty() ? 0 : random_below(10);
             if (event < 5) {
-                const std::uint32_t group = below(4) == 0 ? 1 + below(2) : 0;
+                const std::uint32_t group = random_below(4) == 0 ? 1 + random_below(2) : 0;
                 const ConnectionLimiter::GroupUsage usage = fixture.limiter().group_usage(group);
                 const bool is_within_reserve =
                     group != 0 &&
                     usage.open_connections < fixture.settings.groups[group - 1].reserved_connections;
                 const auto decision =
-                    fixture.open(IpAddress::from_v4(0x7f000000U | group << 16U | below(12)));
+                    fixture.open(IpAddress::from_v4(0x7f000000U | group << 16U | random_below(12)));
                 INFO("seed " << seed << " step " << step);
                 if (decision.evicted)
                     REQUIRE(in_flight.count(decision.evicted->connection_id) == 0);
@@ -293,11 +295,11 @@
             } else if (event == 8) {
                 const auto connection = random_connection();
                 if (in_flight.erase(connection->first) != 0) {
-                    const bool keep_alive = below(2) == 0;
+                    const bool keep_alive = random_below(2) == 0;
                     fixture.limiter().on_response_sent(fixture.now, connection->second, keep_alive);
-                    if (!keep_alive && below(2) == 0)
+                    if (!keep_alive && random_below(2) == 0)
                         fixture.limiter().release_connection(connection->second);
-                    // No request comes on it any more.
+                    // A closing connection carries no further request.
                     if (!keep_alive)
                         fixture.slots.erase(connection);
                 }
--- a/tests/cressledge/flood_test.cpp
+++ b/tests/cressledge/flood_test.cpp
@@ -1,4 +1,4 @@
-// Floods of connections on sockets: many from one address beside a listed caller on another, and many addresses at once.
+// Connection floods over real sockets, from one address or from many, while a listed caller sends requests.
 #include "gateway_fixture.hpp"
 
 namespace {
@@ -7,12 +7,12 @@
 
 enum class FloodPattern { silent, byte_by_byte, valid_requests, reset_midway };
 
-/// Many connections from one address, or from two for valid requests, beside one listed caller whose requests come one
-/// after the other.
+/// Opens many connections from one address (two for valid requests) while a listed caller sends requests one
+/// at a time.
 class Flood {
 public:
     explicit Flood(FloodPattern pattern) : pattern_(pattern) {
-        take_log();  // what earlier tests have logged says nothing of this one
+        take_log();  // discards the log lines of earlier tests
         fixture_.add_listed_group("127.0.0.2");
         fixture_.config.admission.unlisted_source_limits = {48, 4, 2'000.0, 200.0};
         fixture_.config.admission.dynamic_threshold_factor = 1.0;
@@ -20,8 +20,9 @@
         port_ = fixture_.gateway->scgi_port();
     }
 
+    /// Runs the flood; every request of the listed caller must be answered with 200.
     void run() {
-        while (opened_ < connection_total || !clients_.empty() || listed_) {
+        while (opened_ < total_connections || !clients_.empty() || listed_) {
             open_clients();
             open_listed_client();
             fixture_.test_loop.loop.run_once(false);
@@ -33,49 +34,51 @@
         fixture_.limiter().check_invariants();
     }
 
-    // Rejections by address are exactly those that the clients saw.
+    /// Checks that the rejection counts by address match the outcomes that the clients observed.
     void check_counts() {
-        const auto rows = fixture_.limiter().top_rejected_sources(10);
+        const auto reports = fixture_.limiter().top_rejected_sources(10);
         const auto& counts = fixture_.gateway->request_manager().counts();
-        // None of them is the admission controller's.
+        // The admission controller rejected none of them.
         CHECK(counts.rejected == counts.rejected_before_admission);
-        REQUIRE(rows.size() == 2);
-        for (const auto& row : rows) {
-            INFO(row.source);
-            CHECK(row.total_rejections > 100);
-            CHECK(row.total_rejections + row.evicted_connections ==
-                  closed_[row.source] + rejected_[row.source]);
+        REQUIRE(reports.size() == 2);
+        for (const auto& report : reports) {
+            INFO(report.source);
+            CHECK(report.total_rejections > 100);
+            CHECK(report.total_rejections + report.evicted_connections ==
+                  closed_[report.source] + rejected_[report.source]);
         }
         CHECK(rejected_["127.0.0.9"] + rejected_["127.0.0.10"] == counts.rejected);
         CHECK(served_["127.0.0.9"] + served_["127.0.0.10"] + static_cast<std::uint64_t>(listed_requests_) ==
               counts.served);
     }
 
+    /// Checks that the log report names the source and the group, and that it is bounded.
     void check_report() {
         fixture_.gateway->log_report();
         const std::string log = take_log();
         CHECK(log.find("admission: report source=127.0.0.9 ") != std::string::npos);
         CHECK(log.find("admission: report group=front-ends ") != std::string::npos);
-        // Bounded, whatever came.
+        // The report is bounded regardless of the size of the flood.
         CHECK(std::count(log.begin(), log.end(), '\n') < 60);
     }
 
 private:
     using CountsBySource = std::map<std::string, std::uint64_t>;
-    static constexpr int connection_total = 5'000;
-    static constexpr int max_opened_per_turn = 32;
+    static constexpr int total_connections = 5'000;
+    static constexpr int max_opened_per_iteration = 32;
     static constexpr std::size_t max_open_clients = 400;
-    /// Connections for each request of the listed caller: the result does not depend on the machine's speed.
+    /// Flood connections per request of the listed caller. A fixed ratio makes the result independent of the
+    /// machine's speed.
     static constexpr int connections_per_listed_request = 125;
 
     void open_clients() {
-        const int limit = std::min(connection_total, listed_requests_ * connections_per_listed_request);
-        for (int i = 0; i < max_opened_per_turn; ++i) {
+        const int limit = std::min(total_connections, listed_requests_ * connections_per_listed_request);
+        for (int i = 0; i < max_opened_per_iteration; ++i) {
             if (opened_ >= limit || clients_.size() >= max_open_clients)
                 return;
-            // A second address, to be counted apart.
-            const bool is_other = pattern_ == FloodPattern::valid_requests && opened_ % 4 == 0;
-            clients_.emplace_back(is_other ? "127.0.0.10" : "127.0.0.9", port_);
+            // A second address, whose rejections are counted separately.
+            const bool uses_second_address = pattern_ == FloodPattern::valid_requests && opened_ % 4 == 0;
+            clients_.emplace_back(uses_second_address ? "127.0.0.10" : "127.0.0.9", port_);
             if (pattern_ != FloodPattern::silent)
                 clients_.back().unsent = scgi_request("trail-sheet", "body-" + std::to_string(opened_) + '.');
             ++opened_;
@@ -83,7 +86,7 @@
     }
 
     void open_listed_client() {
-        if (listed_ || opened_ >= connection_total)
+        if (listed_ || opened_ >= total_connections)
             return;
         listed_ = std::make_unique<BoundClient>("127.0.0.2", port_);
         listed_->unsent = scgi_request("route-profile", "body-L" + std::to_string(listed_requests_++) + '.');
@@ -95,7 +98,8 @@
         listed_->step(1'000);
         if (listed_->is_open)
             return;
-        INFO(listed_->received << " request " << listed_requests_ << " after " << opened_ << " of the flood");
+        INFO(listed_->received << " request " << listed_requests_ << " after " << opened_
+                               << " flood connections");
         REQUIRE(listed_->status() == 200);
         ++listed_responses_;
         listed_.reset();
@@ -130,8 +134,8 @@
             if (!client.is_open)
                 ++counts_of(client.status())[client.source_address()];
         }
-        // The clients that are still open would be waited for until their timeouts.
-        if (opened_ == connection_total && pattern_ != FloodPattern::valid_requests)
+        // Otherwise the test would wait for the timeouts of the clients that are still open.
+        if (opened_ == total_connections && pattern_ != FloodPattern::valid_requests)
             clients_.clear();
         std::erase_if(clients_, [](const BoundClient& client) { return !client.is_open; });
     }
@@ -141,7 +145,7 @@
     int port_ = 0;
     std::vector<BoundClient> clients_;
     std::unique_ptr<BoundClient> listed_;
-    /// Connections by how they ended.
+    /// Connections closed without a response, answered with 503 and answered with 200, by source.
     CountsBySource closed_, rejected_, served_;
     int opened_ = 0;
     int listed_requests_ = 0;
@@ -169,12 +173,13 @@
     fixture.add_listed_group("127.0.0.2");
     fixture.config.admission.dynamic_threshold_factor = 1.0;
     fixture.start();
-    std::vector<BoundClient> all;
+    std::vector<BoundClient> clients;
     for (int i = 0; i < 3'000; ++i) {
-        const std::string from = "127." + std::to_string(8 + i / 250) + ".0." + std::to_string(1 + i % 250);
-        all.emplace_back(from, fixture.gateway->scgi_port());
-        all.back().unsent = scgi_request("trail-sheet", "");  // never complete
-        all.back().unsent.pop_back();
+        const std::string address =
+            "127." + std::to_string(8 + i / 250) + ".0." + std::to_string(1 + i % 250);
+        clients.emplace_back(address, fixture.gateway->scgi_port());
+        clients.back().unsent = scgi_request("trail-sheet", "");  // made incomplete below
+        clients.back().unsent.pop_back();
         fixture.test_loop.loop.run_once(false);
         if (i % 250 != 249)
             continue;
@@ -182,14 +187,14 @@
         listed.unsent = scgi_request("route-profile", "body-" + std::to_string(i) + '.');
         fixture.run_until_closed(listed);
         CHECK(listed.status() == 200);
-        for (BoundClient& client : all)
+        for (BoundClient& client : clients)
             client.step(1'000);
-        std::erase_if(all, [](const BoundClient& client) { return !client.is_open; });
+        std::erase_if(clients, [](const BoundClient& client) { return !client.is_open; });
     }
     fixture.limiter().check_invariants();
 }
 
-TEST_CASE("frontend: a rejected connection gets Retry-After advice over either protocol") {
+TEST_CASE("frontend: a rejected connection gets the retry delay over either protocol") {
     GatewayFixture fixture;
     fixture.config.admission.unlisted_source_limits.max_connections = 1;
     fixture.start();
--- a/tests/cressledge/frontend_descriptor_test.cpp
+++ b/tests/cressledge/frontend_descriptor_test.cpp
@@ -1,4 +1,5 @@
-// A process or system out of file descriptors: what waits, what is sent once, and what a drain still answers.
+// File descriptor exhaustion in the process or system: connections wait in the backlog, calls are sent
+// exactly once, and a drain still answers every request that was read.
 #include <random>
 
 #include "gateway_fixture.hpp"
@@ -8,17 +9,17 @@
 
 using namespace cressledge::testing;
 
-TEST_CASE("frontend: a connection left in the backlog without a descriptor is served once there is one") {
+TEST_CASE("frontend: a connection left in the backlog is served once a descriptor is available") {
     GatewayFixture fixture;
-    // Two connections and one in between.
+    // Enough descriptors for two connections and the overlap of one eviction.
     fixture.config.max_descriptors = net::count_open_descriptors() + 2 + 2 + 2 + 32 + 3;
     fixture.start();
     CHECK(take_log().find("room for 2 of 128 connections") != std::string::npos);
     auto& descriptors = fixture.gateway->descriptors();
-    std::vector<connection_admission::FileDescriptorBudget::Lease> others;
+    std::vector<connection_admission::FileDescriptorBudget::Lease> other_leases;
     while (auto lease =
                descriptors.try_acquire(wall_clock_now(), connection_admission::DescriptorPurpose::frontend))
-        others.push_back(std::move(lease));
+        other_leases.push_back(std::move(lease));
     BoundClient client("127.0.0.9", fixture.gateway->scgi_port());
     client.unsent = scgi_request("trail-sheet", "body-1.");
     fixture.test_loop.run_until(
@@ -29,12 +30,12 @@
         false);
     CHECK(client.received.empty());
     CHECK(client.is_open);
-    others.clear();
+    other_leases.clear();
     fixture.run_until_closed(client);
     CHECK(client.status() == 200);
 }
 
-TEST_CASE("gateway: a write without a descriptor for its call is sent once there is one, and once only") {
+TEST_CASE("gateway: a write waits for a descriptor for its call and is sent exactly once") {
     GatewayFixture fixture;
     fixture.start();
     BoundClient client("127.0.0.9", fixture.gateway->scgi_port());
@@ -47,13 +48,13 @@
     CHECK(fixture.upstream_host.run_counts == std::map<std::string, int>{{"7.", 1}});
 }
 
-TEST_CASE("gateway: an accept or a file without a descriptor ends nothing") {
+TEST_CASE("gateway: an accept or open without a descriptor does not stop the gateway") {
     GatewayFixture fixture;
     fixture.start();
     Faults faults;
     for (const int error : {EMFILE, ENFILE}) {
         faults.fail(Call::accept, error, 1);
-        // Waits in the backlog until there is a descriptor for it.
+        // Remains in the backlog until a descriptor is available.
         BoundClient waiting("127.0.0.9", fixture.gateway->http_port());
         waiting.unsent = http_request("trail-sheet", "body-" + std::to_string(error) + '.');
         fixture.test_loop.run_until([&] { return waiting.step(1'000), waiting.status() == 200; }, false);
@@ -70,7 +71,7 @@
 }
 
 TEST_CASE(
-    "gateway: descriptors exhausted during a drain cost no request its response, 200 seeds, either "
+    "gateway: descriptors exhausted during a drain lose no response to a request, 200 seeds, either "
     "protocol") {
     for (std::uint32_t seed = 1; seed <= 200; ++seed) {
         INFO("seed " << seed);
@@ -93,13 +94,13 @@
         Faults faults(seed);
         faults.fail(Call::socket, random() % 2 == 0 ? EMFILE : ENFILE, 6, 2);
         faults.fail(Call::accept, EMFILE, static_cast<int>(random() % 3), 4);
-        const std::uint32_t shutdown_turn = random() % 12;
-        std::uint32_t turn = 0;
-        // Until each has its response, or was closed without being read.
+        const std::uint32_t shutdown_iteration = random() % 12;
+        std::uint32_t iteration = 0;
+        // Runs until every caller has a response or was closed before its request was read.
         const auto& counts = fixture.gateway->request_manager().counts();
         fixture.test_loop.run_until(
             [&] {
-                if (turn++ == shutdown_turn)
+                if (iteration++ == shutdown_iteration)
                     fixture.gateway->begin_graceful_shutdown();
                 std::uint64_t responses = 0, waiting = 0;
                 for (BoundClient& client : callers) {
@@ -107,13 +108,13 @@
                     responses += client.status() != 0 ? 1 : 0;
                     waiting += client.is_open && client.status() == 0 ? 1 : 0;
                 }
-                return turn > shutdown_turn && waiting == 0 && responses == counts.received;
+                return iteration > shutdown_iteration && waiting == 0 && responses == counts.received;
             },
             false);
         for (const BoundClient& client : callers)
             REQUIRE(client.status() >= 0);
-        for (const auto& [body, times] : fixture.upstream_host.run_counts)
-            REQUIRE(times == 1);
+        for (const auto& [body, run_count] : fixture.upstream_host.run_counts)
+            REQUIRE(run_count == 1);
         REQUIRE(counts.served == fixture.upstream_host.run_counts.size());
         fixture.limiter().check_invariants();
         REQUIRE(fixture.gateway->descriptors().used() <= fixture.gateway->descriptors().limit());
