--- a/src/upstream/active_request.hpp
+++ b/src/upstream/active_request.hpp
@@ -1,4 +1,4 @@
-// A request that the executor has been given and has not reported back.
+// A request that the executor runs: from run() until its result has been reported to the request manager.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,16 @@
 
 namespace cressledge::upstream {
 
-/// What the rules of its class mean for a request's attempts.
+/// Properties of a request, from its class and lookup key, that decide on its attempts.
 struct RequestTraits {
     std::size_t class_index = 0;
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     bool idempotent = false;
-    /// Hash of its lookup key; 0: it may go to any host.
+    /// Hash of the lookup key; 0: no affinity to a host.
     std::uint64_t affinity_key = 0;
 };
 
-/// Copies what it needs of the work, and owns the attempts and timers of the request.
+/// Copies the fields of `request::Work` that it needs, and owns the attempts and timers of the request.
 struct ActiveRequest {
     ActiveRequest(const request::Work& work, const RequestTraits& request_traits)
         : request_id(work.request_id),
@@ -43,7 +43,7 @@
         probe_timer.cancel();
     }
 
-    /// What goes to a host. The affinity key decides on the host only.
+    /// Returns the work to encode for a host, without the affinity key, which is used for the choice of the host only.
     request::Work work() const {
         return {request_id, external_id, class_name, body, reserved_kb, accepted_at, deadline, {}};
     }
@@ -57,21 +57,23 @@
     const base::Timestamp accepted_at;
     const RequestTraits traits;
 
-    /// Those under way, one or with a hedge two, and finished ones until the next retry.
+    /// Attempts in flight (one, or two with a hedged request), and finished ones until the next retry.
     std::vector<std::unique_ptr<Attempt>> attempts;
     std::vector<upstream_health::HostId> tried_hosts;
     std::uint32_t attempt_count = 0;
     base::TimerHandle retry_timer;
     base::TimerHandle hedge_timer;
 
-    /// While it waits for load probes of its own: when it stops waiting, how many are out, and what came back.
+    /// Ends the wait for the load probes that were sent for this request.
     base::TimerHandle probe_timer;
+    /// Load probes of this request without a result so far.
     std::size_t outstanding_probes = 0;
+    /// The loads that these probes have reported.
     std::vector<load_balancing::ProbeAnswer> probed_loads;
 
-    /// An idle connection proved stale: the next attempt opens one.
+    /// Set after an idle connection was stale: the next attempt opens a new connection.
     bool needs_new_connection = false;
-    /// Its result is fixed, and reported on the loop's next turn.
+    /// Whether the result is final; it is reported on the next iteration of the event loop.
     bool completed = false;
 };
 
--- a/src/upstream/attempt.cpp
+++ b/src/upstream/attempt.cpp
@@ -35,7 +35,7 @@
 
 void Attempt::send(std::string_view call, std::unique_ptr<ResponseDecoder> decoder) {
     decoder_ = std::move(decoder);
-    // From here on nothing proves that the call did not run.
+    // From here on, a failure no longer proves that the call did not run.
     progress_ = Progress::sent;
     if (!connection_.stream->write(call))
         observer_.on_attempt_result(*this, CallResult::error);
@@ -85,7 +85,7 @@
         return;
     if (refused && progress_ == Progress::not_sent)
         return observer_.on_attempt_result(*this, CallResult::connection_refused);
-    // A response without a length is complete only if the host, and no reset, ended it.
+    // A response without a length is complete only if the host closed the connection; a reset may have truncated it.
     const bool may_be_complete = decoder_ && closed_by_host_;
     const ResponseDecoder::Status status =
         may_be_complete ? decoder_->finish() : ResponseDecoder::Status::malformed;
--- a/src/upstream/attempt.hpp
+++ b/src/upstream/attempt.hpp
@@ -1,4 +1,4 @@
-// One call to one upstream host, on behalf of a request.
+// One attempt of a request: one call to one upstream host.
 #pragma once
 
 #include <memory>
@@ -21,17 +21,18 @@
 public:
     virtual ~AttemptObserver() = default;
 
-    /// The connection is established: the observer sends the call.
+    /// The connection is established. The observer sends the call.
     virtual void on_attempt_connected(Attempt& attempt) = 0;
 
-    /// The attempt has come to a result. A refused connection proves that nothing of the call ran; no other result does.
+    /// The attempt has a result. Only connection_refused proves that the call did not run.
     virtual void on_attempt_result(Attempt& attempt, upstream_health::CallResult result) = 0;
 
-    /// The attempt ends without a result, which says nothing of the host.
+    /// The attempt is destroyed without a result. This says nothing about the health of the host.
     virtual void on_attempt_abandoned(Attempt& attempt) = 0;
 };
 
-/// Owns its connection. Exactly one of on_attempt_result and on_attempt_abandoned is in force: finish() marks the first.
+/// Owns its connection. The observer calls finish() when it accepts a result; an attempt that is destroyed without it
+/// reports on_attempt_abandoned.
 class Attempt final : public net::Stream::Owner {
 public:
     Attempt(AttemptObserver& observer, base::TimerQueue& timers, ActiveRequest& request,
@@ -40,41 +41,42 @@
     Attempt(const Attempt&) = delete;
     Attempt& operator=(const Attempt&) = delete;
 
-    /// Takes a connection that is being opened.
+    /// Takes ownership of a connection that is being opened.
     void use_new_connection(HostConnection connection);
 
-    /// Takes a connection that has been open before.
+    /// Takes ownership of an established connection from the connection pool, and reports it as connected.
     void use_idle_connection(HostConnection connection);
 
-    /// Sends the call; its response goes to `decoder`.
+    /// Sends the encoded call; `decoder` decodes the response.
     void send(std::string_view call, std::unique_ptr<ResponseDecoder> decoder);
 
-    /// Reports a time-out at `deadline` unless there is a result by then.
+    /// Reports a timeout at `deadline` unless the attempt is finished by then.
     void set_deadline(base::Timestamp deadline);
 
-    /// Marks the attempt as finished and cancels its deadline. Returns false when it was finished already.
+    /// Marks the attempt as finished and cancels its deadline. Returns false if it was finished already.
     bool finish();
     /// Whether finish() was called.
     bool is_finished() const { return finished_; }
 
-    /// Closes the connection, if there is one.
+    /// Closes the connection, if the attempt has one.
     void close_connection();
-    /// Hands the connection over to the caller; the attempt has none afterwards.
+    /// Transfers ownership of the connection to the caller of this function.
     HostConnection take_connection();
     /// Whether the attempt owns a connection.
     bool has_connection() const { return connection_.stream != nullptr; }
 
-    /// An idle connection ended before a byte of the response came: the host had closed it, which is nobody's fault.
+    /// Whether a reused connection failed before the first byte of the response: the host had closed it while it was
+    /// idle, which does not count as a failure of the host.
     bool was_stale(upstream_health::CallResult result) const;
 
-    /// The request that it is made for; it owns the attempt.
+    /// The request that owns this attempt.
     ActiveRequest& request() { return request_; }
     upstream_health::HostId host_id() const { return host_id_; }
     base::Timestamp started_at() const { return started_at_; }
 
-    /// What of the response has come; null before the call was sent.
+    /// The response as decoded so far; null before the call is sent.
     Response* response() { return decoder_ ? &decoder_->response : nullptr; }
-    /// Of a complete response: whether the connection may carry another call.
+    /// Whether the connection may carry another call. Valid once the response is complete.
     bool can_reuse_connection() const { return decoder_->can_reuse_connection(); }
 
     void on_open() override { observer_.on_attempt_connected(*this); }
@@ -97,7 +99,7 @@
     base::TimerHandle deadline_timer_;
     Progress progress_ = Progress::not_sent;
     bool connection_reused_ = false;
-    /// The host has sent its last byte, as opposed to a connection that broke.
+    /// Whether the host closed the connection in order (end of stream), as opposed to a reset.
     bool closed_by_host_ = false;
     bool finished_ = false;
 };
--- a/src/upstream/executor.cpp
+++ b/src/upstream/executor.cpp
@@ -1,4 +1,5 @@
-// Hosts, requests and their ends; the attempts between are in executor_attempts.cpp and executor_results.cpp.
+// Host updates, and the start and completion of requests. Attempts are in executor_attempts.cpp and
+// executor_results.cpp.
 #include "upstream/executor.hpp"
 
 #include <algorithm>
@@ -15,7 +16,7 @@
 using upstream_health::HostStateChange;
 
 constexpr base::Duration periodic_check_interval{250'000};
-/// The stream of the random generator; others of the same seed must differ from it.
+/// Stream of the random generator; generators with the same seed must use different streams.
 constexpr std::uint64_t random_stream = 9;
 
 IdleConnectionPool::Limits pool_limits(const config::RoutingConfig& routing) {
@@ -61,7 +62,7 @@
       probe_runner_(loop, timers, clock, descriptors, hosts_, idle_connections_, *this) {}
 
 UpstreamExecutor::~UpstreamExecutor() {
-    // Their ends are reported to this object, which must be whole then.
+    // Attempts report to this object when they are destroyed, and use its other members.
     active_requests_.clear();
     probe_runner_.clear();
 }
@@ -111,7 +112,7 @@
     for (const HostStateChange& change : changes) {
         if (closes_idle_connections(change.new_state))
             idle_connections_.close_all(change.host_id);
-        // The log line of the inventory tells who came and went.
+        // Added and removed hosts are in the log line of the inventory reload.
         if (!is_added_or_removed(change))
             log_host_change(change);
     }
@@ -140,7 +141,7 @@
     record_load_report(host_id, response);
 }
 
-void UpstreamExecutor::on_probe_connection_free(HostId host_id, HostConnection connection) {
+void UpstreamExecutor::on_probe_connection_reusable(HostId host_id, HostConnection connection) {
     retain_connection(host_id, connection);
 }
 
@@ -158,15 +159,15 @@
 // ---- requests ----
 
 void UpstreamExecutor::run(const request::Work& work) {
-    auto created = std::make_unique<ActiveRequest>(work, traits_of(work));
-    ActiveRequest& request = *created;
-    active_requests_[work.request_id] = std::move(created);
+    auto new_request = std::make_unique<ActiveRequest>(work, make_traits(work));
+    ActiveRequest& request = *new_request;
+    active_requests_[work.request_id] = std::move(new_request);
     retry_budget_.on_first_attempt();
     ++counters_.requests;
     start_attempt(request);
 }
 
-RequestTraits UpstreamExecutor::traits_of(const request::Work& work) const {
+RequestTraits UpstreamExecutor::make_traits(const request::Work& work) const {
     RequestTraits traits;
     if (routing_.key_affinity_enabled)
         traits.affinity_key = load_balancing::affinity_key(work.affinity_key);
@@ -191,8 +192,8 @@
     complete(request.request_id, request::RunResult::failed, std::move(body));
 }
 
-// The end is reported on the loop's next turn: actions of the admission controller that are being applied come first, in
-// their order.
+// The result is reported on the next iteration of the event loop, so that the actions of the admission controller that
+// are being applied are finished first, in order.
 void UpstreamExecutor::complete(request::RequestId request_id, request::RunResult result, std::string body) {
     const auto it = active_requests_.find(request_id);
     if (it == active_requests_.end() || it->second->completed)
@@ -208,7 +209,7 @@
     });
 }
 
-// The hosts' processors are out of sight: the calls under way stand for what runs.
+// The CPU utilization of the hosts is not known; the number of calls in flight is used instead.
 bool UpstreamExecutor::request_gauges(std::uint64_t query_id) {
     const auto calls = static_cast<double>(active_requests_.size());
     policy::Gauges gauges;
--- a/src/upstream/executor.hpp
+++ b/src/upstream/executor.hpp
@@ -1,11 +1,11 @@
-// Runs requests by calling upstream hosts of the operator's inventory, over HTTP or SCGI.
+// Runs requests by calling the upstream hosts of the operator's inventory over HTTP or SCGI.
 //
-// Decisions are made elsewhere: which hosts may be called by upstream_health::HostSet, which one is by
-// load_balancing::Balancer, whether there is another attempt by the policies of retry/. The executor carries them out:
-// it owns the calls, the idle connections and the probes.
+// The executor carries out decisions that other modules make: upstream_health::HostSet decides which hosts may be
+// called, load_balancing::Balancer chooses one of them, and the policies in retry/ decide on further attempts. It owns
+// the attempts, the connection pool and the probes.
 //
-// Of the requests' own invariants: a request that is not idempotent is attempted again only where a refused connection
-// proves that nothing of it ran.
+// Invariant: a request that is not idempotent is attempted again only if nothing of it was sent, because the connection
+// was refused or there was no file descriptor for it.
 #pragma once
 
 #include <deque>
@@ -34,7 +34,7 @@
 
 namespace cressledge::upstream {
 
-/// The executor of a server that works by calling others.
+/// The executor that runs each request as a call to an upstream host.
 class UpstreamExecutor final : public request::Executor,
                                private AttemptObserver,
                                private ProbeRunner::ResultObserver {
@@ -44,46 +44,50 @@
         std::uint64_t requests = 0;
         std::uint64_t attempts = 0;
         std::uint64_t retries = 0;
+        /// Hedged requests: second attempts that were started while the first was in flight.
         std::uint64_t hedges = 0;
+        /// Attempts on connections from the connection pool.
         std::uint64_t reused_connections = 0;
-        /// Requests that failed because the retry budget was empty.
+        /// Requests that failed because the retry budget was exhausted.
         std::uint64_t retry_budget_exhausted = 0;
-        /// Idle connections that the host had closed when they were used.
+        /// Attempts on idle connections that the host had already closed.
         std::uint64_t stale_connections = 0;
         std::uint64_t load_probes = 0;
         std::uint64_t load_reports = 0;
         std::uint64_t malformed_load_reports = 0;
     };
 
-    /// All references must outlive the executor. `seed`: of the random choices of hosts and of jitter.
+    /// All references must outlive the executor. `seed` seeds the random choice of hosts and the retry jitter.
     UpstreamExecutor(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& request_manager,
                      base::Clock& clock, connection_admission::FileDescriptorBudget& descriptors,
                      const config::RoutingConfig& routing, std::uint64_t seed);
     ~UpstreamExecutor() override;
 
-    /// Uses these hosts from the next call on. Calls under way end where they are.
+    /// Replaces the hosts, from the next call on. Calls in flight are not interrupted.
     void set_servers(const std::vector<config::Upstream>& servers);
 
-    /// New rules, from the next decision on. Calls and idle connections stay until they end, beyond new limits as well.
+    /// Applies new settings, from the next decision on. Calls in flight and idle connections are kept, even beyond the
+    /// new limits.
     void reconfigure(const config::RoutingConfig& routing);
 
-    /// Starts health checks and the periodic evaluation of the hosts.
+    /// Starts the active health checks and the periodic evaluation of host states.
     void start();
 
-    /// The live processes of the fleet by id, this one included: they share the hosts.
-    void set_peers(std::vector<std::string> names) {
-        balancer_.update_peers(clock_.unix_now(), std::move(names));
+    /// Sets the member ids of the live processes of the fleet, this one included, among which the hosts are divided.
+    void set_peers(std::vector<std::string> member_ids) {
+        balancer_.update_peers(clock_.unix_now(), std::move(member_ids));
     }
 
-    /// What was learned of the listed hosts, by name.
-    learned_state::UpstreamStatsByName learned() const;
+    /// Returns the learned statistics of the listed hosts, by host name.
+    learned_state::UpstreamStatsByName learned_stats() const;
 
-    /// Takes up what an earlier process has learned. Hosts that mostly failed are called last for a second.
+    /// Restores the statistics of an earlier process. Hosts that failed more than half of their calls are deprioritized
+    /// for one second.
     void restore(const learned_state::UpstreamStatsByName& stats_by_name);
 
     void run(const request::Work& work) override;
     void suspend(request::RequestId request_id) override;
-    /// Runs are never paused, and make no dependency calls: the next three have nothing to do.
+    /// Runs are never paused and make no dependency calls, so that the next three functions do nothing.
     void resume(request::RequestId) override {}
     void deliver_call_reply(request::RequestId, std::string_view) override {}
     void skip_call(request::RequestId, std::uint64_t) override {}
@@ -91,15 +95,16 @@
     bool request_health_check(std::uint64_t query_id) override;
     void release(request::RequestId request_id) override;
 
-    /// Logs the hosts by state, the counters, and `max_hosts` hosts that are not healthy.
+    /// Logs the number of hosts by state, the counters, and up to `max_hosts` hosts that are neither ready nor warming
+    /// up.
     void log_report(std::size_t max_hosts) const;
 
-    /// The counters since the start.
+    /// Returns the totals since the start.
     Counters counters() const;
 
-    /// Hosts that may get calls of this process now.
+    /// The number of hosts that this process may call now.
     std::size_t candidate_count() const { return balancer_.candidates().size(); }
-    /// The hosts of the inventory and their health.
+    /// The hosts of the inventory and their health states.
     const upstream_health::HostSet& hosts() const { return hosts_; }
 
 private:
@@ -111,22 +116,22 @@
     void on_attempt_abandoned(Attempt& attempt) override;
 
     void on_probe_response(upstream_health::HostId host_id, const Response& response) override;
-    void on_probe_connection_free(upstream_health::HostId host_id, HostConnection connection) override;
+    void on_probe_connection_reusable(upstream_health::HostId host_id, HostConnection connection) override;
     void on_load_probe_result(request::RequestId request_id, upstream_health::HostId host_id,
                               const Response* response) override;
     void on_health_result(upstream_health::HostId host_id, upstream_health::CallResult result) override;
 
-    RequestTraits traits_of(const request::Work& work) const;
+    RequestTraits make_traits(const request::Work& work) const;
 
     void start_attempt(ActiveRequest& request);
     bool probe_before_dispatch(ActiveRequest& request);
-    void dispatch_to_best_probed(ActiveRequest& request);
+    void dispatch_after_probes(ActiveRequest& request);
     upstream_health::HostId pick_host(const ActiveRequest& request);
     void start_attempt_on(ActiveRequest& request, upstream_health::HostId host_id);
     void fail_without_host(ActiveRequest& request);
     void send_load_probes();
-    void arm_attempt_deadline(Attempt& attempt, base::Timestamp now);
-    void arm_hedge(ActiveRequest& request, base::Timestamp now);
+    void set_attempt_deadline(Attempt& attempt, base::Timestamp now);
+    void schedule_hedge(ActiveRequest& request, base::Timestamp now);
     void start_hedge(ActiveRequest& request);
 
     bool connect(Attempt& attempt);
@@ -164,21 +169,21 @@
     load_balancing::Balancer balancer_;
     retry::RetryBudget retry_budget_;
     retry::CircuitBreaker circuit_breaker_;
-    /// By class.
+    /// Indexed by request class.
     std::vector<retry::HedgePolicy> hedge_policies_;
-    /// By host.
+    /// Indexed by host id.
     std::vector<learned_state::UpstreamStats> learned_stats_;
     IdleConnectionPool idle_connections_;
     ProbeRunner probe_runner_;
     std::unordered_map<request::RequestId, std::unique_ptr<ActiveRequest>> active_requests_;
-    /// Requests whose next attempt found no descriptor: nothing of that attempt has been sent.
+    /// Requests whose next attempt waits for a file descriptor; nothing of that attempt has been sent.
     std::deque<request::RequestId> postponed_requests_;
     base::TimerHandle descriptor_retry_timer_;
     base::TimerHandle periodic_timer_;
     Counters counters_;
     base::LogRateLimiter failure_log_limiter_;
     base::LogRateLimiter change_log_limiter_;
-    /// Scratch space.
+    /// Reused buffer for the targets of load probes.
     std::vector<upstream_health::HostId> probe_targets_;
 };
 
--- a/src/upstream/executor_attempts.cpp
+++ b/src/upstream/executor_attempts.cpp
@@ -1,4 +1,4 @@
-// How the executor chooses hosts and calls them; what follows a call is in executor_results.cpp.
+// Choice of a host and start of an attempt. Results of attempts are in executor_results.cpp.
 
 #include <algorithm>
 #include <utility>
@@ -14,7 +14,7 @@
 using upstream_health::HostId;
 using upstream_health::no_host;
 
-/// Until an attempt that found no descriptor is made again.
+/// Delay before an attempt that got no file descriptor is started again.
 constexpr base::Duration descriptor_retry_delay{10'000};
 
 }  // namespace
@@ -22,7 +22,7 @@
 // ---- choice of a host ----
 
 void UpstreamExecutor::start_attempt(ActiveRequest& request) {
-    // A retry does not wait for probes again.
+    // Only the first attempt waits for load probes.
     const bool is_first =
         request.attempt_count == 0 && request.outstanding_probes == 0 && request.probed_loads.empty();
     if (balancer_.probes_before_call() && is_first && probe_before_dispatch(request))
@@ -34,8 +34,7 @@
     return balancer_.pick(clock_.unix_now(), request.traits.affinity_key, request.tried_hosts, random_);
 }
 
-// Sends the request's own load probes; nothing of the request itself is sent meanwhile. Returns false when there is no
-// host to probe.
+// Sends load probes for this request, which is dispatched when they have finished. Returns false if no probe was sent.
 bool UpstreamExecutor::probe_before_dispatch(ActiveRequest& request) {
     balancer_.pick_probe_targets(random_, probe_targets_);
     const std::vector<HostId> targets = probe_targets_;
@@ -44,16 +43,17 @@
             ++request.outstanding_probes;
     if (request.outstanding_probes == 0)
         return false;
-    const base::Timestamp give_up_at = std::min(request.deadline, clock_.unix_now() + routing_.probe_timeout);
+    const base::Timestamp probe_deadline =
+        std::min(request.deadline, clock_.unix_now() + routing_.probe_timeout);
     request.probe_timer =
-        timers_.schedule(give_up_at, [this, &request] { dispatch_to_best_probed(request); });
+        timers_.schedule(probe_deadline, [this, &request] { dispatch_after_probes(request); });
     return true;
 }
 
 void UpstreamExecutor::on_load_probe_result(request::RequestId request_id, HostId host_id,
                                             const Response* response) {
     const auto it = active_requests_.find(request_id);
-    // Dispatched already.
+    // The request has been dispatched already.
     if (it == active_requests_.end() || !it->second->probe_timer.is_scheduled())
         return;
     ActiveRequest& request = *it->second;
@@ -61,13 +61,13 @@
     if (response != nullptr && response->load)
         if (const auto load = balancer_.effective_load(clock_.unix_now(), host_id, *response->load))
             request.probed_loads.push_back({host_id, *load});
-    // The last probe may be the one that hangs: all but one are enough.
+    // All probes but one are enough, because the last one may be to a host that does not respond.
     const bool has_answer = !request.probed_loads.empty();
     if (request.outstanding_probes == 0 || (request.outstanding_probes == 1 && has_answer))
-        dispatch_to_best_probed(request);
+        dispatch_after_probes(request);
 }
 
-void UpstreamExecutor::dispatch_to_best_probed(ActiveRequest& request) {
+void UpstreamExecutor::dispatch_after_probes(ActiveRequest& request) {
     request.probe_timer.cancel();
     if (request.completed)
         return;
@@ -92,12 +92,12 @@
     ++counters_.attempts;
     if (!balancer_.probes_before_call())
         send_load_probes();
-    arm_attempt_deadline(attempt, now);
-    arm_hedge(request, now);
+    set_attempt_deadline(attempt, now);
+    schedule_hedge(request, now);
 }
 
 void UpstreamExecutor::fail_without_host(ActiveRequest& request) {
-    // Another attempt is under way, and may succeed.
+    // Another attempt may be in flight, and may succeed.
     if (!request.attempts.empty())
         return;
     std::uint64_t suppressed = 0;
@@ -113,9 +113,9 @@
         probe_runner_.start_load_probe(host_id);
 }
 
-// An attempt that another host could follow does not get all the time that is left: a host that accepts calls and never
-// answers must not use it up.
-void UpstreamExecutor::arm_attempt_deadline(Attempt& attempt, base::Timestamp now) {
+// An attempt that can be retried on another host gets only a fraction of the time until the request's deadline, so that
+// a host that accepts calls and never responds does not use it up.
+void UpstreamExecutor::set_attempt_deadline(Attempt& attempt, base::Timestamp now) {
     const ActiveRequest& request = attempt.request();
     const bool has_alternatives =
         request.traits.idempotent && request.tried_hosts.size() < balancer_.candidates().size();
@@ -127,7 +127,7 @@
         attempt.set_deadline(deadline);
 }
 
-void UpstreamExecutor::arm_hedge(ActiveRequest& request, base::Timestamp now) {
+void UpstreamExecutor::schedule_hedge(ActiveRequest& request, base::Timestamp now) {
     if (!request.traits.idempotent || !routing_.hedging_enabled || request.attempt_count > 1)
         return;
     const base::Duration delay = hedge_policies_[request.traits.class_index].delay();
@@ -147,7 +147,7 @@
 
 // ---- connection ----
 
-// Returns false when nothing has been sent; the attempt is finished or destroyed then.
+// Returns false if no connection could be opened. The attempt is then finished or destroyed.
 bool UpstreamExecutor::connect(Attempt& attempt) {
     if (try_idle_connection(attempt))
         return true;
@@ -170,8 +170,8 @@
     return false;
 }
 
-// A call that must not run twice has a connection to itself from its opening to its end: a reset on it cannot be that of
-// an idle connection.
+// A call that must not run twice always gets a new connection: on a reused one, a reset during the call could not be
+// told from the close of an idle connection.
 bool UpstreamExecutor::try_idle_connection(Attempt& attempt) {
     const ActiveRequest& request = attempt.request();
     const bool is_http = hosts_.at(attempt.host_id()).spec.protocol == "http";
@@ -185,7 +185,8 @@
     return true;
 }
 
-// A call goes before connections that are kept for calls to come.
+// If the budget is exhausted, an idle connection is closed to free a descriptor: a call takes precedence over idle
+// connections.
 connection_admission::FileDescriptorBudget::Lease UpstreamExecutor::acquire_descriptor(base::Timestamp now) {
     auto lease = descriptors_.try_acquire(now, DescriptorPurpose::upstream);
     if (!lease && idle_connections_.close_any())
@@ -193,8 +194,8 @@
     return lease;
 }
 
-// Destroys the attempt. Nothing of it was sent, so that it may be made later, whatever the request's class; the
-// admission controller gives the request up when its time is over.
+// Destroys the attempt. Nothing of it was sent, so that it may be started later for any request class. The admission
+// controller ends the request at its deadline.
 void UpstreamExecutor::postpone_until_descriptor(Attempt& attempt) {
     ActiveRequest& request = attempt.request();
     const bool is_only_attempt = request.attempts.size() == 1;
@@ -210,8 +211,8 @@
 }
 
 void UpstreamExecutor::retry_postponed_requests() {
-    const auto due = std::exchange(postponed_requests_, {});
-    for (const request::RequestId request_id : due) {
+    const auto request_ids = std::exchange(postponed_requests_, {});
+    for (const request::RequestId request_id : request_ids) {
         const auto it = active_requests_.find(request_id);
         if (it != active_requests_.end() && !it->second->completed)
             start_attempt(*it->second);
--- a/src/upstream/executor_report.cpp
+++ b/src/upstream/executor_report.cpp
@@ -1,4 +1,4 @@
-// What the executor has learned and counted.
+// Learned statistics, counters and the report of the executor.
 
 #include <array>
 
@@ -11,14 +11,14 @@
 using upstream_health::HostId;
 using upstream_health::HostState;
 
-/// Restored hosts that failed more often than this are called last at first.
+/// Restored hosts with a higher failure ratio are deprioritized at first.
 constexpr double mostly_failing_ratio = 0.5;
-constexpr base::Duration avoidance_period{1'000'000};
+constexpr base::Duration deprioritization_period{1'000'000};
 constexpr std::size_t host_state_count = 6;
 
 }  // namespace
 
-learned_state::UpstreamStatsByName UpstreamExecutor::learned() const {
+learned_state::UpstreamStatsByName UpstreamExecutor::learned_stats() const {
     learned_state::UpstreamStatsByName stats_by_name;
     for (const HostId host_id : hosts_.listed_hosts())
         if (learned_stats_[host_id].call_count >= 1.0)
@@ -33,7 +33,7 @@
             continue;
         learned_stats_[host_id] = it->second;
         if (it->second.failure_ratio > mostly_failing_ratio)
-            balancer_.deprioritize(host_id, clock_.unix_now() + avoidance_period);
+            balancer_.deprioritize(host_id, clock_.unix_now() + deprioritization_period);
     }
 }
 
--- a/src/upstream/executor_results.cpp
+++ b/src/upstream/executor_results.cpp
@@ -1,4 +1,4 @@
-// What the executor records of a finished attempt, and how it decides on another.
+// Results of attempts: what is recorded, and the decision on a retry.
 
 #include <algorithm>
 #include <utility>
@@ -12,15 +12,15 @@
 using upstream_health::CallResult;
 using upstream_health::HostId;
 
-/// How long a host that refused a connection is called last.
-constexpr base::Duration avoidance_period{1'000'000};
+/// How long a host that refused a connection is deprioritized.
+constexpr base::Duration deprioritization_period{1'000'000};
 constexpr double seconds_per_microsecond = 1e-6;
 
 constexpr int status_request_timeout = 408;
 constexpr int status_too_many_requests = 429;
 
-// A fault of the caller stays one, whoever is asked again.
-bool is_callers_fault(int status) {
+// Whether every host would respond with the same client error, so that a retry is useless.
+bool is_permanent_client_error(int status) {
     return status >= 400 && status < 500 && status != status_too_many_requests &&
            status != status_request_timeout;
 }
@@ -51,7 +51,7 @@
     if (result == CallResult::ok)
         return succeed(attempt, now);
     attempt.close_connection();
-    // One of the attempt's own functions may be running: it is destroyed with the next retry, or with the request.
+    // A member function of the attempt may be running: it is destroyed later, by the next retry or with the request.
     const bool is_last = std::all_of(request.attempts.begin(), request.attempts.end(),
                                      [](const auto& other) { return other->is_finished(); });
     if (is_last && !request.completed)
@@ -90,7 +90,7 @@
                                         static_cast<double>(latency.count()) * seconds_per_microsecond);
     balancer_.on_call_finished(now, host_id, result, latency);
     if (result == CallResult::connection_refused)
-        balancer_.deprioritize(host_id, now + avoidance_period);
+        balancer_.deprioritize(host_id, now + deprioritization_period);
     if (const Response* response = attempt.response();
         response != nullptr && response->retry_after > base::Duration(0))
         balancer_.deprioritize(host_id, now + response->retry_after);
@@ -118,7 +118,7 @@
         return retry_or_fail(request, Delivery::never_sent);
     }
     Response* response = attempt.response();
-    if (response != nullptr && is_callers_fault(response->status))
+    if (response != nullptr && is_permanent_client_error(response->status))
         return fail(request, std::move(response->body));
     retry_or_fail(request,
                   result == CallResult::connection_refused ? Delivery::never_sent : Delivery::unknown);
@@ -126,7 +126,7 @@
 
 // ---- retries ----
 
-// What proves never to have run is attempted again at once, whatever the request's class, and costs no retry budget.
+// A call that was never sent is attempted again at once, for any request class, and does not use the retry budget.
 void UpstreamExecutor::retry_or_fail(ActiveRequest& request, Delivery delivery) {
     if (delivery == Delivery::never_sent)
         return schedule_retry(request, base::Timestamp(0));
@@ -136,7 +136,7 @@
         ++counters_.retry_budget_exhausted;
         return fail(request);
     }
-    // The Retry-After of the host that failed does not count: another one is called.
+    // The Retry-After of the failed host is ignored here, because the retry goes to another host.
     const base::Timestamp retry_at = retry::next_retry_time(
         clock_.unix_now(), request.attempt_count, base::Duration(0), routing_.retry_policy, random_);
     if (retry_at >= request.deadline)
--- a/src/upstream/gateway.cpp
+++ b/src/upstream/gateway.cpp
@@ -1,4 +1,4 @@
-// Wiring, start and end; reloads are in gateway_reload.cpp.
+// Construction, start and shutdown of the gateway. Reloads are in gateway_reload.cpp.
 #include "upstream/gateway.hpp"
 
 #include <csignal>
@@ -54,7 +54,7 @@
     watch_inventory();
 }
 
-// Returns the port; 0 where the configuration has no such listener.
+// Returns the port; 0 if the configuration has no listener for the protocol.
 int UpstreamGateway::add_frontend(Protocol protocol) {
     const bool is_scgi = protocol == Protocol::scgi;
     const std::string& address = is_scgi ? config_.scgi_address : config_.http_address;
@@ -100,7 +100,7 @@
     };
     learned_state_saver_ = std::make_unique<learned_state::LearnedStateSaver>(
         *learned_state_store_, make_writer, timers_, request_manager_, settings,
-        [this] { return executor_.learned(); });
+        [this] { return executor_.learned_stats(); });
     const learned_state::RestoreResult restored = learned_state_saver_->load(now);
     if (!restored.restored)
         return;
@@ -108,7 +108,7 @@
     executor_.restore(restored.state.upstreams);
 }
 
-// A process that takes over from another under its id finds the gossip port in use until the other has released it.
+// A process that takes over from another under the same member id retries until the other has closed the gossip port.
 void UpstreamGateway::join_gossip(std::uint64_t seed) {
     if (!config_.gossip || request_manager_.draining())
         return;
@@ -125,8 +125,9 @@
     }
 }
 
-// Subsets, and the calls to hosts in slow start, are divided evenly among the live processes as this one sees them. A
-// member that comes and goes within the interval moves nothing. Slow start asks who lives even if nobody came or went.
+// Subsets, and the calls to hosts in slow start, are divided evenly among the live processes as this process sees them.
+// A member that joins and leaves within one interval has no effect. With slow start, the peers are passed on in every
+// interval, even if the membership has not changed.
 void UpstreamGateway::refresh_peers() {
     peer_refresh_timer_.cancel();
     const bool has_slow_start = config_.routing.slow_start.calls_per_s > 0.0;
@@ -135,14 +136,14 @@
         return;
     const membership::MembershipTable& membership = gossip_node_->membership();
     const std::uint64_t digest = membership.digest();
-    if (has_slow_start || digest != last_peer_digest_) {
-        last_peer_digest_ = digest;
-        std::vector<std::string> names{membership.local_member().id};
+    if (has_slow_start || digest != last_membership_digest_) {
+        last_membership_digest_ = digest;
+        std::vector<std::string> peer_ids{membership.local_member().id};
         for (const auto& member : membership.members())
             if (member.state == membership::MemberState::alive ||
                 member.state == membership::MemberState::suspect)
-                names.push_back(member.id);
-        executor_.set_peers(std::move(names));
+                peer_ids.push_back(member.id);
+        executor_.set_peers(std::move(peer_ids));
     }
     peer_refresh_timer_ =
         timers_.schedule(loop_.unix_now() + peer_refresh_interval, [this] { refresh_peers(); });
--- a/src/upstream/gateway.hpp
+++ b/src/upstream/gateway.hpp
@@ -1,5 +1,5 @@
-// The operator's set-up: SCGI and HTTP frontends in front of the request manager, upstream hosts of the inventory behind
-// it, and around it gossip, learned state, the admin address and configuration reloads.
+// The gateway for operators: SCGI and HTTP frontends, the request manager, and the upstream hosts of the inventory,
+// with gossip, learned state, the admin server and reloads of the configuration.
 #pragma once
 
 #include <functional>
@@ -24,22 +24,22 @@
 
 namespace cressledge::upstream {
 
-/// Stands in where runs make no dependency calls.
+/// A dependency client for executors whose runs make no dependency calls; it does nothing.
 class NullRecordsClient final : public request::DependencyClient {
 public:
     void call(request::RequestId, std::string_view, std::string_view, base::Timestamp) override {}
     void abandon(request::RequestId) override {}
 };
 
-/// Owns all parts of the server, and wires them up.
+/// Owns and connects all components of the server.
 class UpstreamGateway final : public request::ConnectionSettingsSink, public admin::AdminSource {
 public:
-    /// Makes an executor that stands between the request manager and `inner`: for programs that inject faults.
+    /// Returns an executor that wraps `inner`, for fault injection.
     using ExecutorDecorator = std::function<std::unique_ptr<request::Executor>(
         request::RequestManager& request_manager, request::Executor& inner)>;
 
-    /// Listens from here on. Decisions go by `clock`. Throws config::ConfigError, and std::runtime_error where a socket
-    /// or the store cannot be opened.
+    /// Opens the listeners. `clock` is the clock of the request manager and the executor. Throws config::ConfigError if
+    /// the configuration or the inventory is invalid, and std::runtime_error if a socket or the store cannot be opened.
     UpstreamGateway(net::Loop& loop, base::TimerQueue& timers, base::Clock& clock,
                     const config::OperatorConfig& config, std::uint64_t seed,
                     const ExecutorDecorator& decorate_executor = {});
@@ -49,20 +49,20 @@
     /// Installs the signal handlers.
     void start();
 
-    /// Tells the fleet, answers what has been read, and ends the loop.
+    /// Leaves the fleet, answers the requests that have been read, and ends the event loop.
     void begin_graceful_shutdown();
 
-    /// The same, for a process that continues under this one's member id: the fleet is not told, and the gossip port is
-    /// free at once.
+    /// Shuts down gracefully in favour of a process that continues under the same member id: this process does not
+    /// leave the fleet, and closes its gossip port at once.
     void hand_over();
 
-    /// Reads the operator's file, if there is one, and the inventory again. Invalid files change nothing.
+    /// Reloads the configuration file, if there is one, and the inventory. If one of them is invalid, nothing changes.
     void reload() { reload_files(ReloadScope::all_files); }
 
-    /// To be called after the loop has ended.
+    /// Saves the learned state. Must be called after the event loop has ended.
     void save_learned_state();
 
-    /// Logs the state of the hosts and the counters of calls and connections.
+    /// Logs the connections, the states of the hosts, the counters of calls, and the saves of the learned state.
     void log_report();
 
     void set_idle_timeout(base::Duration timeout) override { shutdown_coordinator_.set_idle_limit(timeout); }
@@ -75,13 +75,13 @@
     frontend::ConnectionAdmitter& connection_admitter() { return connection_admitter_; }
     connection_admission::FileDescriptorBudget& descriptors() { return descriptors_; }
 
-    /// Null where nothing is saved.
+    /// Null if the learned state is not saved.
     learned_state::LearnedStateSaver* learned_state_saver() { return learned_state_saver_.get(); }
 
-    /// Null where the process belongs to no fleet.
+    /// Null if the process belongs to no fleet, or while its gossip port is not open.
     gossip::GossipNode* gossip_node() { return gossip_node_.get(); }
 
-    /// Ports of the listeners; 0 where there is none.
+    /// Ports of the listeners; 0 if there is no such listener.
     int scgi_port() const { return scgi_port_; }
     int http_port() const { return http_port_; }
     int admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
@@ -90,12 +90,12 @@
     enum class Protocol { scgi, http };
     enum class ReloadScope { all_files, inventory_only };
 
-    /// Files that have been read and checked, before anything of them is used.
+    /// A configuration and an inventory that have been read, but not applied yet.
     struct Reload {
         config::OperatorConfig config;
         connection_admission::DescriptorPlan plan;
         std::vector<config::Upstream> servers;
-        config::InventoryDiff difference;
+        config::InventoryDiff inventory_diff;
     };
 
     int add_frontend(Protocol protocol);
@@ -122,13 +122,13 @@
     NullRecordsClient null_records_client_;
     UpstreamExecutor executor_;
     std::unique_ptr<request::Executor> decorated_executor_;
-    /// In force.
+    /// The servers of the current inventory.
     std::vector<config::Upstream> servers_;
     std::unique_ptr<net::FileWatcher> inventory_watcher_;
-    /// Of the membership that the executor was last told of.
-    std::uint64_t last_peer_digest_ = 0;
+    /// Digest of the membership that was last passed to the executor.
+    std::uint64_t last_membership_digest_ = 0;
     std::vector<connection_admission::FileDescriptorBudget::Lease> store_file_leases_;
-    /// What the saver keeps the learned state in; null where nothing is saved.
+    /// Storage of the learned state; null if it is not saved.
     std::unique_ptr<store::PosixFileSystem> learned_state_files_;
     std::unique_ptr<store::Store> learned_state_store_;
     std::unique_ptr<learned_state::LearnedStateSaver> learned_state_saver_;
@@ -138,13 +138,15 @@
     std::uint64_t configurations_rejected_ = 0;
     int scgi_port_ = 0;
     int http_port_ = 0;
-    // Last, to be cancelled first: the saver runs the loop until its last commit has ended.
+    // The timers are declared last, to be cancelled first: the saver runs the event loop until its last commit has
+    // ended.
     base::TimerHandle inventory_recheck_timer_;
     base::TimerHandle peer_refresh_timer_;
     base::TimerHandle gossip_join_timer_;
 };
 
-/// The servers of the inventory that the configuration asks for. Throws config::ConfigError if there is none.
+/// Loads the servers of the inventory that belong to the configured group. Throws config::ConfigError if the inventory
+/// is invalid or there is no such server.
 std::vector<config::Upstream> load_servers(const config::OperatorConfig& config);
 
 }  // namespace cressledge::upstream
--- a/src/upstream/gateway_descriptors.cpp
+++ b/src/upstream/gateway_descriptors.cpp
@@ -11,9 +11,9 @@
 namespace cressledge::upstream {
 namespace {
 
-/// Health checks at a time.
+/// Concurrent health checks.
 constexpr std::size_t probe_descriptors = 16;
-/// libuv opens it for the first signal that is handled.
+/// libuv opens the pipe when the first signal handler is installed.
 constexpr std::size_t signal_pipe_descriptors = 2;
 constexpr std::size_t min_calls_per_core = 2;
 
@@ -43,7 +43,7 @@
 
 connection_admission::DescriptorPlan make_descriptor_plan(const config::OperatorConfig& config,
                                                           std::size_t preopened_descriptors) {
-    // What the operator allows the process, and never more than the system does.
+    // The configured limit, but never more than the system allows.
     const std::size_t system_limit = net::descriptor_limit();
     const std::size_t limit =
         config.max_descriptors == 0 ? system_limit : std::min(config.max_descriptors, system_limit);
--- a/src/upstream/gateway_reload.cpp
+++ b/src/upstream/gateway_reload.cpp
@@ -1,4 +1,4 @@
-// Reading the operator's file and the inventory again while the gateway runs.
+// Reloads of the configuration file and the inventory while the gateway runs.
 
 #include <utility>
 
@@ -9,11 +9,11 @@
 namespace cressledge::upstream {
 namespace {
 
-/// Of added, removed and changed servers each, in the log.
+/// Limit for the server names in the log, for added, removed and changed servers each.
 constexpr std::size_t max_logged_servers = 8;
 constexpr std::int64_t microseconds_per_millisecond = 1000;
 
-// Whether a process stays the same member of the same fleet.
+// Whether both settings describe the same member of the same fleet.
 bool is_same_member(const std::optional<gossip::Settings>& before,
                     const std::optional<gossip::Settings>& after) {
     if (!before || !after)
@@ -45,31 +45,31 @@
     inventory_watcher_ =
         std::make_unique<net::FileWatcher>(loop_.uv(), config_.inventory_path, interval_ms,
                                            [this] { reload_files(ReloadScope::inventory_only); });
-    // A change between the last reading and the watcher's own first look would go unnoticed.
+    // The watcher does not notice a change between the last read and its first poll.
     inventory_recheck_timer_ = timers_.schedule(request_manager_.now() + interval,
                                                 [this] { reload_files(ReloadScope::inventory_only); });
 }
 
 void UpstreamGateway::reload_files(ReloadScope scope) {
-    const char* failing_file = "configuration";
+    const char* log_component = "configuration";
     try {
         const auto lease =
             descriptors_.try_acquire(request_manager_.now(), connection_admission::DescriptorPurpose::file);
         Reload reload;
         reload.config = read_configuration(scope);
         reload.plan = make_descriptor_plan(reload.config, preopened_descriptors_);
-        failing_file = "inventory";
+        log_component = "inventory";
         reload.servers = load_servers(reload.config);
-        reload.difference = config::diff_inventories(servers_, reload.servers);
+        reload.inventory_diff = config::diff_inventories(servers_, reload.servers);
         check_reload(reload);
         apply(std::move(reload), scope);
     } catch (const config::InventoryError& error) {
         ++configurations_rejected_;
         for (const std::string& row_error : error.row_errors)
-            base::log_error("{}: the old one stays in force: {}", failing_file, row_error);
+            base::log_error("{}: the old one stays in force: {}", log_component, row_error);
     } catch (const config::ConfigError& error) {
         ++configurations_rejected_;
-        base::log_error("{}: the old one stays in force: {}", failing_file, error.what());
+        base::log_error("{}: the old one stays in force: {}", log_component, error.what());
     }
 }
 
@@ -88,26 +88,26 @@
     return new_config;
 }
 
-// A file may be cut at the end of a row, or written by a tool that found nothing: few removals are believed at a time.
-// Another file or group is the operator's own decision.
+// Rejects a reload that removes too many servers: the file may be truncated at the end of a row, or written by a tool
+// that found no servers. There is no limit if the configuration names another file or group.
 void UpstreamGateway::check_reload(const Reload& reload) const {
     const config::OperatorConfig& new_config = reload.config;
     if (new_config.inventory_path != config_.inventory_path ||
         new_config.server_group != config_.server_group)
         return;
-    if (!config::exceeds_removal_limit(reload.difference, servers_.size(),
+    if (!config::exceeds_removal_limit(reload.inventory_diff, servers_.size(),
                                        new_config.routing.max_removed_fraction))
         return;
     throw config::ConfigError(new_config.inventory_path + ": " +
-                              std::to_string(reload.difference.removed.size()) + " of " +
+                              std::to_string(reload.inventory_diff.removed.size()) + " of " +
                               std::to_string(servers_.size()) + " servers gone, more than most_gone allows");
 }
 
-// Nothing here can fail: never is half a configuration in force.
+// Must not fail, so that a configuration is never applied in part.
 void UpstreamGateway::apply(Reload reload, ReloadScope scope) {
-    const config::OperatorConfig before = std::exchange(config_, std::move(reload.config));
+    const config::OperatorConfig old_config = std::exchange(config_, std::move(reload.config));
     const bool has_new_settings = scope == ReloadScope::all_files;
-    const bool has_new_servers = !reload.difference.is_empty();
+    const bool has_new_servers = !reload.inventory_diff.is_empty();
     if (has_new_settings || has_new_servers)
         ++configurations_applied_;
     if (gossip_node_ && has_new_settings)
@@ -116,20 +116,21 @@
         descriptors_.reconfigure(reload.plan);
         connection_admitter_.reload(fit_to_plan(config_.admission, reload.plan));
     }
-    if (config_.routing_yaml != before.routing_yaml) {
+    if (config_.routing_yaml != old_config.routing_yaml) {
         executor_.reconfigure(config_.routing);
-        last_peer_digest_ = 0;
+        last_membership_digest_ = 0;
         refresh_peers();
     }
     servers_ = std::move(reload.servers);
     if (has_new_servers)
         executor_.set_servers(servers_);
-    if (config_.inventory_path != before.inventory_path ||
-        config_.routing.inventory_poll_interval != before.routing.inventory_poll_interval)
+    if (config_.inventory_path != old_config.inventory_path ||
+        config_.routing.inventory_poll_interval != old_config.routing.inventory_poll_interval)
         watch_inventory();
     if (has_new_settings || has_new_servers)
         base::log_info("inventory: {} servers in force, version {}: {}", servers_.size(),
-                       executor_.hosts().inventory_version(), reload.difference.summary(max_logged_servers));
+                       executor_.hosts().inventory_version(),
+                       reload.inventory_diff.summary(max_logged_servers));
 }
 
 }  // namespace cressledge::upstream
--- a/src/upstream/http_decoder.cpp
+++ b/src/upstream/http_decoder.cpp
@@ -1,4 +1,4 @@
-// Responses over HTTP/1.1, parsed by http_parser.
+// Decoder of HTTP/1.1 responses, based on http_parser.
 #include <http_parser.h>
 
 #include <algorithm>
@@ -33,7 +33,7 @@
     Status finish() override {
         if (!complete_)
             http_parser_execute(&parser_, &parser_settings(), nullptr, 0);
-        // What is cut short may lack anything.
+        // A truncated response is malformed, whatever it lacks.
         return complete_ ? Status::complete : Status::malformed;
     }
 
@@ -60,7 +60,7 @@
             decoder_of(parser).append_header_value({data, length});
             return 0;
         };
-        // An interim response has no body, whatever its headers say.
+        // An interim response has no body, whatever its headers say; 1 skips the body.
         settings.on_headers_complete = [](http_parser* parser) {
             return parser->status_code < first_final_status ? 1 : 0;
         };
@@ -81,7 +81,7 @@
         return HTTP_PARSER_ERRNO(&parser_) != HPE_OK ? Status::malformed : Status::incomplete;
     }
 
-    // Names and values may come in pieces.
+    // The parser may pass names and values in fragments.
     void append_header_name(std::string_view fragment) {
         if (reading_header_value_) {
             header_name_.clear();
@@ -106,12 +106,12 @@
         }
     }
 
-    // Seconds only: a date is ignored.
+    // Accepts seconds only; a date is ignored.
     void parse_retry_after() {
         unsigned seconds = 0;
         const char* end = header_value_.data() + header_value_.size();
-        const auto [stop, error] = std::from_chars(header_value_.data(), end, seconds);
-        if (error == std::errc() && stop == end)
+        const auto [parsed_end, error] = std::from_chars(header_value_.data(), end, seconds);
+        if (error == std::errc() && parsed_end == end)
             response.retry_after =
                 base::Duration(std::min(seconds, max_retry_after_seconds) * microseconds_per_second);
     }
@@ -123,7 +123,7 @@
         return true;
     }
 
-    // Pausing keeps the parser from reading what follows, which does not belong to the response.
+    // Pauses the parser, because bytes that follow do not belong to the response.
     void on_final_response() {
         response.status = static_cast<int>(parser_.status_code);
         complete_ = true;
--- a/src/upstream/idle_connection_pool.cpp
+++ b/src/upstream/idle_connection_pool.cpp
@@ -15,7 +15,7 @@
         if (connection.stream != nullptr)
             connection.stream->close();
     }
-    // Nothing was asked: what the host says cannot belong to a call.
+    // No call is in flight, so that the bytes cannot belong to a response.
     void on_bytes(std::string_view) override { pool.close(*this); }
     void on_end(bool) override {
         connection.stream = nullptr;
@@ -25,7 +25,7 @@
     IdleConnectionPool& pool;
     const HostId host_id;
     HostConnection connection;
-    /// Its expiry; once it is closed, the end of this object.
+    /// Closes the connection at its expiry; after the close, destroys this object.
     base::TimerHandle timer;
 };
 
@@ -40,24 +40,24 @@
 }
 
 void IdleConnectionPool::add(base::Timestamp now, HostId host_id, HostConnection connection) {
-    auto& of_host = connections_[host_id];
+    auto& host_connections = connections_[host_id];
     const base::Timestamp expires_at = connection.opened_at + limits_.max_age;
-    if (of_host.size() >= limits_.max_per_host || size_ >= limits_.max_total || now >= expires_at)
+    if (host_connections.size() >= limits_.max_per_host || size_ >= limits_.max_total || now >= expires_at)
         return connection.stream->close();
-    of_host.push_back(std::make_unique<IdleConnection>(*this, host_id, connection));
+    host_connections.push_back(std::make_unique<IdleConnection>(*this, host_id, connection));
     ++size_;
-    IdleConnection& idle = *of_host.back();
+    IdleConnection& idle = *host_connections.back();
     connection.stream->set_owner(idle);
     idle.timer =
         timers_.schedule(std::min(expires_at, now + limits_.idle_timeout), [this, &idle] { close(idle); });
 }
 
-// The connection used last is the least likely to have been closed by the host.
+// The most recently used connection is the least likely to have been closed by the host.
 HostConnection IdleConnectionPool::take(HostId host_id, net::Stream::Owner& owner) {
-    auto& of_host = connections_[host_id];
-    while (!of_host.empty()) {
-        const auto idle = std::move(of_host.back());
-        of_host.pop_back();
+    auto& host_connections = connections_[host_id];
+    while (!host_connections.empty()) {
+        const auto idle = std::move(host_connections.back());
+        host_connections.pop_back();
         --size_;
         if (idle->connection.stream == nullptr)
             continue;
@@ -75,8 +75,8 @@
 }
 
 bool IdleConnectionPool::close_any() {
-    for (auto& of_host : connections_) {
-        for (auto& idle : of_host) {
+    for (auto& host_connections : connections_) {
+        for (auto& idle : host_connections) {
             if (idle->connection.stream == nullptr)
                 continue;
             close(*idle);
@@ -89,7 +89,7 @@
 void IdleConnectionPool::close(IdleConnection& idle) {
     if (idle.connection.stream != nullptr)
         std::exchange(idle.connection.stream, nullptr)->close();
-    // One of its own functions may be running: it is freed on the loop's next turn.
+    // A member function of `idle` may be running: it is destroyed on the next iteration of the event loop.
     idle.timer = timers_.schedule(base::Timestamp(0), [this, &idle] {
         size_ -= std::erase_if(connections_[idle.host_id],
                                [&idle](const auto& candidate) { return candidate.get() == &idle; });
--- a/src/upstream/idle_connection_pool.hpp
+++ b/src/upstream/idle_connection_pool.hpp
@@ -1,4 +1,4 @@
-// Connections to upstream hosts that carry no call, kept for the calls to come.
+// The connection pool: idle keep-alive connections to upstream hosts, for later calls.
 #pragma once
 
 #include <memory>
@@ -10,14 +10,14 @@
 
 namespace cressledge::upstream {
 
-/// A connection to a host, with the time at which it was opened.
+/// A connection to a host and the time at which it was opened.
 struct HostConnection {
     net::Stream* stream = nullptr;
     base::Timestamp opened_at{0};
 };
 
-/// Owns idle connections within bounds of number, age and idle time. A connection on which the host says anything, or
-/// that the host closes, is closed.
+/// Owns idle connections, limited in number, age and idle time. An idle connection on which the host sends any byte, or
+/// that the host closes, is closed and removed.
 class IdleConnectionPool {
 public:
     struct Limits {
@@ -27,32 +27,32 @@
         base::Duration idle_timeout{0};
     };
 
-    /// `timers` holds the idle time-out of each connection; it must outlive the pool.
+    /// `timers` runs the timeout of each connection; it must outlive the pool.
     IdleConnectionPool(base::TimerQueue& timers, const Limits& limits);
     ~IdleConnectionPool();
     IdleConnectionPool(const IdleConnectionPool&) = delete;
     IdleConnectionPool& operator=(const IdleConnectionPool&) = delete;
 
-    /// New limits, for connections that come from here on.
+    /// Applies new limits to connections that are added from now on.
     void reconfigure(const Limits& limits) { limits_ = limits; }
 
-    /// Makes room for hosts with ids below `host_count`.
+    /// Allocates entries for host ids below `host_count`.
     void reserve_hosts(std::size_t host_count);
 
-    /// Whether connections are kept at all.
+    /// Whether the limits allow idle connections.
     bool is_enabled() const { return limits_.max_per_host > 0; }
 
-    /// Keeps the connection, or closes it where a limit stands against it.
+    /// Adds the connection, or closes it if a limit is exceeded.
     void add(base::Timestamp now, upstream_health::HostId host_id, HostConnection connection);
 
-    /// Takes the connection to the host that was used last, and gives it to `owner`. Its stream is null where there is
-    /// none.
+    /// Removes the most recently used connection to the host from the pool and transfers it to `owner`. The stream of
+    /// the result is null if there is none.
     HostConnection take(upstream_health::HostId host_id, net::Stream::Owner& owner);
 
     /// Closes all idle connections to the host.
     void close_all(upstream_health::HostId host_id);
 
-    /// Closes some connection, for the sake of its descriptor. Returns false where there is none.
+    /// Closes one idle connection, to free its file descriptor. Returns false if there is none.
     bool close_any();
 
 private:
@@ -61,7 +61,7 @@
 
     base::TimerQueue& timers_;
     Limits limits_;
-    /// By host; the one used last is at the end.
+    /// Indexed by host id; the most recently used connection is last.
     std::vector<std::vector<std::unique_ptr<IdleConnection>>> connections_;
     std::size_t size_ = 0;
 };
--- a/src/upstream/probe.cpp
+++ b/src/upstream/probe.cpp
@@ -8,7 +8,7 @@
 using upstream_health::CallResult;
 
 constexpr int first_server_error = 500;
-/// "HTTP/1.1 200", the first digit of whose status is at `status_offset`.
+/// Length of "HTTP/1.1 200"; the first digit of the status is at `status_offset`.
 constexpr std::size_t status_line_bytes = 12;
 constexpr std::size_t status_offset = 9;
 
@@ -38,7 +38,8 @@
     finished_ = true;
     if (connection_.stream != nullptr)
         std::exchange(connection_.stream, nullptr)->close();
-    // One of its own functions is running: it is reported, and may be destroyed, on the loop's next turn.
+    // A member function is running: the observer, which may destroy the probe, is notified on the next iteration of the
+    // event loop.
     timer_ = timers_.schedule(base::Timestamp(0), [this, result] { notify_finished(result); });
 }
 
--- a/src/upstream/probe.hpp
+++ b/src/upstream/probe.hpp
@@ -1,5 +1,5 @@
-// One probe of an upstream host, on a connection of its own or an idle one: a health check, which asks whether the host
-// works, or a load probe, which asks for its load report.
+// A probe of an upstream host: an active health check, on a new connection, or a load probe, which requests the host's
+// load report on a new or an idle connection.
 #pragma once
 
 #include <memory>
@@ -23,20 +23,21 @@
 class ProbeObserver {
 public:
     virtual ~ProbeObserver() = default;
-    /// The connection is established: the observer sends the request, or finishes the check.
+    /// The connection is established. The observer sends the request, or finishes the check.
     virtual void on_health_check_connected(HealthCheck& check) = 0;
-    /// The connection is established: the observer sends the request, or finishes the probe.
+    /// The connection is established. The observer sends the request, or finishes the probe.
     virtual void on_load_probe_connected(LoadProbe& probe) = 0;
 
-    /// The response is complete and no server error. The observer may take the connection.
+    /// The response is complete and not a server error. The observer may take the connection.
     virtual void on_load_probe_response(LoadProbe& probe) = 0;
 
-    /// The last event, always on a turn of the loop after finish(). The observer may destroy the probe.
+    /// The last event, on an iteration of the event loop after finish(). The observer may destroy the check.
     virtual void on_health_check_finished(HealthCheck& check, upstream_health::CallResult result) = 0;
+    /// The last event, on an iteration of the event loop after finish(). The observer may destroy the probe.
     virtual void on_load_probe_finished(LoadProbe& probe, upstream_health::CallResult result) = 0;
 };
 
-/// What health checks and load probes have in common. Owns its connection.
+/// Base of health checks and load probes. Owns its connection.
 class Probe : public net::Stream::Owner {
 public:
     Probe(ProbeObserver& observer, base::TimerQueue& timers, upstream_health::HostId host_id,
@@ -45,7 +46,7 @@
     Probe(const Probe&) = delete;
     Probe& operator=(const Probe&) = delete;
 
-    /// Takes the connection, and ends with a time-out at `deadline` unless it has finished by then.
+    /// Takes ownership of the connection. The probe ends with a timeout at `deadline` unless it has finished by then.
     void start(HostConnection connection, base::Timestamp deadline);
     /// Sends the request; the connection must be established.
     void send(std::string_view request);
@@ -57,7 +58,7 @@
 
     upstream_health::HostId host_id() const { return host_id_; }
 
-    /// The address of the host when the probe was made; by now the host may have another.
+    /// The address of the host when the probe was created. A reload may have changed it since.
     const std::string& address() const { return address_; }
 
 protected:
@@ -65,7 +66,7 @@
     bool is_finished() const { return finished_; }
 
     ProbeObserver& observer() const { return observer_; }
-    /// Leaves the probe without a connection.
+    /// Transfers ownership of the connection to the caller of this function.
     HostConnection release_connection() { return std::exchange(connection_, {}); }
 
 private:
@@ -75,11 +76,11 @@
     const upstream_health::HostId host_id_;
     const std::string address_;
     bool finished_ = false;
-    /// Its deadline; once it has finished, the last notification.
+    /// The deadline; after finish(), the notification of the observer.
     base::TimerHandle timer_;
 };
 
-/// Passes if the host answers at all, unless it answers with a server error.
+/// An active health check. It passes if the host responds with any status but a server error.
 class HealthCheck final : public Probe {
 public:
     using Probe::Probe;
@@ -94,15 +95,15 @@
     std::string received_;
 };
 
-/// Reads the whole response, for its headers. The connection may serve again.
+/// A load probe. It reads the complete response, so that the connection can be reused.
 class LoadProbe final : public Probe {
 public:
-    /// `request_id`: the request that waits for the result; 0: none.
+    /// `request_id` is the request that waits for the result; 0: none.
     LoadProbe(ProbeObserver& observer, base::TimerQueue& timers, upstream_health::HostId host_id,
               std::string address, request::RequestId request_id)
         : Probe(observer, timers, host_id, std::move(address)), request_id_(request_id) {}
 
-    /// Takes a connection that has been open before.
+    /// Takes ownership of an established connection from the connection pool, and sends the probe on it.
     void start_on_idle_connection(HostConnection connection, base::Timestamp deadline);
 
     void on_open() override { observer().on_load_probe_connected(*this); }
@@ -110,14 +111,14 @@
 
     /// The request that waits for the result; 0: none.
     request::RequestId request_id() const { return request_id_; }
-    /// Whether the connection had been open before, so that it may be stale.
+    /// Whether the connection is from the connection pool, so that it may be stale.
     bool connection_reused() const { return connection_reused_; }
-    /// Of a complete response: whether the connection may carry another call.
+    /// Whether the connection may carry another call. Valid once the response is complete.
     bool can_reuse_connection() const { return decoder_->can_reuse_connection(); }
-    /// Hands the connection over to the caller; the probe has none afterwards.
+    /// Transfers ownership of the connection to the caller of this function.
     HostConnection take_connection() { return release_connection(); }
 
-    /// Null until the response has come, and where none came or it was a server error.
+    /// Null unless a complete response that is not a server error has been received.
     const Response* response() const { return has_response_ ? &decoder_->response : nullptr; }
 
 private:
--- a/src/upstream/probe_runner.cpp
+++ b/src/upstream/probe_runner.cpp
@@ -11,7 +11,7 @@
 using upstream_health::HostId;
 
 constexpr base::Duration probe_timeout{1'000'000};
-/// Probes of both kinds under way, above which no further health check, or load probe, is sent.
+/// Limits for the probes of both kinds in flight, from which on no further health check or load probe is sent.
 constexpr std::size_t max_probes_for_health_check = 16;
 constexpr std::size_t max_probes_for_load_probe = 256;
 
@@ -42,25 +42,25 @@
         return false;
     const std::string& address = hosts_.at(host_id).spec.address;
     ProbeObserver& observer = *this;
-    auto created = std::make_unique<LoadProbe>(observer, timers_, host_id, address, request_id);
-    LoadProbe& probe = *created;
+    auto new_probe = std::make_unique<LoadProbe>(observer, timers_, host_id, address, request_id);
+    LoadProbe& probe = *new_probe;
     const base::Timestamp now = clock_.unix_now();
     ++load_probe_count_;
     const HostConnection idle = idle_connections_.take(host_id, probe);
     if (idle.stream == nullptr)
-        return connect(std::move(created), now);
-    probes_.push_back(std::move(created));
+        return connect(std::move(new_probe), now);
+    probes_.push_back(std::move(new_probe));
     probe.start_on_idle_connection(idle, now + probe_timeout);
     return true;
 }
 
-// Returns false when there is no descriptor for the probe: nothing is known of the host then.
-bool ProbeRunner::connect(std::unique_ptr<Probe> created, base::Timestamp now) {
+// Returns false if there is no file descriptor for the probe. This says nothing about the health of the host.
+bool ProbeRunner::connect(std::unique_ptr<Probe> new_probe, base::Timestamp now) {
     auto lease = descriptors_.try_acquire(now, connection_admission::DescriptorPurpose::upstream);
     if (!lease)
         return false;
-    Probe& probe = *created;
-    probes_.push_back(std::move(created));
+    Probe& probe = *new_probe;
+    probes_.push_back(std::move(new_probe));
     const net::Address address = *net::Address::parse(probe.address());
     net::Stream* stream = net::Stream::connect(loop_.uv(), address, probe, std::move(lease));
     probe.start({stream, now}, now + probe_timeout);
@@ -81,7 +81,7 @@
     std::erase_if(probes_, [&probe](const auto& candidate) { return candidate.get() == &probe; });
 }
 
-// SCGI has no request for a host's health: that it accepts connections is all that can be checked.
+// SCGI has no health request, so that an SCGI host passes if it accepts the connection.
 void ProbeRunner::on_health_check_connected(HealthCheck& check) {
     if (uses_scgi(check))
         return check.finish(CallResult::ok);
@@ -97,7 +97,7 @@
 void ProbeRunner::on_load_probe_response(LoadProbe& probe) {
     results_.on_probe_response(probe.host_id(), *probe.response());
     if (probe.can_reuse_connection() && idle_connections_.is_enabled() && has_current_address(probe))
-        results_.on_probe_connection_free(probe.host_id(), probe.take_connection());
+        results_.on_probe_connection_reusable(probe.host_id(), probe.take_connection());
 }
 
 void ProbeRunner::on_health_check_finished(HealthCheck& check, CallResult result) {
@@ -111,7 +111,7 @@
     if (probe.request_id() != 0)
         results_.on_load_probe_result(probe.request_id(), probe.host_id(),
                                       is_current ? probe.response() : nullptr);
-    // The host may have closed the idle connection before the probe: that says nothing of its health.
+    // The host may have closed the idle connection before the probe, which says nothing about its health.
     const bool may_be_stale = probe.connection_reused() && result == CallResult::error;
     if (is_current && !may_be_stale)
         results_.on_health_result(probe.host_id(), result);
--- a/src/upstream/probe_runner.hpp
+++ b/src/upstream/probe_runner.hpp
@@ -1,5 +1,5 @@
-// Sends health checks and load probes to upstream hosts, and reports what they find. When and whom to probe is decided
-// elsewhere: by the host set and the balancer.
+// Sends active health checks and load probes to upstream hosts and reports their results. The host set decides when a
+// health check is due, and the balancer which hosts get load probes.
 #pragma once
 
 #include <memory>
@@ -15,10 +15,12 @@
 
 namespace cressledge::upstream {
 
-/// Owns the probes under way. A probe whose host has got another address meanwhile counts for nothing.
+/// Owns the probes in flight. If the address of its host has changed meanwhile, a probe has no effect, except that its
+/// load report is recorded.
 class ProbeRunner final : private ProbeObserver {
 public:
-    /// Receives the results. What is said of a finished probe comes on a later turn of the loop than its last byte.
+    /// Receives the results. on_load_probe_result and on_health_result are called on a later iteration of the event
+    /// loop than the last byte of the response is read.
     class ResultObserver {
     public:
         virtual ~ResultObserver() = default;
@@ -26,14 +28,15 @@
         /// A host has responded to a load probe.
         virtual void on_probe_response(upstream_health::HostId host_id, const Response& response) = 0;
 
-        /// A load probe has left an open connection behind.
-        virtual void on_probe_connection_free(upstream_health::HostId host_id, HostConnection connection) = 0;
+        /// A load probe has finished with a connection that may carry a call.
+        virtual void on_probe_connection_reusable(upstream_health::HostId host_id,
+                                                  HostConnection connection) = 0;
 
-        /// The load probe that a request waits for has finished. Null: it brought nothing.
+        /// The load probe that a request waits for has finished. `response` is null if there is no usable one.
         virtual void on_load_probe_result(request::RequestId request_id, upstream_health::HostId host_id,
                                           const Response* response) = 0;
 
-        /// What a finished probe says of the host's health.
+        /// A finished probe has a result for the health of the host.
         virtual void on_health_result(upstream_health::HostId host_id,
                                       upstream_health::CallResult result) = 0;
     };
@@ -44,16 +47,17 @@
                 const upstream_health::HostSet& hosts, IdleConnectionPool& idle_connections,
                 ResultObserver& results);
 
-    /// Checks the host; `results` gets the result unless the host's address changes meanwhile.
+    /// Starts a health check, unless too many probes are in flight or there is no file descriptor.
     void start_health_check(upstream_health::HostId host_id);
 
-    /// `request_id`: the request that waits for the result; 0: none. Returns false when no probe was sent.
+    /// Starts a load probe. `request_id` is the request that waits for the result; 0: none. Returns false if no probe
+    /// was started.
     bool start_load_probe(upstream_health::HostId host_id, request::RequestId request_id = 0);
 
-    /// Load probes sent since the start.
+    /// The number of load probes since the start, those that got no file descriptor included.
     std::uint64_t load_probe_count() const { return load_probe_count_; }
 
-    /// Ends all probes without a result.
+    /// Destroys all probes, without results.
     void clear() { probes_.clear(); }
 
 private:
@@ -63,7 +67,7 @@
     void on_health_check_finished(HealthCheck& check, upstream_health::CallResult result) override;
     void on_load_probe_finished(LoadProbe& probe, upstream_health::CallResult result) override;
 
-    bool connect(std::unique_ptr<Probe> created, base::Timestamp now);
+    bool connect(std::unique_ptr<Probe> new_probe, base::Timestamp now);
     bool has_current_address(const Probe& probe) const;
     bool uses_scgi(const Probe& probe) const;
     void erase(const Probe& probe);
--- a/src/upstream/scgi_decoder.cpp
+++ b/src/upstream/scgi_decoder.cpp
@@ -1,4 +1,5 @@
-// Responses over SCGI: CGI headers, an empty line, and a body of stated length or up to the end of the connection.
+// Decoder of SCGI responses: CGI headers, an empty line, and a body of Content-Length bytes or up to the end of the
+// connection.
 #include <algorithm>
 #include <charconv>
 
@@ -17,7 +18,7 @@
     std::string_view value;
 };
 
-// Takes the first line, without its end, off `text`.
+// Removes the first line from `text` and returns it without its line ending.
 std::string_view take_line(std::string_view& text) {
     const std::size_t end = std::min(text.find('\n'), text.size());
     std::string_view line = text.substr(0, end);
@@ -69,7 +70,7 @@
     }
 
     Status body_status() const {
-        // Without a length the body ends with the connection.
+        // Without Content-Length, the body ends with the connection.
         if (!has_content_length_ || response.body.size() < content_length_)
             return Status::incomplete;
         return response.body.size() == content_length_ ? Status::complete : Status::malformed;
@@ -96,16 +97,16 @@
         return true;
     }
 
-    // A reason may follow the number.
+    // A reason phrase may follow the status code.
     static bool parse_status(std::string_view text, int& status) {
-        const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), status);
+        const auto [parsed_end, error] = std::from_chars(text.data(), text.data() + text.size(), status);
         return error == std::errc() && status >= min_status && status <= max_status;
     }
 
     bool parse_content_length(std::string_view text) {
         const char* end = text.data() + text.size();
-        const auto [stop, error] = std::from_chars(text.data(), end, content_length_);
-        if (error != std::errc() || stop != end || content_length_ > max_body_bytes)
+        const auto [parsed_end, error] = std::from_chars(text.data(), end, content_length_);
+        if (error != std::errc() || parsed_end != end || content_length_ > max_body_bytes)
             return false;
         has_content_length_ = true;
         return true;
