--- a/src/upstream/executor_report.cpp
+++ b/src/upstream/executor_report.cpp
@@ -49,16 +49,17 @@
         ++counts[static_cast<std::size_t>(hosts_.at(host_id).state)];
     const auto count = [&counts](HostState state) { return counts[static_cast<std::size_t>(state)]; };
     base::log_info(
-        "upstream: inventory version {}: {} ready, {} joining, {} suspect, {} ejected, {} draining{}",
+        "upstream: report inventory_version={} ready={} warming_up={} suspect={} ejected={} draining={} "
+        "panic_mode={}",
         hosts_.inventory_version(), count(HostState::ready), count(HostState::warming_up),
         count(HostState::suspect), count(HostState::ejected), count(HostState::draining),
-        hosts_.in_panic_mode() ? ", panic: all are used" : "");
+        hosts_.in_panic_mode() ? "true" : "false");
     base::log_info(
-        "upstream: {} requests, {} calls, {} retries, {} hedges, {} on kept connections ({} stale), {} "
-        "without budget, {:.2f} of calls fail{}",
+        "upstream: report requests={} attempts={} retries={} hedges={} reused_connections={} "
+        "stale_connections={} retry_budget_exhausted={} failure_rate={:.2f} circuit_breaker_open={}",
         counters_.requests, counters_.attempts, counters_.retries, counters_.hedges,
         counters_.reused_connections, counters_.stale_connections, counters_.retry_budget_exhausted,
-        circuit_breaker_.failure_rate(), circuit_breaker_.is_open() ? ", breaker open" : "");
+        circuit_breaker_.failure_rate(), circuit_breaker_.is_open() ? "true" : "false");
     for (const HostId host_id : hosts_.listed_hosts()) {
         const upstream_health::HostStatus& host = hosts_.at(host_id);
         if (host.state == HostState::ready || host.state == HostState::warming_up)
@@ -66,7 +67,8 @@
         if (max_hosts-- == 0)
             break;
         base::log_info(
-            "upstream {}: {}, {} in hand, {:.2f} of calls fail, {:.3f} s a call, {} ejections in a row",
+            "upstream: report host={} state={} calls_in_flight={} failure_rate={:.2f} "
+            "mean_latency_s={:.3f} consecutive_ejections={}",
             host.spec.name, to_string(host.state), host.calls_in_flight, host.failure_rate,
             host.mean_latency_s, host.consecutive_ejections);
     }
--- a/src/upstream/gateway_descriptors.cpp
+++ b/src/upstream/gateway_descriptors.cpp
@@ -58,8 +58,9 @@
 connection_admission::Settings fit_to_plan(connection_admission::Settings settings,
                                            const connection_admission::DescriptorPlan& plan) {
     if (plan.max_connections < settings.max_connections)
-        base::log_warning("admission: room for {} of {} connections: {} descriptors", plan.max_connections,
-                          settings.max_connections, plan.limit);
+        base::log_warning(
+            "admission: connection limit reduced max_connections={} configured={} descriptor_limit={}",
+            plan.max_connections, settings.max_connections, plan.limit);
     settings.max_connections = plan.max_connections;
     settings.rejection_slots = plan.rejection_slots;
     return settings;
--- a/src/upstream/gateway_reload.cpp
+++ b/src/upstream/gateway_reload.cpp
@@ -66,10 +66,10 @@
     } catch (const config::InventoryError& error) {
         ++configurations_rejected_;
         for (const std::string& row_error : error.row_errors)
-            base::log_error("{}: the old one stays in force: {}", log_component, row_error);
+            base::log_error("{}: reload rejected error=\"{}\"", log_component, row_error);
     } catch (const config::ConfigError& error) {
         ++configurations_rejected_;
-        base::log_error("{}: the old one stays in force: {}", log_component, error.what());
+        base::log_error("{}: reload rejected error=\"{}\"", log_component, error.what());
     }
 }
 
@@ -78,12 +78,12 @@
         return config_;
     config::OperatorConfig new_config = config::load_operator_config(config_.path);
     if (new_config.restart_only_yaml != config_.restart_only_yaml)
-        throw config::ConfigError(config_.path +
-                                  ": all but inventory, group, connections, admission, routing and "
-                                  "fleet change with a restart only");
+        throw config::ConfigError(
+            config_.path +
+            ": settings other than inventory, group, connections, admission, routing and "
+            "fleet require a restart");
     if (!is_same_member(config_.gossip, new_config.gossip))
-        throw config::ConfigError(config_.path +
-                                  ": name, id, gossip and advertise of the fleet change with a restart only");
+        throw config::ConfigError(config_.path + ": fleet: name, id, gossip and advertise require a restart");
     new_config.inherited_sockets = config_.inherited_sockets;
     return new_config;
 }
@@ -98,9 +98,9 @@
     if (!config::exceeds_removal_limit(reload.inventory_diff, servers_.size(),
                                        new_config.routing.max_removed_fraction))
         return;
-    throw config::ConfigError(new_config.inventory_path + ": " +
-                              std::to_string(reload.inventory_diff.removed.size()) + " of " +
-                              std::to_string(servers_.size()) + " servers gone, more than most_gone allows");
+    throw config::ConfigError(
+        new_config.inventory_path + ": " + std::to_string(reload.inventory_diff.removed.size()) + " of " +
+        std::to_string(servers_.size()) + " servers removed, more than most_gone allows");
 }
 
 // Must not fail, so that a configuration is never applied in part.
@@ -128,7 +128,7 @@
         config_.routing.inventory_poll_interval != old_config.routing.inventory_poll_interval)
         watch_inventory();
     if (has_new_settings || has_new_servers)
-        base::log_info("inventory: {} servers in force, version {}: {}", servers_.size(),
+        base::log_info("inventory: applied servers={} version={} changes=\"{}\"", servers_.size(),
                        executor_.hosts().inventory_version(),
                        reload.inventory_diff.summary(max_logged_servers));
 }
--- a/tests/cressledge/frontend_descriptor_test.cpp
+++ b/tests/cressledge/frontend_descriptor_test.cpp
@@ -13,7 +13,8 @@
     // Two connections and one in between.
     fixture.config.max_descriptors = net::count_open_descriptors() + 2 + 2 + 2 + 32 + 3;
     fixture.start();
-    CHECK(take_log().find("room for 2 of 128 connections") != std::string::npos);
+    CHECK(take_log().find("admission: connection limit reduced max_connections=2 configured=128 ") !=
+          std::string::npos);
     auto& descriptors = fixture.gateway->descriptors();
     std::vector<connection_admission::FileDescriptorBudget::Lease> others;
     while (auto lease =
@@ -62,7 +63,7 @@
     CHECK(take_log().find("admission: file descriptors exhausted in the system") != std::string::npos);
     faults.fail(Call::open, EMFILE, 1);
     fixture.gateway->reload();
-    CHECK(take_log().find("inventory: the old one stays in force") != std::string::npos);
+    CHECK(take_log().find("inventory: reload rejected error=") != std::string::npos);
     BoundClient client("127.0.0.9", fixture.gateway->scgi_port());
     client.unsent = scgi_request("trail-sheet", "body-1.");
     fixture.run_until_closed(client);
--- a/tests/cressledge/gateway_reload_test.cpp
+++ b/tests/cressledge/gateway_reload_test.cpp
@@ -32,11 +32,10 @@
     take_log();
     write_config("n2", "");
     fixture.gateway->reload();
-    CHECK(take_log().find("gossip and advertise of the fleet change with a restart only") !=
-          std::string::npos);
+    CHECK(take_log().find("fleet: name, id, gossip and advertise require a restart") != std::string::npos);
     write_config("n1", ", probe_ms: 50, seeds: [\"127.0.0.1:9\"]");
     fixture.gateway->reload();
-    CHECK(take_log().find("stays in force") == std::string::npos);
+    CHECK(take_log().find("reload rejected") == std::string::npos);
     const std::string figures = get("/v1/metrics");
     CHECK(figures.find("node.config_applied=1\n") != std::string::npos);
     CHECK(figures.find("node.config_rejected=1\n") != std::string::npos);
@@ -68,7 +67,8 @@
           std::string::npos);
     write_config("8", "admission: {open: 2}\n");
     fixture.gateway->reload();
-    CHECK(take_log().find("with a restart only") != std::string::npos);
+    CHECK(take_log().find("settings other than inventory, group, connections, admission, routing and fleet "
+                          "require a restart") != std::string::npos);
     CHECK(limiter.settings().unlisted_source_limits.max_connections == 0);
     write_config(
         "6", "admission: {open: 2, groups: [{name: g, networks: [127.0.0.8], reserve: {connections: 3}}]}\n");
--- a/tests/cressledge/upstream_executor_test.cpp
+++ b/tests/cressledge/upstream_executor_test.cpp
@@ -128,7 +128,7 @@
     CHECK(counters.retry_budget_exhausted + counters.retries > 0);
     CHECK(counters.attempts <= counters.requests * 11 / 10 + 6);
     fixture.gateway->log_report();
-    CHECK(take_log().find("on kept connections") != std::string::npos);
+    CHECK(take_log().find(" reused_connections=") != std::string::npos);
 }
 
 TEST_CASE(
--- a/tests/cressledge/upstream_gateway_test.cpp
+++ b/tests/cressledge/upstream_gateway_test.cpp
@@ -46,7 +46,7 @@
     CHECK(fixture.gateway->executor().candidate_count() == 4);
     write_config("policy: probe-first, probing: {per_call: 4, patience_ms: 200}, probes: false, watch_ms: 0");
     fixture.gateway->reload();
-    CHECK(take_log().find("stays in force") == std::string::npos);
+    CHECK(take_log().find("reload rejected") == std::string::npos);
     const std::size_t before = fixture.hosts[1]->requests_by_body.size();
     for (int i = 0; i < 20; ++i)
         CHECK(fixture.post("trail-sheet", "b" + std::to_string(i) + '.') == "200");
@@ -97,7 +97,7 @@
             case 4:
                 text = "name,address,protocol,group,data_centre,weight\n" + fixture.inventory_row(0) +
                        fixture.inventory_row(1);
-                expected_errors = {"4 of 6 servers gone"};
+                expected_errors = {"4 of 6 servers removed"};
                 break;
             case 5:
                 text = "";
@@ -117,8 +117,8 @@
             INFO(i << ' ' << error << "\n" << log);
             CHECK(log.find(error) != std::string::npos);
         }
-        rejected_files += log.find("the old one stays in force") != std::string::npos ? 1 : 0;
-        CHECK(expected_errors.empty() == (log.find("servers in force, version") != std::string::npos));
+        rejected_files += log.find("inventory: reload rejected error=") != std::string::npos ? 1 : 0;
+        CHECK(expected_errors.empty() == (log.find("inventory: applied servers=") != std::string::npos));
         fixture.loop.loop.run_once(false);
     }
     CHECK(rejected_files == 76);
@@ -143,7 +143,8 @@
                                    fixture.config.inventory_path.c_str()) == 0;
         return fixture.gateway->executor().hosts().listed_hosts().size() == 2;
     });
-    CHECK(take_log().find("2 servers in force, version 2: +1 (tiles-1)") != std::string::npos);
+    CHECK(take_log().find("inventory: applied servers=2 version=2 changes=\"+1 (tiles-1)") !=
+          std::string::npos);
 }
 
 }  // namespace
