--- a/tests/cressledge/gateway_fixture.hpp
+++ b/tests/cressledge/gateway_fixture.hpp
@@ -1,4 +1,4 @@
-/// A gateway before one fake upstream host, and clients with source addresses of their own, all on loopback.
+// A gateway in front of one scripted upstream host, and clients with chosen source addresses, all on loopback.
 #pragma once
 
 #include <arpa/inet.h>
@@ -17,9 +17,9 @@
 namespace cressledge::testing {
 
 inline std::string scgi_request(const std::string& class_name, const std::string& body) {
-    std::string head = binary_literal("CONTENT_LENGTH\0") + std::to_string(body.size()) + '\0';
-    head += binary_literal("SCGI\0\x31\0REQUEST_METHOD\0POST\0REQUEST_URI\0/v1/") + class_name + '\0';
-    return std::to_string(head.size()) + ':' + head + ',' + body;
+    std::string headers = binary_literal("CONTENT_LENGTH\0") + std::to_string(body.size()) + '\0';
+    headers += binary_literal("SCGI\0\x31\0REQUEST_METHOD\0POST\0REQUEST_URI\0/v1/") + class_name + '\0';
+    return std::to_string(headers.size()) + ':' + headers + ',' + body;
 }
 
 inline std::string http_request(const std::string& class_name, const std::string& body) {
@@ -27,7 +27,7 @@
            "\r\n\r\n" + body;
 }
 
-/// An SCGI host that answers each call at once and counts what it ran. Bodies have the form `body-NUMBER.`.
+/// An SCGI host that responds to each call at once and counts the calls. Bodies have the form `body-NUMBER.`.
 struct EchoUpstream {
     struct Connection final : net::Stream::Owner {
         EchoUpstream& owner;
@@ -52,7 +52,7 @@
     };
 
     std::vector<std::unique_ptr<Connection>> connections;
-    /// Runs by the number in the body, with its full stop.
+    /// Number of calls, by the text `NUMBER.` of the body.
     std::map<std::string, int> run_counts;
     net::Listener listener;
 
@@ -65,7 +65,7 @@
     }
 };
 
-/// A client bound to a source address, which sends at the pace of its test.
+/// A client that is bound to a source address. The test decides how many bytes it sends at a time.
 class BoundClient {
 public:
     BoundClient(const std::string& source_address, int port) : source_address_(source_address) {
@@ -73,7 +73,7 @@
         REQUIRE(fd_ >= 0);
         sockaddr_in address{};
         address.sin_family = AF_INET;
-        // The port is chosen with the connection, so that there are enough for thousands.
+        // connect() chooses the port, so that there are enough ports for thousands of clients.
         constexpr int ip_bind_address_no_port = 24;
         const int on = 1;
         ::setsockopt(fd_, IPPROTO_IP, ip_bind_address_no_port, &on, sizeof on);
@@ -100,16 +100,17 @@
     }
     ~BoundClient() { hang_up(false); }
 
-    /// Closes the connection, with a reset where `reset`.
+    /// Closes the connection, with a reset if `reset` is set.
     void hang_up(bool reset) {
         if (fd_ < 0)
             return;
-        const linger at_once{1, 0};
+        const linger reset_on_close{1, 0};
         if (reset)
-            ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+            ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
         ::close(std::exchange(fd_, -1));
     }
-    /// Sends up to `max_bytes` of `unsent`, reads what has come, and notes whether the peer has ended the connection.
+    /// Sends up to `max_bytes` of `unsent`, reads the available bytes, and clears `is_open` if the peer has closed the
+    /// connection.
     void step(std::size_t max_bytes) {
         pollfd events{fd_, POLLIN | POLLOUT, 0};
         if (!is_open || ::poll(&events, 1, 0) <= 0)
@@ -129,7 +130,7 @@
                 is_open = false;
         }
     }
-    /// The status of the one response. 0: there is none; -1: there are more than one.
+    /// The status of the response; 0 if there is none, -1 if there is more than one.
     int status() const {
         const std::size_t first = std::min(received.find("Status: "), received.find("HTTP/1.1 "));
         if (first == std::string::npos)
@@ -149,7 +150,7 @@
     int fd_ = -1;
 };
 
-/// A gateway with its configuration, started by the test once that is complete.
+/// A gateway and its configuration. The test may change `config` before it calls start().
 struct GatewayFixture {
     TestLoop test_loop;
     TemporaryDirectory directory;
@@ -172,14 +173,14 @@
         gateway = std::make_unique<upstream::UpstreamGateway>(test_loop.loop, test_loop.timers,
                                                               test_loop.loop, config, 7);
     }
-    /// A client group with a reserve of 8 connections and requests. Before start().
+    /// Adds a client group with 8 reserved connections and 8 reserved requests. Must be called before start().
     void add_listed_group(const std::string& network) {
         connection_admission::NetworkError error;
         config.admission.groups.push_back({"front-ends", {}, 8, 8});
         config.admission.networks.add(*connection_admission::parse_network(network, error), 1, error);
     }
     connection_admission::ConnectionLimiter& limiter() { return gateway->connection_admitter().limiter(); }
-    /// Lets the client send and the gateway run until the client's connection is closed.
+    /// Runs the client and the gateway until the client's connection is closed.
     void run_until_closed(BoundClient& client) {
         test_loop.run_until([&] { return client.step(1'000), !client.is_open; }, false);
     }
--- a/tests/cressledge/gateway_reload_test.cpp
+++ b/tests/cressledge/gateway_reload_test.cpp
@@ -1,4 +1,4 @@
-// Reloads of the operator's file: what is taken, what is rejected, and what stays as it is.
+// Reloads of the configuration file: which settings are applied, and which reloads are rejected as a whole.
 #include "gateway_fixture.hpp"
 
 namespace {
@@ -6,7 +6,7 @@
 using namespace cressledge::testing;
 
 TEST_CASE(
-    "gateway: a reload takes the fleet's settings and seeds, but no other member id; the admin address shows "
+    "gateway: a reload applies fleet settings and seeds but no other member id; the admin server shows "
     "both") {
     GatewayFixture fixture;
     const auto write_config = [&](const std::string& id, const std::string& extra) {
@@ -36,15 +36,16 @@
     write_config("n1", ", probe_ms: 50, seeds: [\"127.0.0.1:9\"]");
     fixture.gateway->reload();
     CHECK(take_log().find("reload rejected") == std::string::npos);
-    const std::string figures = get("/v1/metrics");
-    CHECK(figures.find("node.config_applied=1\n") != std::string::npos);
-    CHECK(figures.find("node.config_rejected=1\n") != std::string::npos);
-    // The new seed is tried, and cannot be reached.
+    const std::string metrics = get("/v1/metrics");
+    CHECK(metrics.find("node.config_applied=1\n") != std::string::npos);
+    CHECK(metrics.find("node.config_rejected=1\n") != std::string::npos);
+    // The gateway contacts the new seed, which is unreachable.
     fixture.test_loop.run_until(
         [&] { return get("/v1/metrics").find("fleet.exchanges_failed=0\n") == std::string::npos; });
 }
 
-TEST_CASE("gateway: a reload takes admission and inventory whole or not at all, and closes no connection") {
+TEST_CASE(
+    "gateway: a reload applies admission and inventory together or not at all, and closes no connection") {
     GatewayFixture fixture;
     const auto write_config = [&](const std::string& cores, const std::string& extra) {
         return fixture.directory.write_file(
@@ -75,9 +76,9 @@
     fixture.gateway->reload();
     CHECK(limiter.settings().unlisted_source_limits.max_connections == 2);
     CHECK(limiter.open_connections() == 4);
-    BoundClient fifth("127.0.0.9", fixture.gateway->http_port());
+    BoundClient fifth_client("127.0.0.9", fixture.gateway->http_port());
     fixture.test_loop.run_until([&] { return limiter.rejection_slots_in_use() == 1; }, false);
-    // Over the new limit, and served all the same.
+    // A connection beyond the new limit is still served.
     clients.front().unsent = http_request("trail-sheet", "body-1.");
     fixture.test_loop.run_until([&] { return clients.front().step(1'000), clients.front().status() == 200; },
                                 false);
--- a/tests/cressledge/upstream_executor_test.cpp
+++ b/tests/cressledge/upstream_executor_test.cpp
@@ -1,4 +1,4 @@
-// Calls to upstream hosts on sockets: retries, hedging, load reports and affinity against hosts that misbehave.
+// UpstreamExecutor against scripted hosts on loopback sockets: retries, hedged requests, load reports and affinity.
 #include <map>
 #include <memory>
 #include <random>
@@ -13,21 +13,23 @@
 using namespace cressledge::testing;
 using namespace cressledge::load_balancing;
 
-/// The program's own controller would reject requests while the hosts fail.
+/// Runs every request. The default admission controller would reject requests while the hosts fail.
 struct RunEverythingController final : cressledge::policy::AdmissionController {
     void handle(Timestamp, const cressledge::policy::Event& event,
                 std::vector<cressledge::policy::Action>& actions) override {
-        if (const auto* r = std::get_if<cressledge::policy::RequestArrived>(&event))
-            actions.push_back(cressledge::policy::Run{r->id});
+        if (const auto* arrival = std::get_if<cressledge::policy::RequestArrived>(&event))
+            actions.push_back(cressledge::policy::Run{arrival->id});
     }
 };
 struct RecordingResponder final : request::Responder, request::ConnectionSettingsSink {
     std::vector<request::ResponseStatus> statuses;
-    void respond(std::uint64_t, const request::Response& a) override { statuses.push_back(a.status); }
+    void respond(std::uint64_t, const request::Response& response) override {
+        statuses.push_back(response.status);
+    }
     void set_idle_timeout(Duration) override {}
 };
 
-TEST_CASE("UpstreamExecutor: of 10,000 unsafe calls reset at every point of the exchange none runs twice") {
+TEST_CASE("UpstreamExecutor: none of 10,000 unsafe calls runs twice if connections are reset at any point") {
     TestLoop loop;
     std::vector<std::unique_ptr<ScriptedHost>> hosts;
     std::vector<config::Upstream> servers;
@@ -53,18 +55,20 @@
     manager.attach(executor, records, responder);
     manager.start(wall_clock_now());
     std::mt19937 random(9);
-    static const ScriptedReply replies[] = {
-        {ReplyKind::complete, 200, ""},        {ReplyKind::reset_at_once, 0, ""},
-        {ReplyKind::reset_in_request, 0, ""},  {ReplyKind::reset_after_request, 0, ""},
-        {ReplyKind::reset_in_answer, 200, ""}, {ReplyKind::status, 503, "Retry-After: 0\r\n"},
-        {ReplyKind::status, 500, ""}};
+    static const ScriptedReply replies[] = {{ReplyKind::complete, 200, ""},
+                                            {ReplyKind::reset_on_accept, 0, ""},
+                                            {ReplyKind::reset_during_request, 0, ""},
+                                            {ReplyKind::reset_after_request, 0, ""},
+                                            {ReplyKind::reset_during_response, 200, ""},
+                                            {ReplyKind::status, 503, "Retry-After: 0\r\n"},
+                                            {ReplyKind::status, 500, ""}};
     int repeated_requests = 0;
     for (int i = 0; i < 10'000; ++i) {
         const ScriptedReply reply = replies[random() % 7];
         for (auto& host : hosts)
             host->next_reply = reply;
         if (i % 100 == 50)
-            hosts[0]->listener->close();  // connections are refused: the next host is called
+            hosts[0]->listener->close();  // refused connections: the next host is called
         if (i % 100 == 60)
             hosts[0]->listen(loop);
         request::IncomingRequest request;
@@ -84,16 +88,16 @@
     std::uint64_t connections = 0;
     for (const auto& host : hosts) {
         connections += static_cast<std::uint64_t>(host->accepted_connections);
-        for (const auto& [body, n] : host->requests_by_body) {
-            requests_by_body[body] += n;
-            repeated_requests += n > 1 ? 1 : 0;
+        for (const auto& [body, count] : host->requests_by_body) {
+            requests_by_body[body] += count;
+            repeated_requests += count > 1 ? 1 : 0;
         }
     }
-    for (const auto& [body, n] : requests_by_body)
-        REQUIRE(n == 1);
+    for (const auto& [body, count] : requests_by_body)
+        REQUIRE(count == 1);
     CHECK(repeated_requests == 0);
     CHECK(requests_by_body.size() > 6'000);
-    // One for each call, and never a second once one was established.
+    // Each call establishes exactly one connection.
     CHECK(connections == 10'000);
     CHECK(executor.counters().attempts >= 10'000);
     CHECK(executor.counters().retries == 0);
@@ -101,10 +105,11 @@
 }
 
 TEST_CASE(
-    "UpstreamExecutor: safe calls are retried on other hosts within the budget, on pooled connections") {
+    "UpstreamExecutor: safe calls are retried on other hosts within the retry budget, on pooled "
+    "connections") {
     UpstreamFixture fixture(3);
     fixture.start();
-    fixture.hosts[1]->next_reply = {ReplyKind::reset_in_answer, 200, ""};
+    fixture.hosts[1]->next_reply = {ReplyKind::reset_during_response, 200, ""};
     fixture.hosts[2]->next_reply = {ReplyKind::status, 500, ""};
     for (int i = 0; i < 40; ++i)
         fixture.post("route-profile", std::to_string(i) + '.');
@@ -113,14 +118,14 @@
     CHECK(counters.retries <= 40 * 0.1 + 5);
     CHECK(counters.attempts == counters.requests + counters.retries);
     CHECK(fixture.hosts[0]->reused_connections > 5);
-    // The host closes its idle connections: the next call finds that out, and is made on a new one.
+    // The hosts close their idle connections: the next call finds its connection stale and is sent on a new one.
     for (auto& host : fixture.hosts) {
         host->next_reply = {};
         for (auto& connection : host->connections)
             connection->hang_up();
     }
     CHECK(fixture.post("route-profile", "stale.") == "200");
-    // With the budget exhausted, failures are answered at once.
+    // Once the retry budget is exhausted, failed calls are answered without a retry.
     for (auto& host : fixture.hosts)
         host->next_reply = {ReplyKind::status, 500, ""};
     for (int i = 0; i < 60; ++i)
@@ -132,9 +137,10 @@
 }
 
 TEST_CASE(
-    "UpstreamExecutor: Retry-After keeps calls away, and a host that hangs costs part of a request's time") {
+    "UpstreamExecutor: Retry-After deprioritizes a host, and an unresponsive host uses only part of a "
+    "deadline") {
     UpstreamFixture fixture(2);
-    // Of route-profile: an attempt gets half of it.
+    // Class 1 is route-profile; an attempt gets half of the deadline.
     fixture.config.policy_settings.classes[1].answer_deadline = Duration(800'000);
     fixture.config.policy_settings.classes[1].latency_objective = Duration(700'000);
     fixture.start();
@@ -142,31 +148,31 @@
     for (int i = 0; i < 30; ++i)
         CHECK(fixture.post("route-profile", std::to_string(i) + '.') == "200");
     CHECK(fixture.hosts[0]->requests_by_body.size() <= 1);
-    UpstreamFixture hanging(2);
-    hanging.config.policy_settings.classes[1] = fixture.config.policy_settings.classes[1];
-    hanging.start();
-    hanging.hosts[0]->next_reply = {ReplyKind::none, 0, ""};
+    UpstreamFixture unresponsive(2);
+    unresponsive.config.policy_settings.classes[1] = fixture.config.policy_settings.classes[1];
+    unresponsive.start();
+    unresponsive.hosts[0]->next_reply = {ReplyKind::no_response, 0, ""};
     for (int i = 0; i < 6; ++i)
-        CHECK(hanging.post("route-profile", std::to_string(i) + '.') == "200");
+        CHECK(unresponsive.post("route-profile", std::to_string(i) + '.') == "200");
 }
 
 TEST_CASE(
-    "UpstreamExecutor: probe-pool sends calls to idle hosts; malformed reports and failures draw none") {
+    "UpstreamExecutor: probe-pool prefers idle hosts, but not after malformed load reports or failures") {
     UpstreamFixture fixture(4);
     fixture.config.routing.policy = BalancingPolicy::probe_pool;
     for (auto& host : fixture.hosts)
         host->load_report = "TEXT named_metrics.in_flight=6, named_metrics.capacity=8";
     fixture.hosts[2]->load_report = "TEXT named_metrics.in_flight=0, named_metrics.capacity=8";
     fixture.start();
-    int sent = 0;
-    const auto count_served = [&](int calls) {
+    int sent_calls = 0;
+    const auto count_calls_to_host_2 = [&](int calls) {
         const int before = static_cast<int>(fixture.hosts[2]->requests_by_body.size());
         for (int i = 0; i < calls; ++i)
-            fixture.post("trail-sheet", "b" + std::to_string(++sent) + '.');
+            fixture.post("trail-sheet", "b" + std::to_string(++sent_calls) + '.');
         return static_cast<int>(fixture.hosts[2]->requests_by_body.size()) - before;
     };
-    count_served(10);  // until some reports have come
-    CHECK(count_served(60) >= 40);
+    count_calls_to_host_2(10);  // until load reports have been received
+    CHECK(count_calls_to_host_2(60) >= 40);
     CHECK(fixture.gateway->executor().counters().load_probes >= 100);
     CHECK(fixture.gateway->executor().counters().load_reports >= 100);
     int probes = 0;
@@ -178,17 +184,17 @@
     CHECK(probes >= 100);
     CHECK(connections <= 40);  // probes and calls share idle connections
     fixture.hosts[2]->load_report = "TEXT named_metrics.in_flight=-5, named_metrics.capacity=0";
-    count_served(10);
+    count_calls_to_host_2(10);
     CHECK(fixture.gateway->executor().counters().malformed_load_reports > 0);
-    CHECK(count_served(60) <= 30);
+    CHECK(count_calls_to_host_2(60) <= 30);
     fixture.hosts[2]->load_report = "TEXT named_metrics.in_flight=0, named_metrics.capacity=8";
     fixture.hosts[2]->next_reply = {ReplyKind::status, 500, ""};
-    count_served(20);
-    CHECK(count_served(60) <= 10);
+    count_calls_to_host_2(20);
+    CHECK(count_calls_to_host_2(60) <= 10);
 }
 
 TEST_CASE(
-    "UpstreamExecutor: probe-first sends calls to the least loaded host, and waits for none that hangs") {
+    "UpstreamExecutor: probe-first calls the least loaded host and does not wait for an unresponsive one") {
     UpstreamFixture fixture(5);
     fixture.config.routing.policy = BalancingPolicy::probe_first;
     fixture.config.routing.probing.probes_per_call = 4.0;
@@ -200,10 +206,10 @@
     fixture.start();
     for (int i = 0; i < 40; ++i)
         CHECK(fixture.post(i % 4 == 0 ? "map-order" : "trail-sheet", "b" + std::to_string(i) + '.') == "200");
-    CHECK(fixture.hosts[2]->requests_by_body.size() >= 25);  // whenever it was among the hosts probed
+    CHECK(fixture.hosts[2]->requests_by_body.size() >= 25);  // whenever host 2 was among the probed hosts
     CHECK(fixture.hosts[4]->requests_by_body.size() <= 2);
     CHECK(fixture.request_count() == 40);
-    // Without load reports the calls are made all the same, by two choices.
+    // Without load reports, the host is picked by two choices.
     for (auto& host : fixture.hosts)
         host->load_report.clear();
     fixture.hosts[4]->ignores_probes = false;
@@ -212,41 +218,41 @@
     CHECK(fixture.request_count() == 60);
 }
 
-TEST_CASE("UpstreamExecutor: requests of one key go to one host where affinity is on") {
+TEST_CASE("UpstreamExecutor: requests with the same lookup key go to one host if affinity is enabled") {
     UpstreamFixture fixture(4);
     fixture.config.routing.key_affinity_enabled = true;
     fixture.start();
     for (int key = 0; key < 8; ++key) {
         std::size_t before[4];
         std::size_t hosts_called = 0;
-        for (std::size_t h = 0; h < 4; ++h)
-            before[h] = fixture.hosts[h]->requests_by_body.size();
+        for (std::size_t host_index = 0; host_index < 4; ++host_index)
+            before[host_index] = fixture.hosts[host_index]->requests_by_body.size();
         for (int i = 0; i < 5; ++i)
             CHECK(fixture.post("route-profile", std::to_string(key * 10 + i) + '.',
                                "Lookup-Key: 000000000000000" + std::to_string(key) + "\r\n") == "200");
-        for (std::size_t h = 0; h < 4; ++h)
-            hosts_called += fixture.hosts[h]->requests_by_body.size() != before[h] ? 1 : 0;
+        for (std::size_t host_index = 0; host_index < 4; ++host_index)
+            hosts_called += fixture.hosts[host_index]->requests_by_body.size() != before[host_index] ? 1 : 0;
         CHECK(hosts_called == 1);
     }
 }
 
-TEST_CASE("UpstreamExecutor: only safe calls are hedged, within the budget") {
+TEST_CASE("UpstreamExecutor: only safe calls are hedged, within the retry budget") {
     UpstreamFixture fixture(2);
     fixture.config.routing.hedging_enabled = true;
     fixture.start();
     for (int i = 0; i < 80; ++i)
         CHECK(fixture.post("route-profile", std::to_string(i) + '.') == "200");
-    ScriptedHost& busy =
+    ScriptedHost& preferred_host =
         *fixture.hosts[fixture.hosts[0]->requests_by_body.size() > fixture.hosts[1]->requests_by_body.size()
                            ? 0
                            : 1];
-    busy.next_reply = {ReplyKind::none, 0, ""};
+    preferred_host.next_reply = {ReplyKind::no_response, 0, ""};
     for (int i = 0; i < 6; ++i)
         CHECK(fixture.post("route-profile", "h" + std::to_string(i) + '.') == "200");
     const auto hedges = fixture.gateway->executor().counters().hedges;
     CHECK(hedges > 0);
     CHECK(hedges <= 13);
-    busy.next_reply = {};
+    preferred_host.next_reply = {};
     fixture.post("map-order", "one.");
     CHECK(fixture.hosts[0]->requests_by_body["one."] + fixture.hosts[1]->requests_by_body["one."] == 1);
 }
--- a/tests/cressledge/upstream_fixture.hpp
+++ b/tests/cressledge/upstream_fixture.hpp
@@ -1,4 +1,4 @@
-// Hosts on loopback that answer as scripted, and a gateway in front of them.
+// Scripted HTTP hosts on loopback, and a gateway in front of them.
 #pragma once
 
 #include <map>
@@ -13,26 +13,27 @@
 
 namespace cressledge::testing {
 
+/// How a host replies to a call, or at which point it closes the connection.
 enum class ReplyKind {
     complete,
-    reset_at_once,
-    reset_in_request,
+    reset_on_accept,
+    reset_during_request,
     reset_after_request,
-    reset_in_answer,
-    /// Complete, with the status given.
+    reset_during_response,
+    /// A complete response with the given status.
     status,
-    /// The request is read and never answered.
-    none,
+    /// The request is read, but there is no response.
+    no_response,
 };
 
-/// What a host does with a call.
+/// The reply of a host to a call.
 struct ScriptedReply {
     ReplyKind kind = ReplyKind::complete;
     int status = 200;
     std::string extra_headers;
 };
 
-/// An HTTP host. A request ends with a full stop; its body names it.
+/// An HTTP host. The body of a request identifies it, and ends with a full stop, by which the host detects its end.
 struct ScriptedHost {
     struct Connection final : net::Stream::Owner {
         ScriptedHost& host;
@@ -48,37 +49,37 @@
         }
         void on_bytes(std::string_view bytes) override {
             received.append(bytes);
-            if (host.next_reply.kind == ReplyKind::reset_in_request && received.size() > 20)
+            if (host.next_reply.kind == ReplyKind::reset_during_request && received.size() > 20)
                 return hang_up();
             const std::size_t header_end = received.find("\r\n\r\n");
             if (header_end == std::string::npos)
                 return;
             if (received.rfind("GET /healthz ", 0) == 0)
-                return answer_probe();
+                return respond_to_probe();
             if (received.back() == '.')
-                answer_request(header_end);
+                respond_to_request(header_end);
         }
-        void answer_probe() {
+        void respond_to_probe() {
             received.clear();
             ++host.probes;
             if (!host.ignores_probes)
                 stream->write("HTTP/1.1 200 x\r\n" + load_header() + "Content-Length: 2\r\n\r\nok");
         }
-        void answer_request(std::size_t header_end) {
+        void respond_to_request(std::size_t header_end) {
             const ScriptedReply reply = host.next_reply;
             ++host.requests_by_body[received.substr(header_end + 4)];
             received.clear();
             host.reused_connections += requests++ > 0 ? 1 : 0;
             if (reply.kind == ReplyKind::reset_after_request)
                 return hang_up();
-            if (reply.kind == ReplyKind::none)
+            if (reply.kind == ReplyKind::no_response)
                 return;
-            std::string answer = "HTTP/1.1 " + std::to_string(reply.status) + " x\r\n" + reply.extra_headers +
-                                 load_header() + "Content-Length: 2\r\n\r\nok";
-            if (reply.kind == ReplyKind::reset_in_answer)
-                answer.resize(answer.size() / 2);
-            stream->write(answer);
-            if (reply.kind == ReplyKind::reset_in_answer)
+            std::string response = "HTTP/1.1 " + std::to_string(reply.status) + " x\r\n" +
+                                   reply.extra_headers + load_header() + "Content-Length: 2\r\n\r\nok";
+            if (reply.kind == ReplyKind::reset_during_response)
+                response.resize(response.size() / 2);
+            stream->write(response);
+            if (reply.kind == ReplyKind::reset_during_response)
                 hang_up();
         }
         std::string load_header() const {
@@ -88,9 +89,9 @@
     };
 
     ScriptedReply next_reply;
-    /// Complete requests, by body.
+    /// Number of complete requests, by body.
     std::map<std::string, int> requests_by_body;
-    /// Sent with every answer; empty: none.
+    /// Load report in every response; empty: none.
     std::string load_report;
     int accepted_connections = 0;
     int reused_connections = 0;
@@ -113,13 +114,13 @@
         if (connection->stream == nullptr)
             return;
         ++accepted_connections;
-        if (next_reply.kind == ReplyKind::reset_at_once)
+        if (next_reply.kind == ReplyKind::reset_on_accept)
             return connection->hang_up();
         connections.push_back(std::move(connection));
     }
 };
 
-/// A gateway over so many scripted hosts; `config` may be changed before `start`.
+/// A gateway with `host_count` scripted hosts. `config` may be changed before start().
 struct UpstreamFixture {
     TestLoop loop;
     TemporaryDirectory directory;
@@ -154,7 +155,7 @@
     void start() {
         gateway = std::make_unique<upstream::UpstreamGateway>(loop.loop, loop.timers, loop.loop, config, 7);
     }
-    /// Sends a request and waits for its answer; returns the status.
+    /// Sends a request, waits for the response and returns its status.
     std::string post(const std::string& request_class, const std::string& body,
                      const std::string& extra_headers = "") {
         if (!client || client->is_closed)
@@ -165,7 +166,7 @@
         loop.run_until([&] { return client->has_received("\r\n\r\n") || client->is_closed; });
         return client->received.substr(9, 3);
     }
-    /// Complete requests that the hosts have read.
+    /// The number of complete requests that the hosts have read.
     int request_count() const {
         int total = 0;
         for (const auto& host : hosts)
--- a/tests/cressledge/upstream_gateway_test.cpp
+++ b/tests/cressledge/upstream_gateway_test.cpp
@@ -1,4 +1,4 @@
-// Reloads of inventory and settings while calls are in flight.
+// Reloads of the inventory and of routing settings while calls are in flight.
 #include <algorithm>
 #include <cstdio>
 #include <memory>
@@ -13,7 +13,7 @@
 
 using namespace cressledge::testing;
 
-TEST_CASE("UpstreamGateway: a reload takes routing settings whole or not at all, with calls in flight") {
+TEST_CASE("UpstreamGateway: a reload applies all routing settings or none, with calls in flight") {
     UpstreamFixture fixture(4);
     const auto write_config = [&](const std::string& routing) {
         return fixture.directory.write_file(
@@ -31,11 +31,11 @@
     for (int i = 0; i < 10; ++i)
         CHECK(fixture.post("trail-sheet", "a" + std::to_string(i) + '.') == "200");
     CHECK(fixture.gateway->executor().counters().load_probes == 0);
-    const auto open = connect_peer(fixture.loop, fixture.gateway->http_port());
+    const auto pending_client = connect_peer(fixture.loop, fixture.gateway->http_port());
     for (auto& host : fixture.hosts)
-        host->next_reply = {ReplyKind::none, 200, ""};
-    open->send("POST /v1/trail-sheet HTTP/1.1\r\nContent-Length: 3\r\n\r\nold");
-    open->send(".");
+        host->next_reply = {ReplyKind::no_response, 200, ""};
+    pending_client->send("POST /v1/trail-sheet HTTP/1.1\r\nContent-Length: 3\r\n\r\nold");
+    pending_client->send(".");
     fixture.loop.run_until([&] { return fixture.gateway->request_manager().unanswered_count() == 1; });
     for (auto& host : fixture.hosts)
         host->next_reply = {};
@@ -47,10 +47,10 @@
     write_config("policy: probe-first, probing: {per_call: 4, patience_ms: 200}, probes: false, watch_ms: 0");
     fixture.gateway->reload();
     CHECK(take_log().find("reload rejected") == std::string::npos);
-    const std::size_t before = fixture.hosts[1]->requests_by_body.size();
+    const std::size_t calls_before = fixture.hosts[1]->requests_by_body.size();
     for (int i = 0; i < 20; ++i)
         CHECK(fixture.post("trail-sheet", "b" + std::to_string(i) + '.') == "200");
-    CHECK(fixture.hosts[1]->requests_by_body.size() - before >= 15);  // the idle host
+    CHECK(fixture.hosts[1]->requests_by_body.size() - calls_before >= 15);  // the idle host
     CHECK(fixture.gateway->request_manager().unanswered_count() == 1);
     write_config("policy: round-robin, probes: false, watch_ms: 0, subset: 2, node: n1");
     fixture.gateway->reload();
@@ -61,17 +61,18 @@
     CHECK(fixture.gateway->executor().counters().load_probes == probes);
 }
 
-TEST_CASE("UpstreamGateway: 100 edited inventories under load lose no request, and each bad line is logged") {
+TEST_CASE(
+    "UpstreamGateway: 100 inventory reloads under load lose no request, and each invalid row is logged") {
     UpstreamFixture fixture(6);
     fixture.start();
     std::mt19937 random(4);
     std::vector<std::unique_ptr<StreamPeer>> clients;
-    int sent = 0;
+    int sent_requests = 0;
     int rejected_files = 0;
     for (int i = 0; i < 100; ++i) {
-        for (int k = 0; k < 4; ++k, ++sent) {  // in flight while the file changes
+        for (int k = 0; k < 4; ++k, ++sent_requests) {  // in flight during the reload
             clients.push_back(connect_peer(fixture.loop, fixture.gateway->http_port()));
-            const std::string body = std::to_string(sent) + '.';
+            const std::string body = std::to_string(sent_requests) + '.';
             clients.back()->send("POST /v1/route-profile HTTP/1.1\r\nContent-Length: " +
                                  std::to_string(body.size()) + "\r\n\r\n" + body);
         }
@@ -87,7 +88,7 @@
                 expected_errors = {"s.csv:8: protocol: ", "s.csv:9: address: ", "s.csv:10: weight: "};
                 break;
             case 2:
-                text.resize(text.size() / 2);  // halfway through a row
+                text.resize(text.size() / 2);  // truncated within a row
                 expected_errors = {"s.csv:"};
                 break;
             case 3:
@@ -105,7 +106,7 @@
                 break;
             case 6:
                 text = text.substr(0, text.size() - fixture.inventory_row(5).size());
-                break;  // one host leaves, and returns later
+                break;  // one host is removed, and added again later
             default:
                 break;
         }
@@ -124,20 +125,20 @@
     CHECK(rejected_files == 76);
     fixture.loop.run_until([&] {
         return std::all_of(clients.begin(), clients.end(),
-                           [](const auto& c) { return c->has_received("\r\n\r\nok"); });
+                           [](const auto& client) { return client->has_received("\r\n\r\nok"); });
     });
-    CHECK(fixture.gateway->request_manager().counts().served == static_cast<std::uint64_t>(sent));
-    CHECK(fixture.request_count() == sent);
+    CHECK(fixture.gateway->request_manager().counts().served == static_cast<std::uint64_t>(sent_requests));
+    CHECK(fixture.request_count() == sent_requests);
 }
 
-TEST_CASE("UpstreamGateway: a replaced inventory file is picked up without a signal") {
+TEST_CASE("UpstreamGateway: a replaced inventory file is reloaded without a signal") {
     UpstreamFixture fixture(2);
     fixture.config.routing.inventory_poll_interval = ms(20);
     fixture.write_inventory("name,address,protocol,group,data_centre,weight\n" + fixture.inventory_row(0));
     fixture.start();
     fixture.directory.write_file("next", fixture.inventory_text());
     bool replaced = false;
-    fixture.loop.run_until([&] {  // once the file has been read for the first time
+    fixture.loop.run_until([&] {  // replaces the file after its first read
         if (!replaced)
             replaced = std::rename((fixture.directory.path + "/next").c_str(),
                                    fixture.config.inventory_path.c_str()) == 0;
