--- a/src/upstream/attempt.hpp
+++ b/src/upstream/attempt.hpp
@@ -99,7 +99,7 @@
     base::TimerHandle deadline_timer_;
     Progress progress_ = Progress::not_sent;
     bool connection_reused_ = false;
-    /// Whether the host closed the connection in order (end of stream), as opposed to a reset.
+    /// Whether the host ended the connection with an end of stream, as opposed to a reset.
     bool closed_by_host_ = false;
     bool finished_ = false;
 };
--- a/src/upstream/executor_attempts.cpp
+++ b/src/upstream/executor_attempts.cpp
@@ -23,9 +23,9 @@
 
 void UpstreamExecutor::start_attempt(ActiveRequest& request) {
     // Only the first attempt waits for load probes.
-    const bool is_first =
+    const bool is_first_attempt =
         request.attempt_count == 0 && request.outstanding_probes == 0 && request.probed_loads.empty();
-    if (balancer_.probes_before_call() && is_first && probe_before_dispatch(request))
+    if (balancer_.probes_before_call() && is_first_attempt && probe_before_dispatch(request))
         return;
     start_attempt_on(request, pick_host(request));
 }
--- a/src/upstream/executor_report.cpp
+++ b/src/upstream/executor_report.cpp
@@ -11,7 +11,7 @@
 using upstream_health::HostId;
 using upstream_health::HostState;
 
-/// Restored hosts with a higher failure ratio are deprioritized at first.
+/// Restored hosts with a higher failure ratio are deprioritized for `deprioritization_period`.
 constexpr double mostly_failing_ratio = 0.5;
 constexpr base::Duration deprioritization_period{1'000'000};
 constexpr std::size_t host_state_count = 6;
--- a/src/upstream/executor_results.cpp
+++ b/src/upstream/executor_results.cpp
@@ -52,9 +52,9 @@
         return succeed(attempt, now);
     attempt.close_connection();
     // A member function of the attempt may be running: it is destroyed later, by the next retry or with the request.
-    const bool is_last = std::all_of(request.attempts.begin(), request.attempts.end(),
-                                     [](const auto& other) { return other->is_finished(); });
-    if (is_last && !request.completed)
+    const bool all_attempts_finished = std::all_of(request.attempts.begin(), request.attempts.end(),
+                                                   [](const auto& other) { return other->is_finished(); });
+    if (all_attempts_finished && !request.completed)
         on_last_attempt_failed(attempt, result, stale);
 }
 
