--- a/tests/cressledge/gateway_reload_test.cpp
+++ b/tests/cressledge/gateway_reload_test.cpp
@@ -1,4 +1,4 @@
-// Reloads of the operator's file: what is taken, what is rejected, and what stays as it is.
+// Reloads of the configuration file: which settings are applied, and which reloads are rejected as a whole.
 #include "gateway_fixture.hpp"
 
 namespace {
@@ -6,7 +6,7 @@
 using namespace cressledge::testing;
 
 TEST_CASE(
-    "gateway: a reload takes the fleet's settings and seeds, but no other member id; the admin address shows "
+    "gateway: a reload applies fleet settings and seeds but no other member id; the admin server shows "
     "both") {
     GatewayFixture fixture;
     const auto write_config = [&](const std::string& id, const std::string& extra) {
@@ -32,20 +32,20 @@
     take_log();
     write_config("n2", "");
     fixture.gateway->reload();
-    CHECK(take_log().find("gossip and advertise of the fleet change with a restart only") !=
-          std::string::npos);
+    CHECK(take_log().find("fleet: name, id, gossip and advertise require a restart") != std::string::npos);
     write_config("n1", ", probe_ms: 50, seeds: [\"127.0.0.1:9\"]");
     fixture.gateway->reload();
-    CHECK(take_log().find("stays in force") == std::string::npos);
-    const std::string figures = get("/v1/metrics");
-    CHECK(figures.find("node.config_applied=1\n") != std::string::npos);
-    CHECK(figures.find("node.config_rejected=1\n") != std::string::npos);
-    // The new seed is tried, and cannot be reached.
+    CHECK(take_log().find("reload rejected") == std::string::npos);
+    const std::string metrics = get("/v1/metrics");
+    CHECK(metrics.find("node.config_applied=1\n") != std::string::npos);
+    CHECK(metrics.find("node.config_rejected=1\n") != std::string::npos);
+    // The gateway contacts the new seed, which is unreachable.
     fixture.test_loop.run_until(
         [&] { return get("/v1/metrics").find("fleet.exchanges_failed=0\n") == std::string::npos; });
 }
 
-TEST_CASE("gateway: a reload takes admission and inventory whole or not at all, and closes no connection") {
+TEST_CASE(
+    "gateway: a reload applies admission and inventory together or not at all, and closes no connection") {
     GatewayFixture fixture;
     const auto write_config = [&](const std::string& cores, const std::string& extra) {
         return fixture.directory.write_file(
@@ -68,16 +68,17 @@
           std::string::npos);
     write_config("8", "admission: {open: 2}\n");
     fixture.gateway->reload();
-    CHECK(take_log().find("with a restart only") != std::string::npos);
+    CHECK(take_log().find("settings other than inventory, group, connections, admission, routing and fleet "
+                          "require a restart") != std::string::npos);
     CHECK(limiter.settings().unlisted_source_limits.max_connections == 0);
     write_config(
         "6", "admission: {open: 2, groups: [{name: g, networks: [127.0.0.8], reserve: {connections: 3}}]}\n");
     fixture.gateway->reload();
     CHECK(limiter.settings().unlisted_source_limits.max_connections == 2);
     CHECK(limiter.open_connections() == 4);
-    BoundClient fifth("127.0.0.9", fixture.gateway->http_port());
+    BoundClient fifth_client("127.0.0.9", fixture.gateway->http_port());
     fixture.test_loop.run_until([&] { return limiter.rejection_slots_in_use() == 1; }, false);
-    // Over the new limit, and served all the same.
+    // A connection beyond the new limit is still served.
     clients.front().unsent = http_request("trail-sheet", "body-1.");
     fixture.test_loop.run_until([&] { return clients.front().step(1'000), clients.front().status() == 200; },
                                 false);
