--- a/src/frontend/connection_lifecycle.hpp
+++ b/src/frontend/connection_lifecycle.hpp
@@ -1,40 +1,40 @@
-/// How a connection ends; one state machine for every protocol.
+/// State machine for closing a connection, the same for every protocol.
 ///
-/// "Takes no new request" and "is closed" are two states. Between them lies the lingering close: the write side is shut
-/// behind the last response, and what the peer still sends is read and dropped until the peer has closed as well or a
-/// deadline passes. A close with bytes still unread would reset the connection and destroy the response on its way (RFC
-/// 9112, section 9.6).
+/// A connection that accepts no new request is not closed at once but lingers: the write side is shut down after the
+/// last response, and further input is read and discarded until the peer closes too or a timeout expires. A close with
+/// unread input would reset the connection and destroy a response in transit (RFC 9112, section 9.6).
 ///
-///     open      -> draining   the connection shall end: the next response is the last one, and says so
-///     open      -> lingering  the last response is written, or the connection was idle
-///     draining  -> lingering  the same; at the latest when every other request has ended
-///     any       -> closed     the peer has closed, a deadline, a peer that reads nothing, or the descriptor is needed
+///     open      -> draining   the connection is to be closed: the next response is the last one and says so
+///     open      -> lingering  the last response was written, or the connection was idle
+///     draining  -> lingering  the same; at the latest when no other request is unfinished
+///     any       -> closed     the peer closed, a timeout expired, the peer does not read, or the descriptor is needed
 ///
-/// Invariants: requests are taken in open and draining only; nothing is written from lingering on; no state is left
-/// backwards.
+/// Invariants: requests are accepted in open and draining only; nothing is written in lingering and closed; a state is
+/// never entered again.
 #pragma once
 
 #include <cstdint>
 
 namespace cressledge::frontend {
 
-/// The state of one connection on its way to its end.
+/// The closing state of one connection.
 class ConnectionLifecycle {
 public:
-    /// Whether a request may still be read and answered.
+    /// Whether further requests are read and answered.
     bool accepts_requests() const { return phase_ <= Phase::draining; }
     /// Whether the next response says that the connection is closed after it.
     bool announces_close() const { return phase_ == Phase::draining; }
-    /// Whether the response has been written and the connection waits for the peer to close.
+    /// Whether the last response has been written and the connection waits for the peer to close.
     bool is_lingering() const { return phase_ == Phase::lingering; }
     /// Whether the connection is closed.
     bool is_closed() const { return phase_ == Phase::closed; }
 
-    /// Each transition returns whether the state is a new one.
+    // Each transition returns false if the state or a later one was already reached.
+    /// Makes the next response the last one.
     bool drain() { return enter(Phase::draining); }
-    /// After the last response: wait for the peer to close.
+    /// After the last response: waits for the peer to close.
     bool linger() { return enter(Phase::lingering); }
-    /// The end; no state follows.
+    /// Enters the final state.
     bool close() { return enter(Phase::closed); }
 
 private:
@@ -50,20 +50,21 @@
     Phase phase_ = Phase::open;
 };
 
-/// Connections that ended otherwise than by their peer, by what ended them. A response may have been sent before.
+/// Connections that were not closed by their peer alone, by cause. A response may have been sent before the close.
 struct ClosedConnectionCounts {
-    /// The input was no valid request and was answered with a 4xx.
+    /// The request was invalid and got a 4xx.
     std::uint64_t malformed_requests = 0;
     /// The request was not complete in time.
     std::uint64_t request_timeouts = 0;
-    /// The peer shut its side in the middle of a request.
+    /// The peer shut down its write side within a request.
     std::uint64_t truncated_requests = 0;
+    /// The connection was without a request for the idle timeout.
     std::uint64_t idle_timeouts = 0;
-    /// The slot or the descriptor was given to another connection.
+    /// The connection slot or the descriptor went to another connection.
     std::uint64_t evicted = 0;
-    /// At shutdown the connection had sent nothing, or an incomplete request.
+    /// At shutdown the connection had sent nothing or only a part of a request.
     std::uint64_t incomplete_at_shutdown = 0;
-    /// The peer went on sending after its last response.
+    /// The peer sent too much input after the last response.
     std::uint64_t excess_input = 0;
     /// The peer did not read its responses.
     std::uint64_t unread_responses = 0;
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -8,26 +8,27 @@
 namespace cressledge::frontend {
 namespace {
 
-/// Connections accepted in one turn of the loop; the rest wait in the backlog.
+/// Limits the accepts in one turn of the loop, so that a burst of new connections does not delay open ones. Further
+/// connections wait in the backlog.
 constexpr std::size_t max_accepts_per_turn = 64;
-/// Connections taken out of the backlog before the listening socket is closed.
+/// Limits the accepts from the backlog before the listening socket is closed.
 constexpr std::size_t max_accepts_at_close = 1024;
 
 }  // namespace
 
-Frontend::Frontend(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server,
-                   ConnectionAdmitter& admitter, const net::ListenEndpoint& listening, const Limits& limits,
+Frontend::Frontend(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& request_manager,
+                   ConnectionAdmitter& admitter, const net::ListenEndpoint& endpoint, const Limits& limits,
                    SessionFactory make_session)
     : timers_(timers),
-      server_(server),
+      request_manager_(request_manager),
       limits_(limits),
       make_session_(std::move(make_session)),
       admitter_(admitter),
       listener_index_(admitter.register_frontend(*this)),
-      is_socket_inherited_(listening.inherited_fd >= 0),
-      listener_(loop.uv(), listening, [this] { accept_pending(); }) {
-    listener_lease_ =
-        admitter_.descriptors().try_acquire(server_.now(), connection_admission::DescriptorPurpose::listener);
+      is_socket_inherited_(endpoint.inherited_fd >= 0),
+      listener_(loop.uv(), endpoint, [this] { accept_pending(); }) {
+    listener_lease_ = admitter_.descriptors().try_acquire(request_manager_.now(),
+                                                          connection_admission::DescriptorPurpose::listener);
 }
 
 Frontend::~Frontend() {
@@ -39,11 +40,10 @@
     }
 }
 
-// The bound keeps a burst of connections from starving those that are being served.
 void Frontend::accept_pending() {
     for (std::size_t accepted = 0; accepted < max_accepts_per_turn && !draining_; ++accepted) {
         auto lease = admitter_.acquire_descriptor();
-        // Connections in the backlog lose nothing by waiting.
+        // The connections are kept in the backlog until a descriptor is available.
         if (!lease)
             return listener_.set_paused(true);
         if (!accept_connection(std::move(lease)))
@@ -76,7 +76,8 @@
     const auto decision = admitter_.admit(listener_index_, session.id_, session.stream_->peer_address().ip());
     session.connection_slot_ = decision.slot_id;
     if (decision.slot_id == 0) {
-        // A request that came along is rejected. There is no lingering: other connections wait for the descriptor.
+        // A request that has already arrived is rejected. The close does not linger, because other connections wait
+        // for the descriptor.
         session.evict();
         if (session.stream_ != nullptr)
             session.close_and_remove();
@@ -84,7 +85,7 @@
     }
     if (decision.rejected)
         session.admission_ = Session::AdmissionState::rejected;
-    session.start_request_timer(server_.now() +
+    session.start_request_timer(request_manager_.now() +
                                 (decision.rejected ? rejected_request_timeout : limits_.request_timeout));
     if (draining_)
         session.start_drain();
@@ -132,7 +133,8 @@
     drain_backlog(false);
 }
 
-// The system has accepted the connections in the backlog, with a request perhaps: closing the socket would reset them.
+// The system has already accepted the connections in the backlog, and they may carry a request. Closing the listening
+// socket would reset them.
 void Frontend::drain_backlog(bool is_final_attempt) {
     if (!is_listening_)
         return;
@@ -146,7 +148,7 @@
             is_backlog_waiting = accept_connection(std::move(lease));
         ++accepted;
     }
-    // Descriptors are released as other connections end.
+    // Descriptors are released when other connections close.
     if (are_descriptors_exhausted && !is_final_attempt)
         return listener_.set_paused(true);
     stop_listening();
--- a/src/frontend/frontend.hpp
+++ b/src/frontend/frontend.hpp
@@ -1,10 +1,12 @@
-/// A listener for callers and the table of its connections, the same for every protocol.
+/// A listener for callers and the table of its connections, independent of the protocol.
 ///
-/// Owns: the listening socket, the sessions and the counts of connections by what closed them. Does not own: what may
-/// connect (ConnectionAdmitter), what runs (request::RequestManager) and when the process ends (ShutdownCoordinator).
+/// Owns the listening socket, the sessions and the counts of closed connections by cause. ConnectionAdmitter decides
+/// which connections are admitted, request::RequestManager which requests run, and ShutdownCoordinator when the
+/// process stops.
 ///
-/// Invariants: a session is found by its id only, and an id is not used again, so that a late event finds nothing; the
-/// listening socket is not closed while its backlog may hold a connection, unless another process shares the socket.
+/// Invariants: a session is looked up by its id only, and ids are never reused, so that an event for a removed session
+/// is ignored. The listening socket is not closed while its backlog may hold a connection, unless another process
+/// shares the socket.
 #pragma once
 
 #include <functional>
@@ -19,69 +21,72 @@
 
 namespace cressledge::frontend {
 
-/// The listener of one protocol. The protocol is that of the sessions it is given.
+/// The listener of one protocol, which is the protocol of the sessions that the session factory makes.
 class Frontend final : public request::Responder {
 public:
-    /// Makes the session of a new connection.
+    /// Creates the session of a new connection.
     using SessionFactory = std::function<std::unique_ptr<Session>(Frontend&)>;
 
-    /// Time bounds of the connections of one listening socket.
+    /// Timeouts of the connections of one listening socket.
     struct Limits {
-        /// From the accept, or for later requests from their first byte, to a complete request.
+        /// Limit on the time until a request is complete. It starts at the accept, and for later requests on the same
+        /// connection at their first byte.
         base::Duration request_timeout{2'500'000};
-        /// A connection is closed after as long without a request. 0: left to the caller.
+        /// A connection without a request is closed after this time. 0: only the caller closes it.
         base::Duration idle_timeout{0};
     };
 
-    /// Throws std::runtime_error when the address cannot be listened on.
-    Frontend(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server,
-             ConnectionAdmitter& admitter, const net::ListenEndpoint& listening, const Limits& limits,
+    /// Starts listening on `endpoint`. Throws std::runtime_error if that fails.
+    Frontend(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& request_manager,
+             ConnectionAdmitter& admitter, const net::ListenEndpoint& endpoint, const Limits& limits,
              SessionFactory make_session);
     ~Frontend() override;
 
-    /// Passes a response to the session with the id `ticket`, if it is still open.
+    /// Passes a response to the session whose id is `ticket`, if it is still open.
     void respond(std::uint64_t ticket, const request::Response& response) override;
-    /// Sets the controller's idle limit for all connections. 0: none.
+    /// Sets the admission controller's idle limit for all connections. 0: none.
     void set_idle_limit(base::Duration limit);
-    /// Closes a connection whose slot is given to another one.
+    /// Closes a connection whose connection slot or descriptor goes to another connection.
     void evict(std::uint64_t session_id);
-    /// Looks at the backlog again: there may be a descriptor for a connection that waits there.
+    /// Accepts from the backlog again. To be called when a descriptor may have become available.
     void resume_accepting();
 
-    /// First step of a graceful shutdown. A listening socket shared with other processes is closed at once, so that the
-    /// next connection waits in its backlog for the next process; one of our own is kept until start_drain().
+    /// First step of a graceful shutdown. Closes a listening socket that is shared with other processes, so that new
+    /// connections wait in its backlog for the next process. A socket of this process alone stays open until
+    /// start_drain().
     void start_handover();
-    /// Ends idle connections, and the others with their response. Takes what is in the backlog already.
+    /// Closes idle connections at once and the others after their next response. Accepts the connections that are
+    /// already in the backlog.
     void start_drain();
-    /// After start_drain(): accepts what the backlog holds and closes the listening socket. Without descriptors it has to
-    /// be tried again, unless this is the final attempt.
+    /// After start_drain(): accepts the connections in the backlog and closes the listening socket. If no descriptor is
+    /// available, the socket stays open for another call, unless `is_final_attempt`.
     void drain_backlog(bool is_final_attempt);
-    /// After start_drain(): closes the connections that have sent nothing, or an incomplete request.
+    /// After start_drain(): closes the connections that have sent nothing or only a part of a request.
     void close_incomplete_requests();
-    /// Whether no connection is left and none can come.
+    /// Whether no connection is open and none can be accepted any more.
     bool is_drained() const { return sessions_.size() == 0 && !is_listening_; }
-    /// Whether a request is in flight, or a last response may not have been read yet.
+    /// Whether the socket is still listening, a request is in flight, or a peer may not have read its last response.
     bool has_unfinished_responses();
 
-    /// The port that is listened on, also where the address left it to the system.
+    /// The port of the listening socket, also if the system chose it.
     int port() const { return listener_.port(); }
     /// The request manager that the sessions submit to.
-    request::RequestManager& server() { return server_; }
-    /// Connections that have ended, by the reason they ended.
+    request::RequestManager& request_manager() { return request_manager_; }
+    /// Closed connections by cause.
     const ClosedConnectionCounts& closed_connections() const { return closed_connections_; }
 
 private:
     friend class Session;
 
     void accept_pending();
-    /// Returns false when the backlog is empty.
+    /// Accepts one connection. Returns false if the backlog is empty.
     bool accept_connection(connection_admission::FileDescriptorBudget::Lease lease);
     void admit_connection(Session& session);
     void remove_session(base::SlotId session_id);
     void stop_listening();
 
     base::TimerQueue& timers_;
-    request::RequestManager& server_;
+    request::RequestManager& request_manager_;
     const Limits limits_;
     ClosedConnectionCounts closed_connections_;
     const SessionFactory make_session_;
@@ -91,9 +96,9 @@
     base::Duration idle_limit_{0};
     bool is_listening_ = true;
     bool draining_ = false;
-    /// The listening socket is shared with other processes.
+    /// Whether the listening socket is shared with other processes.
     const bool is_socket_inherited_;
-    /// The shared socket has been closed by this process.
+    /// Whether this process has closed the shared socket.
     bool handing_over_ = false;
     connection_admission::FileDescriptorBudget::Lease listener_lease_;
     net::Listener listener_;
--- a/src/frontend/http/http_session.cpp
+++ b/src/frontend/http/http_session.cpp
@@ -9,7 +9,7 @@
 namespace cressledge::frontend::http {
 namespace {
 
-/// Room for the status line and the fields of a typical response.
+/// Size of the status line and header fields of a typical response, in bytes.
 constexpr std::size_t typical_head_bytes = 160;
 
 std::string format_message(const std::string& status, std::string_view extra_headers, std::string_view body,
@@ -82,15 +82,15 @@
 }
 
 void HttpSession::handle_class_request() {
-    request::RequestManager& server = frontend().server();
+    request::RequestManager& request_manager = frontend().request_manager();
     const std::string path = parser_.path();
     request::IncomingRequest incoming;
-    incoming.class_index = server.class_index_of(path.substr(path.rfind('/') + 1));
+    incoming.class_index = request_manager.class_index_of(path.substr(path.rfind('/') + 1));
     if (incoming.class_index == policy::unknown_index)
         return reject({404, "Not Found"}, !keep_alive());
     if (!parser_.is_post())
         return reject({405, "Method Not Allowed"}, !keep_alive());
-    if (const auto invalid = parser_.fields().apply_to(incoming, defaults_, server)) {
+    if (const auto invalid = parser_.fields().apply_to(incoming, defaults_, request_manager)) {
         log_invalid_field(*invalid);
         return reject({400, "Bad Request"}, !keep_alive());
     }
@@ -99,11 +99,11 @@
     submit(std::move(incoming));
 }
 
-// One limiter for all connections.
+// One log limiter for all connections.
 void HttpSession::log_invalid_field(const InvalidField& invalid) {
     static base::LogRateLimiter log_limiter;
     std::uint64_t suppressed = 0;
-    if (log_limiter.try_acquire(frontend().server().now(), suppressed))
+    if (log_limiter.try_acquire(frontend().request_manager().now(), suppressed))
         base::log_info("http: invalid field name=\"{}\" suppressed={}", invalid.name, suppressed);
 }
 
--- a/src/frontend/http/http_session.hpp
+++ b/src/frontend/http/http_session.hpp
@@ -1,6 +1,6 @@
 /// The platform's protocol for callers: HTTP/1.1 with the platform's header fields.
 ///
-/// Owns the parser of the connection. Maps paths to request classes and responses to status codes; decides nothing.
+/// Maps paths to request classes and responses to status codes.
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
 /// A connection of an HTTP caller.
 class HttpSession final : public Session {
 public:
-    /// Without `defaults` every required field has to be in the request.
+    /// Without `defaults`, all required fields must be present in a request.
     explicit HttpSession(Frontend& frontend, FieldDefaults* defaults = nullptr);
 
 protected:
@@ -27,7 +27,7 @@
     bool keep_alive() const override { return parser_.keep_alive(); }
 
 private:
-    /// What the session says of a request that it does not accept.
+    /// Status code and reason phrase for a request that is not accepted.
     struct Rejection {
         int status;
         const char* reason;
--- a/src/frontend/http/request_parser.cpp
+++ b/src/frontend/http/request_parser.cpp
@@ -8,11 +8,11 @@
 
 constexpr std::size_t max_body_bytes = 2048;
 constexpr std::size_t max_head_bytes = 8192;
-/// With what may come beside head and body: empty lines before the request, chunk extensions, trailers.
+/// Limit on all bytes of a request, including empty lines before it, chunk extensions and trailers.
 constexpr std::size_t max_wire_bytes = 32U << 10U;
 
-/// Return values of the parser's callbacks.
-constexpr int go_on = 0;
+/// Return values of http-parser's callbacks.
+constexpr int continue_parsing = 0;
 constexpr int stop_parsing = 1;
 constexpr int reject_head = -1;
 
@@ -36,14 +36,14 @@
 
 }  // namespace
 
-/// The callbacks of http-parser, each of which hands over to the parser behind `data`.
+/// The callbacks of http-parser. Each forwards to the RequestParser that `data` points to.
 struct RequestParser::Callbacks {
     static RequestParser& owner(http_parser* parser) { return *static_cast<RequestParser*>(parser->data); }
 
-    // Called at the first letter: an empty line after a request begins no other.
+    // http-parser calls this at the first character of the method: an empty line does not start a request.
     static int on_message_begin(http_parser* parser) {
         owner(parser).message_.stage = Stage::head;
-        return go_on;
+        return continue_parsing;
     }
     static int on_url(http_parser* parser, const char* data, std::size_t size) {
         RequestParser& self = owner(parser);
@@ -61,10 +61,10 @@
     }
     static int on_message_complete(http_parser* parser) {
         owner(parser).finish_message();
-        return go_on;
+        return continue_parsing;
     }
 
-    static http_parser_settings make() {
+    static http_parser_settings make_settings() {
         http_parser_settings settings;
         http_parser_settings_init(&settings);
         settings.on_message_begin = on_message_begin;
@@ -90,13 +90,13 @@
 }
 
 RequestParser::Result RequestParser::parse(std::string_view bytes) {
-    static const http_parser_settings callbacks = Callbacks::make();
+    static const http_parser_settings callbacks = Callbacks::make_settings();
     const std::size_t consumed = http_parser_execute(&parser_, &callbacks, bytes.data(), bytes.size());
     if (message_.stage == Stage::complete) {
-        // Behind an upgrade another protocol would follow.
+        // The bytes after an upgrade would belong to another protocol.
         return {parser_.upgrade != 0 ? Status::malformed : Status::complete, consumed};
     }
-    // Guards against a message that never ends.
+    // Bounds a message that never ends.
     message_.wire_bytes += consumed;
     const bool is_too_long = message_.is_head_too_large || message_.wire_bytes > max_wire_bytes;
     if (message_.is_body_too_large)
@@ -122,7 +122,7 @@
         return stop_parsing;
     }
     target.append(data, size);
-    return go_on;
+    return continue_parsing;
 }
 
 int RequestParser::append_body(const char* data, std::size_t size) {
@@ -131,13 +131,13 @@
         return stop_parsing;
     }
     message_.body.append(data, size);
-    return go_on;
+    return continue_parsing;
 }
 
 int RequestParser::read_field_name(const char* data, std::size_t size) {
-    // Fields of a trailer do not count.
+    // Trailer fields are ignored.
     if (message_.stage != Stage::head)
-        return go_on;
+        return continue_parsing;
     if (message_.is_in_field_value)
         finish_field();
     return append_head(message_.field_name, data, size);
@@ -145,7 +145,7 @@
 
 int RequestParser::read_field_value(const char* data, std::size_t size) {
     if (message_.stage != Stage::head)
-        return go_on;
+        return continue_parsing;
     message_.is_in_field_value = true;
     return append_head(message_.field_value, data, size);
 }
@@ -156,7 +156,7 @@
     for (char& c : name)
         c = to_lower(c);
     trim_right(value);
-    // http-parser accepts a space before the colon; other readers take such a field for another one.
+    // http-parser accepts a space before the colon. Other parsers may read such a line as a different field.
     if (name.find_first_of(" \t") != std::string::npos)
         message_.has_ambiguous_framing = true;
     if (name == "content-length")
@@ -178,15 +178,15 @@
     if (message_.is_in_field_value)
         finish_field();
     message_.stage = Stage::body;
-    // Guards against request smuggling: a second request concealed in a body whose end two readers see at different
-    // places (RFC 9112, section 6.3).
+    // Prevents request smuggling: a second request hidden in a body whose end two parsers place differently (RFC 9112,
+    // section 6.3).
     const bool is_http_1_0 = parser_.http_major == 1 && parser_.http_minor == 0;
     if (message_.content_length_count + message_.transfer_encoding_count > 1 ||
         (message_.transfer_encoding_count > 0 && is_http_1_0))
         message_.has_ambiguous_framing = true;
     if (message_.has_ambiguous_framing)
         return reject_head;
-    // A length that is too large is known before the body is read.
+    // Rejects a body that is too large before it is read.
     const bool is_length_known = (parser_.flags & F_CONTENTLENGTH) != 0;
     if (is_length_known && parser_.content_length > max_body_bytes) {
         message_.is_body_too_large = true;
@@ -194,13 +194,13 @@
     }
     if (message_.expects_continue)
         on_expect_continue_();
-    return go_on;
+    return continue_parsing;
 }
 
 void RequestParser::finish_message() {
     message_.stage = Stage::complete;
     keep_alive_ = http_should_keep_alive(&parser_) != 0;
-    // The next request waits until this one has its response.
+    // The next request is parsed after this one has its response.
     http_parser_pause(&parser_, 1);
 }
 
--- a/src/frontend/http/request_parser.hpp
+++ b/src/frontend/http/request_parser.hpp
@@ -1,9 +1,8 @@
-/// Parses one HTTP/1.1 request at a time (RFC 9112) on http-parser, within fixed bounds.
+/// Parses one HTTP/1.1 request at a time (RFC 9112) with http-parser, within fixed size limits.
 ///
-/// Owns the parser and what it has read of the current request. Knows no connection and writes nothing: who uses it sends
-/// the interim response and the rejection.
+/// Does no I/O: the caller of parse() sends interim responses and rejections.
 ///
-/// Invariant: a message whose end two readers could see at different places is malformed (request smuggling).
+/// Invariant: a message whose end two parsers could place differently is malformed, which prevents request smuggling.
 #pragma once
 
 #include <http_parser.h>
@@ -18,60 +17,61 @@
 
 namespace cressledge::frontend::http {
 
-/// The parser of one connection.
+/// The request parser of one connection.
 class RequestParser {
 public:
-    /// Where the current request stands.
+    /// The state of the current request.
     enum class Status { incomplete, complete, malformed, body_too_large };
-    /// What one call of `parse` found.
+    /// The result of one call of parse().
     struct Result {
         Status status;
-        /// Bytes taken; those behind them belong to the next request.
+        /// Number of bytes consumed. The bytes after them belong to the next request.
         std::size_t consumed;
     };
 
-    /// `on_expect_continue` is called when a request asks for 100 Continue and its head is acceptable.
+    /// `on_expect_continue` is called when a request expects 100 Continue and its head is valid.
     explicit RequestParser(std::function<void()> on_expect_continue);
     RequestParser(const RequestParser&) = delete;
     RequestParser& operator=(const RequestParser&) = delete;
 
-    /// Reads on. After any status but incomplete, reset() has to be called before the next bytes.
+    /// Parses further bytes. After any status but incomplete, reset() must be called before the next call.
     Result parse(std::string_view bytes);
-    /// Forgets the current request, except whether its connection is kept alive.
+    /// Discards the current request. keep_alive() keeps its value.
     void reset();
 
-    /// Whether a request has begun.
+    /// Whether a request has started.
     bool has_started() const { return message_.stage != Stage::not_started; }
-    /// Whether the last complete request lets its connection be kept.
+    /// Whether the last complete request allows its connection to stay open.
     bool keep_alive() const { return keep_alive_; }
 
-    // Of a complete request:
+    // The following are valid for a complete request only.
+    /// Whether the method is GET.
     bool is_get() const { return parser_.method == HTTP_GET; }
-    /// Of a complete request: whether its method is POST.
+    /// Whether the method is POST.
     bool is_post() const { return parser_.method == HTTP_POST; }
-    /// The target without its query.
+    /// The request target without the query.
     std::string path() const;
-    /// The query without its question mark; empty where there is none.
+    /// The query without the question mark; empty if there is none.
     std::string query() const;
-    /// Of a complete request: the fields of its head.
+    /// The platform's fields in the head.
     const RequestFields& fields() const { return message_.fields; }
-    /// Of a complete request: moves its body out; to be called once.
+    /// Moves the body out. To be called once.
     std::string take_body() { return std::move(message_.body); }
 
 private:
     enum class Stage { not_started, head, body, complete };
-    /// What has been read of the current request.
+    /// The state and contents of the current request.
     struct Message {
         Stage stage = Stage::not_started;
         std::string url, body;
         RequestFields fields;
-        /// The header field that is being read.
+        /// The header field that is being parsed.
         std::string field_name, field_value;
         bool is_in_field_value = false;
         std::size_t head_bytes = 0;
-        /// All bytes, whatever they were.
+        /// All bytes consumed, including empty lines, chunk framing and trailers.
         std::size_t wire_bytes = 0;
-        /// Fields that say where the body ends.
+        /// Number of header fields that determine the end of the body.
         int content_length_count = 0;
         int transfer_encoding_count = 0;
         bool has_ambiguous_framing = false;
--- a/src/frontend/request_fields.cpp
+++ b/src/frontend/request_fields.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t max_token_length = 128;
 constexpr std::size_t hex_id_length = 16;
-/// Upper ends of the ranges that the platform's protocol gives.
+/// Upper bounds given by the platform's protocol: `max_` is inclusive, `_limit` exclusive.
 constexpr std::int64_t max_unix_ms = 100'000'000'000'000;
 constexpr double expected_ms_limit = 1e9;
 constexpr double max_wait_ms_limit = 1e10;
@@ -27,7 +27,7 @@
     return parse_number(text, value) && std::isfinite(value) && value >= min && value < limit;
 }
 
-/// A token of the caller's own making: printable ASCII, compared and never interpreted.
+/// Whether `text` is a valid token of the caller: printable ASCII, which is compared but never interpreted.
 bool is_opaque_token(const std::string& text) {
     return !text.empty() && text.size() <= max_token_length &&
            std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < '\x7f'; });
@@ -79,10 +79,10 @@
         return InvalidField{"Trace-Id"};
     if (!uses_default(accepted_at) && !parse_unix_ms(values_[accepted_at], times.accepted_at_ms))
         return InvalidField{"Accepted-At-Ms"};
-    if (present_[client_number] && !parse_number(values_[client_number], incoming.caller_id))
+    if (present_[caller_id] && !parse_number(values_[caller_id], incoming.caller_id))
         return InvalidField{"Client-No"};
-    if (present_[expected_duration] &&
-        !parse_in_range(values_[expected_duration], 0.0, expected_ms_limit, times.expected_ms))
+    if (present_[expected_work] &&
+        !parse_in_range(values_[expected_work], 0.0, expected_ms_limit, times.expected_ms))
         return InvalidField{"Expected-Ms"};
     if (!uses_default(reserved_memory) && !parse_reserved_kb(values_[reserved_memory], incoming.reserved_kb))
         return InvalidField{"Reserve-Kb"};
@@ -91,7 +91,7 @@
 
 std::optional<InvalidField> RequestFields::parse_handling_fields(request::IncomingRequest& incoming,
                                                                  ParsedTimes& times) const {
-    if (present_[standing] && !parse_in_range(values_[standing], 0.0, 1.0, incoming.rank))
+    if (present_[rank] && !parse_in_range(values_[rank], 0.0, 1.0, incoming.rank))
         return InvalidField{"Standing"};
     if (present_[lookup_key] && !is_hex_id(values_[lookup_key]))
         return InvalidField{"Lookup-Key"};
@@ -106,9 +106,9 @@
 
 std::optional<InvalidField> RequestFields::apply_to(request::IncomingRequest& incoming,
                                                     FieldDefaults* defaults,
-                                                    request::RequestManager& server) const {
+                                                    request::RequestManager& request_manager) const {
     if (has_duplicate_)
-        return InvalidField{"a field that came twice"};
+        return InvalidField{"duplicate field"};
     ParsedTimes times;
     if (const auto invalid = parse_work_fields(incoming, defaults != nullptr, times))
         return invalid;
@@ -116,18 +116,19 @@
         return invalid;
     const auto uses_default = [&](Field field) { return defaults != nullptr && !present_[field]; };
     if (present_[tenant])
-        incoming.tenant_index = server.tenant_index_of(values_[tenant]);
+        incoming.tenant_index = request_manager.tenant_index_of(values_[tenant]);
     if (present_[max_wait])
         incoming.max_wait = base::Duration(std::llround(times.max_wait_ms * 1000.0));
     incoming.external_id = uses_default(trace_id) ? defaults->next_request_id() : values_[trace_id];
     incoming.accepted_at =
-        uses_default(accepted_at) ? server.now() : base::Timestamp(times.accepted_at_ms * 1000);
+        uses_default(accepted_at) ? request_manager.now() : base::Timestamp(times.accepted_at_ms * 1000);
     if (uses_default(reserved_memory))
         incoming.reserved_kb = defaults->reserved_kb();
-    // A request that may run once within its window is known by its idempotency key: the key of what a read is about
-    // says nothing of that.
+    // A request that may run only once within its window is identified by its idempotency key. The lookup key
+    // identifies the object of a read, not the request.
     const bool is_idempotent_by_key =
-        server.settings().classes.at(incoming.class_index).idempotency == policy::Idempotency::with_key;
+        request_manager.settings().classes.at(incoming.class_index).idempotency ==
+        policy::Idempotency::with_key;
     incoming.idempotency_key = values_[is_idempotent_by_key ? idempotency_key : lookup_key];
     incoming.expected_work_seconds = times.expected_ms / 1000.0;
     return std::nullopt;
--- a/src/frontend/request_fields.hpp
+++ b/src/frontend/request_fields.hpp
@@ -1,6 +1,6 @@
-/// The platform's fields of a request, whichever protocol carried them: which may be missing and what is valid.
+/// The platform's request fields, independent of the protocol: names, valid ranges and defaults.
 ///
-/// Owns the fields of one request until they are applied. The names and ranges are those of the platform's protocol.
+/// Names and ranges are those of the platform's protocol.
 #pragma once
 
 #include <array>
@@ -14,13 +14,13 @@
 
 namespace cressledge::frontend {
 
-/// Values for callers that do not know the platform's fields.
+/// Default values for requests without the platform's fields.
 class FieldDefaults {
 public:
-    /// `reserved_kb`: memory of a request in kilobytes.
+    /// `seed`: of the generator of request ids. `reserved_kb`: memory of a request in kilobytes.
     FieldDefaults(std::uint64_t seed, double reserved_kb) : random_(seed), reserved_kb_(reserved_kb) {}
 
-    /// A random id of 16 hexadecimal digits.
+    /// Generates a random id of 16 hexadecimal digits.
     std::string next_request_id();
     /// Memory of a request in kilobytes.
     double reserved_kb() const { return reserved_kb_; }
@@ -30,32 +30,32 @@
     const double reserved_kb_;
 };
 
-/// Why the fields of a request were not applied.
+/// The reason why the fields of a request were not applied.
 struct InvalidField {
-    /// The field that is missing or malformed, as the log names it.
+    /// The name of the missing or malformed field, or "duplicate field". Used in log lines.
     const char* name;
 };
 
-/// The fields of one request, kept as text until its class is known.
+/// The fields of one request, stored as text until its request class is known.
 class RequestFields {
 public:
-    /// Keeps a field. `name` is in lower case with dashes; unknown names are ignored.
+    /// Stores a field. `name` is in lower case with dashes. Unknown names are ignored.
     void set(std::string_view name, std::string_view value);
 
-    /// Applies the fields to a request whose class is known. Returns the first field that is missing or malformed; then
-    /// the request must not be used. Without `defaults` no required field may be missing. The class's idempotency in the
-    /// settings in force says which of the two keys counts.
+    /// Applies the fields to `incoming`, whose class index must be set. Returns the first missing or malformed
+    /// field; `incoming` must not be used then. Without `defaults`, all required fields must be present. The
+    /// idempotency of the class in the current settings determines whether the idempotency key or the lookup key is applied.
     std::optional<InvalidField> apply_to(request::IncomingRequest& incoming, FieldDefaults* defaults,
-                                         request::RequestManager& server) const;
+                                         request::RequestManager& request_manager) const;
 
 private:
     enum Field {
         trace_id,
         accepted_at,
-        client_number,
-        expected_duration,
+        caller_id,
+        expected_work,
         reserved_memory,
-        standing,
+        rank,
         lookup_key,
         idempotency_key,
         tenant,
@@ -63,17 +63,17 @@
         is_retry,
         field_count
     };
-    /// Numbers that are converted once every field has been found valid.
+    /// Parsed numbers, which are converted once all fields are known to be valid.
     struct ParsedTimes {
         std::int64_t accepted_at_ms = 0;
         double expected_ms = 0.0;
         double max_wait_ms = 0.0;
     };
 
-    /// Who asks, when and for how much work.
+    /// Parses the fields on the caller, the time of acceptance and the amount of work.
     std::optional<InvalidField> parse_work_fields(request::IncomingRequest& incoming, bool has_defaults,
                                                   ParsedTimes& times) const;
-    /// How the request is to be treated.
+    /// Parses the fields on priority, keys, maximum wait and retry.
     std::optional<InvalidField> parse_handling_fields(request::IncomingRequest& incoming,
                                                       ParsedTimes& times) const;
 
--- a/src/frontend/scgi/request_parser.cpp
+++ b/src/frontend/scgi/request_parser.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::size_t max_header_bytes = 8192;
 constexpr std::size_t max_body_bytes = 2048;
-/// The protocol wants this header first.
-constexpr std::string_view first_header("CONTENT_LENGTH\0", 15);
+/// The protocol requires this header first.
+constexpr std::string_view required_first_header("CONTENT_LENGTH\0", 15);
 constexpr std::string_view http_header_prefix = "HTTP_";
 
 bool parse_length(std::string_view text, std::size_t& length) {
@@ -38,7 +38,7 @@
     return body;
 }
 
-// The length is judged digit by digit: a malformed one is rejected before anything else is waited for.
+// Checks the length digit by digit, so that a malformed one is rejected without waiting for more bytes.
 RequestParser::LengthPrefix RequestParser::parse_length_prefix() const {
     std::size_t length = 0;
     std::size_t colon = 0;
@@ -63,8 +63,9 @@
         return prefix.status;
     const std::string_view received = std::string_view(buffer_).substr(prefix.header_offset);
     const std::size_t length = prefix.header_length;
-    const std::size_t compared = std::min(received.size(), first_header.size());
-    if (length < first_header.size() || received.substr(0, compared) != first_header.substr(0, compared))
+    const std::size_t compared = std::min(received.size(), required_first_header.size());
+    if (length < required_first_header.size() ||
+        received.substr(0, compared) != required_first_header.substr(0, compared))
         return Status::malformed;
     if (received.size() < length + 1)
         return Status::incomplete;
@@ -80,12 +81,12 @@
     std::set<std::string_view> names;
     while (!block.empty()) {
         const std::size_t name_end = block.find('\0');
-        // No name.
+        // The name is empty.
         if (name_end == 0)
             return false;
         const std::size_t value_end =
             name_end == std::string_view::npos ? name_end : block.find('\0', name_end + 1);
-        // No value.
+        // The value is missing.
         if (value_end == std::string_view::npos)
             return false;
         const std::string_view name = block.substr(0, name_end);
@@ -117,7 +118,7 @@
     return true;
 }
 
-// CGI writes a header field in upper case with underscores (RFC 3875, section 4.1.18).
+// CGI spells the names of header fields in upper case with underscores (RFC 3875, section 4.1.18).
 void RequestParser::set_http_header(std::string_view name, std::string_view value) {
     std::string field(name);
     for (char& c : field)
--- a/src/frontend/scgi/request_parser.hpp
+++ b/src/frontend/scgi/request_parser.hpp
@@ -1,6 +1,6 @@
-/// Parses one SCGI request: a netstring of headers and a body (python.ca/scgi/protocol.txt), within fixed bounds.
+/// Parses one SCGI request: a netstring of headers and a body (python.ca/scgi/protocol.txt), within fixed size limits.
 ///
-/// Owns the bytes of the request. Knows no connection and writes nothing.
+/// Buffers the bytes of the request. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,35 +11,36 @@
 
 namespace cressledge::frontend::scgi {
 
-/// The parser of one connection.
+/// The request parser of one connection.
 class RequestParser {
 public:
-    /// Where the request stands.
+    /// The state of the request.
     enum class Status { incomplete, complete, malformed, body_too_large };
 
-    /// Reads on, however the request is split. Not to be called after any status but incomplete.
+    /// Parses further bytes; the request may be split anywhere. Must not be called after any status but incomplete.
     Status parse(std::string_view bytes);
-    /// Whether a byte has come.
+    /// Whether a byte has been received.
     bool has_started() const { return !buffer_.empty(); }
 
-    // Of a complete request:
+    // The following are valid for a complete request only.
+    /// REQUEST_METHOD.
     const std::string& method() const { return method_; }
     /// REQUEST_URI without its query, or PATH_INFO.
     const std::string& path() const { return path_; }
-    /// QUERY_STRING; empty where there is none.
+    /// QUERY_STRING; empty if there is none.
     const std::string& query() const { return query_; }
-    /// The fields of the request, as the frontend reads them.
+    /// The platform's fields among the HTTP headers.
     const RequestFields& fields() const { return fields_; }
-    /// The body; the request's bytes are released.
+    /// Returns the body and releases the buffered bytes of the request.
     std::string take_body();
 
 private:
     /// The netstring's length prefix.
     struct LengthPrefix {
         Status status;
-        /// Of the headers, without prefix and comma.
+        /// Length of the headers in bytes, without prefix and comma.
         std::size_t header_length = 0;
-        /// Where the headers begin in the buffer.
+        /// Offset of the headers in the buffer.
         std::size_t header_offset = 0;
     };
 
@@ -52,7 +53,7 @@
     std::string buffer_, method_, path_, query_;
     RequestFields fields_;
     bool has_scgi_header_ = false;
-    /// 0: the headers have not been read yet.
+    /// Offset of the body in the buffer. 0: the headers are incomplete.
     std::size_t body_offset_ = 0;
     std::size_t body_length_ = 0;
 };
--- a/src/frontend/scgi/scgi_session.cpp
+++ b/src/frontend/scgi/scgi_session.cpp
@@ -17,7 +17,7 @@
     return out.append(std::to_string(body.size())).append("\r\n\r\n").append(body);
 }
 
-// Retry-After counts whole seconds; the platform's own fields go with it for clients that know them.
+// Retry-After is in whole seconds. The platform's own fields are added for clients that support them.
 std::string format_rejection(const request::Response& response) {
     const std::int64_t retry_after_ms = (response.retry_after.count() + 999) / 1000;
     const std::int64_t retry_after_s = std::max<std::int64_t>(1, (retry_after_ms + 999) / 1000);
@@ -52,7 +52,7 @@
 void ScgiSession::reject(const char* status, const char* reason) {
     static base::LogRateLimiter log_limiter;
     std::uint64_t suppressed = 0;
-    if (log_limiter.try_acquire(frontend().server().now(), suppressed))
+    if (log_limiter.try_acquire(frontend().request_manager().now(), suppressed))
         base::log_info("scgi: request rejected status=\"{}\" reason=\"{}\" suppressed={}", status, reason,
                        suppressed);
     is_finished_ = true;
@@ -66,19 +66,21 @@
         const std::string parameters = '&' + parser_.query() + '&';
         return check_health(parameters.find("&probe=1&") != std::string::npos);
     }
-    request::RequestManager& server = frontend().server();
+    request::RequestManager& request_manager = frontend().request_manager();
     request::IncomingRequest incoming;
     const std::size_t slash = path.rfind('/');
     if (slash != std::string::npos)
-        incoming.class_index = server.class_index_of(path.substr(slash + 1));
+        incoming.class_index = request_manager.class_index_of(path.substr(slash + 1));
     if (slash == std::string::npos || incoming.class_index == policy::unknown_index)
-        return reject("404 Not Found", "unknown class");
-    const auto idempotency = server.settings().classes[incoming.class_index].idempotency;
+        return reject("404 Not Found", "unknown request class");
+    const auto idempotency = request_manager.settings().classes[incoming.class_index].idempotency;
     const bool may_be_get = idempotency == policy::Idempotency::always;
     if (parser_.method() != "POST" && !(may_be_get && parser_.method() == "GET"))
-        return reject("405 Method Not Allowed", "method");
-    if (const auto invalid = parser_.fields().apply_to(incoming, &defaults_, server))
-        return reject("400 Bad Request", invalid->name);
+        return reject("405 Method Not Allowed", "method not allowed");
+    if (const auto invalid = parser_.fields().apply_to(incoming, &defaults_, request_manager)) {
+        const std::string reason = std::string("invalid field: ") + invalid->name;
+        return reject("400 Bad Request", reason.c_str());
+    }
     incoming.body = parser_.take_body();
     submit(std::move(incoming));
 }
@@ -108,7 +110,7 @@
     return format_message("400 Bad Request", {}, {});
 }
 
-// A connection that was opened and closed without a byte has asked for nothing.
+// A connection that was closed without sending a byte gets no response.
 std::string ScgiSession::format_truncated_response() {
     if (!parser_.has_started())
         return {};
--- a/src/frontend/scgi/scgi_session.hpp
+++ b/src/frontend/scgi/scgi_session.hpp
@@ -1,6 +1,6 @@
-/// SCGI for callers behind a web server: one request a connection, whose fields may be left out.
+/// SCGI for callers behind a web server: one request per connection. The platform's fields are optional.
 ///
-/// Owns the parser of the connection. Maps paths to request classes and responses to status lines; decides nothing.
+/// Maps paths to request classes and responses to status lines.
 #pragma once
 
 #include <string>
@@ -15,13 +15,13 @@
 /// A connection of an SCGI caller.
 class ScgiSession final : public Session {
 public:
-    /// `defaults`: values of fields that a request may leave out, from the operator's file.
+    /// `defaults`: values of the fields that a request does not have.
     ScgiSession(Frontend& frontend, FieldDefaults& defaults) : Session(frontend), defaults_(defaults) {}
 
 protected:
     std::size_t parse(std::string_view bytes) override;
     bool has_partial_request() const override { return !is_finished_ && parser_.has_started(); }
-    /// A peer that opens such a connection has one request to send.
+    /// A connection carries exactly one request, so a timeout before its first byte gets a response too.
     bool expects_request() const override { return !is_finished_; }
     std::string format_response(const request::Response& response, bool close) override;
     std::string format_health_response(bool is_healthy, bool close) override;
@@ -35,7 +35,7 @@
 
     FieldDefaults& defaults_;
     RequestParser parser_;
-    /// The request is complete, or has been given up.
+    /// Whether the request is complete, rejected or timed out.
     bool is_finished_ = false;
 };
 
--- a/src/frontend/session.cpp
+++ b/src/frontend/session.cpp
@@ -1,4 +1,4 @@
-// Input, requests and responses of a session; session_shutdown.cpp has the ways in which it ends.
+// Input, requests and responses of a session. session_shutdown.cpp closes it.
 #include "frontend/session.hpp"
 
 #include <utility>
@@ -8,7 +8,7 @@
 namespace cressledge::frontend {
 namespace {
 
-/// Of bytes that a peer sends ahead of its turn; reading is paused beyond.
+/// Input that is buffered while a request is in flight. Beyond it, reading is paused.
 constexpr std::size_t max_pending_input_bytes = 16U << 10U;
 
 }  // namespace
@@ -19,7 +19,7 @@
     pending_input_.append(bytes);
     const bool is_in_flight = phase_ == RequestPhase::in_flight;
     if (is_in_flight && pending_input_.size() > max_pending_input_bytes && !is_reading_paused_) {
-        // Bounds the memory used by a peer that pipelines without reading its responses.
+        // Bounds the memory used by a peer that pipelines requests without reading the responses.
         is_reading_paused_ = true;
         stream_->set_reading_paused(true);
     }
@@ -45,21 +45,21 @@
     }
     if (has_partial_request() && phase_ != RequestPhase::receiving) {
         const bool is_admitted = admission_ == AdmissionState::admitted;
-        start_request_timer(frontend_.server_.now() +
+        start_request_timer(frontend_.request_manager_.now() +
                             (is_admitted ? frontend_.limits_.request_timeout : rejected_request_timeout));
-        frontend_.admitter_.limiter().on_first_byte(frontend_.server_.now(), connection_slot_);
+        frontend_.admitter_.limiter().on_first_byte(frontend_.request_manager_.now(), connection_slot_);
     }
 }
 
-// Guards the connection table against peers that send nothing, or begin a request and never complete it.
-void Session::start_request_timer(base::Timestamp due) {
+// Keeps peers that send nothing, or never complete a request, from filling the connection table.
+void Session::start_request_timer(base::Timestamp deadline) {
     phase_ = RequestPhase::receiving;
-    deadline_ = frontend_.timers_.schedule(due, [this] { on_request_timeout(); });
+    phase_timer_ = frontend_.timers_.schedule(deadline, [this] { on_request_timeout(); });
 }
 
 void Session::on_request_timeout() {
-    // Its last bytes may lie in the socket, where this process has been too slow to read them.
-    if (read_pending() || deadline_.is_scheduled())
+    // The rest of the request may be unread in the socket because this process is slow.
+    if (read_pending() || phase_timer_.is_scheduled())
         return;
     ++frontend_.closed_connections_.request_timeouts;
     if (!expects_request())
@@ -69,13 +69,13 @@
 
 bool Session::try_admit_request() {
     phase_ = RequestPhase::in_flight;
-    deadline_.cancel();
+    phase_timer_.cancel();
     auto& limiter = frontend_.admitter_.limiter();
     if (admission_ == AdmissionState::evicted) {
         retry_after_ = limiter.settings().max_retry_after;
         return false;
     }
-    const auto decision = limiter.admit_request(frontend_.server_.now(), connection_slot_);
+    const auto decision = limiter.admit_request(frontend_.request_manager_.now(), connection_slot_);
     if (decision.admitted)
         return true;
     frontend_.admitter_.on_request_rejected(decision, connection_slot_);
@@ -85,8 +85,10 @@
 
 void Session::submit(request::IncomingRequest incoming) {
     if (!try_admit_request())
-        return frontend_.server_.reject_before_admission(frontend_, id_, retry_after_, incoming.class_index);
-    const request::RequestId request_id = frontend_.server_.submit(std::move(incoming), frontend_, id_);
+        return frontend_.request_manager_.reject_before_admission(frontend_, id_, retry_after_,
+                                                                  incoming.class_index);
+    const request::RequestId request_id =
+        frontend_.request_manager_.submit(std::move(incoming), frontend_, id_);
     // The response may have been sent before submit() returned.
     if (phase_ == RequestPhase::in_flight)
         request_id_ = request_id;
@@ -95,7 +97,7 @@
 void Session::check_health(bool deep) {
     if (!try_admit_request())
         return send_health_response(false);
-    frontend_.server_.check_health(deep, [frontend = &frontend_, id = id_](bool is_healthy) {
+    frontend_.request_manager_.check_health(deep, [frontend = &frontend_, id = id_](bool is_healthy) {
         if (Session* session = frontend->sessions_.find(id); session != nullptr)
             session->send_health_response(is_healthy);
     });
@@ -104,14 +106,14 @@
 void Session::send_health_response(bool is_healthy) {
     if (phase_ != RequestPhase::in_flight)
         return;
-    const bool close = should_close_with_response();
+    const bool close = should_close_after_response();
     finish_request(format_health_response(is_healthy, close), close);
 }
 
 void Session::send_response(const request::Response& response) {
     if (phase_ != RequestPhase::in_flight)
         return;
-    const bool close = should_close_with_response();
+    const bool close = should_close_after_response();
     finish_request(format_response(response, close), close);
 }
 
@@ -121,12 +123,12 @@
 }
 
 void Session::respond_directly(const std::string& bytes, bool close) {
-    deadline_.cancel();
+    phase_timer_.cancel();
     finish_request(bytes, close);
 }
 
-// Once the listening socket is handed over, a caller's next request has to come by a new connection to the next process.
-bool Session::should_close_with_response() const {
+// After the listening socket is handed over, a caller has to open a new connection, which reaches the next process.
+bool Session::should_close_after_response() const {
     return !keep_alive() || lifecycle_.announces_close() || frontend_.draining_ || frontend_.handing_over_ ||
            admission_ != AdmissionState::admitted;
 }
@@ -146,7 +148,8 @@
         return close_and_remove();
     }
     close = close || admission_ != AdmissionState::admitted;
-    frontend_.admitter_.limiter().on_response_sent(frontend_.server_.now(), connection_slot_, !close);
+    frontend_.admitter_.limiter().on_response_sent(frontend_.request_manager_.now(), connection_slot_,
+                                                   !close);
     if (close)
         return start_lingering();
     start_idle_timer();
--- a/src/frontend/session_shutdown.cpp
+++ b/src/frontend/session_shutdown.cpp
@@ -1,4 +1,4 @@
-// The ways in which a session ends: idle timeout, drain, eviction, the peer's close, and the lingering close itself.
+// Closing of a session: idle timeout, drain, eviction, close by the peer, and the lingering close.
 #include <utility>
 
 #include "frontend/frontend.hpp"
@@ -7,32 +7,34 @@
 namespace cressledge::frontend {
 namespace {
 
-/// Bytes read and dropped after the last response, so that the response is not destroyed by a reset.
+/// Limits the bytes that are read and discarded after the last response. They are read because a close with unread
+/// input would reset the connection and destroy the response.
 constexpr std::size_t max_discarded_bytes = 1U << 20U;
-/// For a peer to read the last response and close.
+/// Time for a peer to read the last response and close the connection.
 constexpr base::Duration linger_timeout{1'000'000};
 
 }  // namespace
 
-// The write side is shut: what still comes is dropped, never run or forwarded.
+// The write side is shut down: further input is discarded and never runs.
 void Session::discard(std::size_t size) {
     discarded_bytes_ += size;
-    // Bounds the work for a peer that goes on sending: a response that it has not read by now may be lost.
+    // Bounds the work for a peer that keeps sending. A response that it has not read by now may be lost.
     if (discarded_bytes_ <= max_discarded_bytes)
         return;
     ++frontend_.closed_connections_.excess_input;
     close_and_remove();
 }
 
-// Before a connection is ended: what the peer had sent by now is still its request. True: a request is in flight, or the
-// connection has ended by what was read.
+// Reads the input that has arrived, to be called before the connection is closed: a request that the peer has already
+// sent still counts. Returns true if a request is in flight or reading has led to the end of the connection.
 bool Session::read_pending() {
     if (stream_ != nullptr)
         stream_->read_pending();
     return stream_ == nullptr || phase_ == RequestPhase::in_flight || !lifecycle_.accepts_requests();
 }
 
-// A close with bytes still unread would reset the connection and destroy the response.
+// Shuts down the write side and waits for the peer to close. A close with unread input would reset the connection and
+// destroy the response.
 void Session::start_lingering() {
     if (!lifecycle_.linger())
         return;
@@ -41,20 +43,20 @@
     stream_->shut_down_writes();
     if (is_reading_paused_)
         stream_->set_reading_paused(false);
-    deadline_ =
-        frontend_.timers_.schedule(frontend_.server_.now() + linger_timeout, [this] { close_and_remove(); });
+    phase_timer_ = frontend_.timers_.schedule(frontend_.request_manager_.now() + linger_timeout,
+                                              [this] { close_and_remove(); });
 }
 
-// The next response is the last one; a connection without a request ends now.
+// Makes the next response the last one. A connection without a request is closed now.
 void Session::start_drain() {
     if (!lifecycle_.drain() || phase_ == RequestPhase::in_flight || read_pending() || has_partial_request())
         return;
-    frontend_.admitter_.limiter().on_response_sent(frontend_.server_.now(), connection_slot_, false);
+    frontend_.admitter_.limiter().on_response_sent(frontend_.request_manager_.now(), connection_slot_, false);
     start_lingering();
 }
 
-// The connection's slot is given to another one. A request that was sent before never ran and is rejected; without one
-// the descriptor is free at once.
+// The connection's slot goes to another connection. A request that was already sent has not run and is rejected.
+// Without one the connection is closed without lingering, which releases its descriptor at once.
 void Session::evict() {
     ++frontend_.closed_connections_.evicted;
     admission_ = AdmissionState::evicted;
@@ -64,7 +66,7 @@
     close_and_remove();
 }
 
-// The shorter of the controller's limit and the configured timeout. 0: none.
+// Returns the shorter of the admission controller's limit and the configured timeout. 0: none.
 base::Duration Session::idle_timeout() const {
     const base::Duration requested = frontend_.idle_limit_;
     const base::Duration configured = frontend_.limits_.idle_timeout;
@@ -74,26 +76,26 @@
 }
 
 void Session::start_idle_timer() {
-    deadline_.cancel();
+    phase_timer_.cancel();
     if (std::exchange(phase_, RequestPhase::idle) != RequestPhase::idle)
-        idle_since_ = frontend_.server_.now();
+        idle_since_ = frontend_.request_manager_.now();
     const base::Duration timeout = idle_timeout();
     if (timeout <= base::Duration(0))
         return;
-    deadline_ = frontend_.timers_.schedule(idle_since_ + timeout, [this] { on_idle_timeout(); });
+    phase_timer_ = frontend_.timers_.schedule(idle_since_ + timeout, [this] { on_idle_timeout(); });
 }
 
 void Session::on_idle_timeout() {
-    // A request may have arrived in this very instant: then the connection is not idle.
-    if (read_pending() || deadline_.is_scheduled())
+    // A request may have arrived that is still unread: then the connection is not idle.
+    if (read_pending() || phase_timer_.is_scheduled())
         return;
     ++frontend_.closed_connections_.idle_timeouts;
-    frontend_.admitter_.limiter().on_response_sent(frontend_.server_.now(), connection_slot_, false);
+    frontend_.admitter_.limiter().on_response_sent(frontend_.request_manager_.now(), connection_slot_, false);
     start_lingering();
 }
 
 bool Session::on_eof() {
-    // The peer may still read its response: the linger deadline ends it.
+    // The peer may still read its response. The linger timeout bounds that.
     if (lifecycle_.is_lingering())
         return stream_->has_unwritten_bytes();
     if (phase_ == RequestPhase::in_flight || !lifecycle_.accepts_requests() || !has_partial_request())
@@ -111,7 +113,7 @@
     phase_ = RequestPhase::none;
     const request::RequestId request_id = std::exchange(request_id_, 0);
     if (request_id != 0)
-        frontend_.server_.cancel(request_id);
+        frontend_.request_manager_.cancel(request_id);
     close_and_remove();
 }
 
@@ -120,8 +122,8 @@
     lifecycle_.close();
     if (stream_ != nullptr)
         std::exchange(stream_, nullptr)->close();
-    // Its own code may still be on the stack: the slot is freed on the next turn of the loop.
-    deadline_ = frontend_.timers_.schedule(
+    // A member function of this session may still be on the stack: it is removed on the next turn of the loop.
+    phase_timer_ = frontend_.timers_.schedule(
         base::Timestamp(0), [frontend = &frontend_, id = id_] { frontend->remove_session(id); });
 }
 
--- a/src/frontend/shutdown_coordinator.cpp
+++ b/src/frontend/shutdown_coordinator.cpp
@@ -8,13 +8,15 @@
 namespace cressledge::frontend {
 namespace {
 
-/// Before the stop: time for callers to read their responses, and for requests that cross a close to be sent elsewhere.
+/// Connections are drained this long before the stop. It leaves callers time to read their responses and to resend
+/// elsewhere a request that crossed the close of its connection.
 constexpr base::Duration connection_close_lead{500'000};
+/// Interval at which a drain checks whether it is complete.
 constexpr base::Duration drain_check_interval{10'000};
-/// The admission controller ends open requests 100 ms before the stop. Later than this an incomplete request is not
-/// waited for.
+/// Incomplete requests are closed this long before the stop, because the admission controller ends open requests 100 ms
+/// before it.
 constexpr base::Duration incomplete_request_lead{150'000};
-/// Later than this no peer is waited for to read its response.
+/// From this long before the stop, the process exits without waiting for peers to read their responses.
 constexpr base::Duration exit_lead{40'000};
 
 /// A counter and its name in `node.connections.X`.
@@ -42,16 +44,16 @@
 }
 
 void ShutdownCoordinator::start_graceful_shutdown() {
-    if (server_.draining())
+    if (request_manager_.draining())
         return;
-    const base::Timestamp now = server_.now();
-    const base::Timestamp stop_time = now + stop_delay_;
-    base::log_info("frontend: graceful shutdown started unanswered={} stop_ms={}", server_.unanswered_count(),
-                   stop_delay_.count() / 1000);
-    server_.drain(stop_time);
+    const base::Timestamp now = request_manager_.now();
+    const base::Timestamp stop_at = now + stop_delay_;
+    base::log_info("frontend: graceful shutdown started unanswered={} stop_ms={}",
+                   request_manager_.unanswered_count(), stop_delay_.count() / 1000);
+    request_manager_.drain(stop_at);
     for (const auto& frontend : frontends_)
         frontend->start_handover();
-    timers_.schedule_detached(std::max(now, stop_time - connection_close_lead), [this] { start_drain(); });
+    timers_.schedule_detached(std::max(now, stop_at - connection_close_lead), [this] { start_drain(); });
 }
 
 void ShutdownCoordinator::start_drain() {
@@ -70,7 +72,7 @@
 }
 
 bool ShutdownCoordinator::has_unfinished_work() const {
-    return server_.unanswered_count() > 0 ||
+    return request_manager_.unanswered_count() > 0 ||
            std::any_of(frontends_.begin(), frontends_.end(),
                        [](const auto& frontend) { return frontend->has_unfinished_responses(); });
 }
@@ -78,16 +80,16 @@
 bool ShutdownCoordinator::can_stop(base::Timestamp now) const {
     const bool is_drained = std::all_of(frontends_.begin(), frontends_.end(),
                                         [](const auto& frontend) { return frontend->is_drained(); });
-    const bool is_stop_near = now >= server_.shutdown_deadline() - exit_lead;
-    return (is_drained || is_stop_near) && server_.unanswered_count() == 0;
+    const bool is_stop_near = now >= request_manager_.shutdown_deadline() - exit_lead;
+    return (is_drained || is_stop_near) && request_manager_.unanswered_count() == 0;
 }
 
 void ShutdownCoordinator::advance_drain() {
-    const base::Timestamp now = server_.now();
-    const bool is_final_attempt = now >= server_.shutdown_deadline() - incomplete_request_lead;
+    const base::Timestamp now = request_manager_.now();
+    const bool is_final_attempt = now >= request_manager_.shutdown_deadline() - incomplete_request_lead;
     for (const auto& frontend : frontends_)
         frontend->drain_backlog(is_final_attempt);
-    // An incomplete request gets the time that the others need, and no more.
+    // Incomplete requests do not extend the shutdown: they are closed once no other work is unfinished.
     if (!has_unfinished_work() || is_final_attempt)
         for (const auto& frontend : frontends_)
             frontend->close_incomplete_requests();
@@ -97,7 +99,7 @@
 }
 
 void ShutdownCoordinator::stop() {
-    const auto& counts = server_.counts();
+    const auto& counts = request_manager_.counts();
     base::log_info(
         "frontend: graceful shutdown finished received={} served={} rejected={} failed={} cancelled={}",
         counts.received, counts.served, counts.rejected, counts.failed, counts.cancelled);
--- a/src/frontend/shutdown_coordinator.hpp
+++ b/src/frontend/shutdown_coordinator.hpp
@@ -1,8 +1,9 @@
-/// Graceful shutdown over all frontends of a process: the notice, the last moments before the stop, the end.
+/// Graceful shutdown of all frontends of a process.
 ///
-/// Owns the frontends. Ends the loop once everything that was read is answered, or just before the stop.
+/// Owns the frontends. After the shutdown notice it hands over shared listening sockets, later drains the connections,
+/// and stops the loop when all requests have their responses, at the latest just before the process is stopped.
 ///
-/// Invariant: a request that was read gets its response before the loop is stopped.
+/// Invariant: every request that was read gets its response before the loop is stopped.
 #pragma once
 
 #include <memory>
@@ -13,23 +14,23 @@
 
 namespace cressledge::frontend {
 
-/// Takes the frontends of a process through its graceful shutdown.
+/// Carries out the graceful shutdown of the frontends of a process.
 class ShutdownCoordinator {
 public:
-    /// `stop_delay`: from the notice to the stop of the process.
-    ShutdownCoordinator(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& server,
+    /// `stop_delay`: time from the shutdown notice to the stop of the process.
+    ShutdownCoordinator(net::Loop& loop, base::TimerQueue& timers, request::RequestManager& request_manager,
                         base::Duration stop_delay)
-        : loop_(loop), timers_(timers), server_(server), stop_delay_(stop_delay) {}
+        : loop_(loop), timers_(timers), request_manager_(request_manager), stop_delay_(stop_delay) {}
 
-    /// Takes ownership of a frontend; it drains with the others at graceful shutdown.
+    /// Takes ownership of a frontend.
     void add_frontend(std::unique_ptr<Frontend> frontend) { frontends_.push_back(std::move(frontend)); }
-    /// The frontend added last; there must be one.
+    /// The frontend that was added last. At least one must have been added.
     Frontend& last_frontend() { return *frontends_.back(); }
-    /// Sets the controller's idle limit on every frontend. 0: none.
+    /// Sets the admission controller's idle limit on every frontend. 0: none.
     void set_idle_limit(base::Duration limit);
-    /// Begins the shutdown. A second call has no effect.
+    /// Starts the shutdown. A second call has no effect.
     void start_graceful_shutdown();
-    /// Appends `node.connections.X`: connections by what closed them, summed over all frontends.
+    /// Appends the metrics `node.connections.X`: closed connections by cause, summed over all frontends.
     void collect_connection_metrics(base::Metrics& out) const;
 
 private:
@@ -41,7 +42,7 @@
 
     net::Loop& loop_;
     base::TimerQueue& timers_;
-    request::RequestManager& server_;
+    request::RequestManager& request_manager_;
     const base::Duration stop_delay_;
     std::vector<std::unique_ptr<Frontend>> frontends_;
 };
