--- a/tests/cressledge/connection_shutdown_test.cpp
+++ b/tests/cressledge/connection_shutdown_test.cpp
@@ -1,5 +1,5 @@
-// Tests of how connections end, on real sockets and on both frontends. Each race is forced, not waited for: the client acts
-// by plain system calls while the event loop stands still, and only then does the program take its step.
+// Tests of how connections are closed, over real sockets and both protocols. Races are deterministic: the client uses
+// system calls while the event loop is not running, and only then does the frontend take its next step.
 #include "frontend_fixture.hpp"
 
 namespace {
@@ -11,7 +11,7 @@
     for (const Protocol protocol : all_protocols) {
         FrontendFixture fixture(protocol);
         auto client = fixture.open_idle_connection();
-        // Not read: the loop stands still.
+        // The request stays unread: the loop is not running.
         client->send(fixture.request());
         fixture.frontend().start_drain();
         CHECK(fixture.running_ids.size() == 1);
@@ -30,26 +30,26 @@
         auto client = fixture.open_idle_connection();
         const auto before = fixture.requests_read();
         fixture.frontend().start_drain();
-        // Crosses the shutdown.
+        // The request is sent before the client can see the close.
         client->send(fixture.request());
         fixture.expect_clean_close(*client);
         CHECK(fixture.requests_read() == before);
         CHECK(fixture.running_ids.empty());
-        // The connection lingers until the client has closed as well.
+        // The connection lingers until the client closes too.
         CHECK(fixture.frontend().has_unfinished_responses());
         client->close();
         fixture.test_loop.run_until([&] { return fixture.frontend().is_drained(); });
     }
 }
 
-TEST_CASE("connection shutdown: input behind the last response neither runs nor destroys the response") {
+TEST_CASE("connection shutdown: input after the last response neither runs nor destroys the response") {
     for (const Protocol protocol : all_protocols) {
         FrontendFixture fixture(protocol);
         auto client = fixture.open_idle_connection();
         client->send(fixture.request());
         fixture.test_loop.run_until([&] { return fixture.running_ids.size() == 1; });
         fixture.frontend().start_drain();
-        // Unread when the response goes out.
+        // Still unread when the response is written.
         client->send(fixture.request() + fixture.request());
         fixture.finish_all();
         client->try_send(fixture.request());
@@ -78,7 +78,7 @@
 }
 
 TEST_CASE(
-    "connection shutdown: a request that races the idle time-out is answered, and an idle connection closes "
+    "connection shutdown: a request that races the idle timeout is answered, and an idle connection closes "
     "cleanly") {
     frontend::Frontend::Limits limits;
     limits.idle_timeout = Duration(1'000'000);
@@ -86,7 +86,7 @@
     auto crossing = fixture.open_idle_connection();
     auto idle = fixture.open_idle_connection();
     crossing->send(fixture.request());
-    // Both time-outs are over, and the loop has read nothing.
+    // Both idle timeouts have expired, and the loop has read nothing.
     fixture.test_loop.timers.run_due(wall_clock_now() + Duration(1'500'000));
     CHECK(fixture.running_ids.size() == 1);
     fixture.expect_clean_close(*idle);
@@ -97,17 +97,17 @@
     CHECK_FALSE(crossing->is_over());
 }
 
-TEST_CASE("connection shutdown: unread input is read before a request time-out is decided") {
+TEST_CASE("connection shutdown: unread input is read before a request times out") {
     for (const Protocol protocol : all_protocols) {
         FrontendFixture fixture(protocol);
-        const std::string all = fixture.request();
+        const std::string full_request = fixture.request();
         auto client = fixture.open_idle_connection();
         auto incomplete = fixture.open_idle_connection();
-        client->send(all.substr(0, 20));
-        incomplete->send(all.substr(0, 20));
+        client->send(full_request.substr(0, 20));
+        incomplete->send(full_request.substr(0, 20));
         fixture.test_loop.loop.run_once(false);
         fixture.test_loop.loop.run_once(false);
-        client->send(all.substr(20));
+        client->send(full_request.substr(20));
         fixture.test_loop.timers.run_due(wall_clock_now() + Duration(5'000'000));
         CHECK(fixture.running_ids.size() == 1);
         fixture.test_loop.run_until([&] { return incomplete->is_over(); });
@@ -120,7 +120,7 @@
 }
 
 TEST_CASE(
-    "connection shutdown: a connection evicted for another gets 503 for what it had asked, or closes "
+    "connection shutdown: a connection evicted for another gets 503 for its request, or closes "
     "cleanly") {
     for (const Protocol protocol : all_protocols) {
         FrontendFixture fixture(protocol, {}, 2);
@@ -131,7 +131,7 @@
         RawClient third(fixture.frontend().port());
         other->send(fixture.request("trail-sheet"));
         third.send(fixture.request("trail-sheet"));
-        // All three are admitted or rejected in one go, before anything is read from the first.
+        // All three are admitted or rejected in one turn of the loop, before the first one is read.
         fixture.test_loop.run_until([&] {
             fixture.finish_all();
             return active->has_received("\r\n\r\n") && other->has_received("\r\n\r\n") &&
@@ -152,11 +152,11 @@
         client->send(fixture.request());
         for (int i = 0; i < 2; ++i)
             CHECK(fixture.admitter.descriptors().used() > 0);
-        const auto one = fixture.admitter.limiter().evict_connection(fixture.server.now());
-        const auto two = fixture.admitter.limiter().evict_connection(fixture.server.now());
-        REQUIRE((one && two));
-        fixture.frontend().evict(one->connection_id);
-        fixture.frontend().evict(two->connection_id);
+        const auto first = fixture.admitter.limiter().evict_connection(fixture.server.now());
+        const auto second = fixture.admitter.limiter().evict_connection(fixture.server.now());
+        REQUIRE((first && second));
+        fixture.frontend().evict(first->connection_id);
+        fixture.frontend().evict(second->connection_id);
         fixture.test_loop.run_until([&] { return client->is_over() && idle->is_over(); });
         CHECK(client->has_received(" 503 "));
         CHECK_FALSE(client->was_reset);
@@ -168,14 +168,14 @@
 }
 
 TEST_CASE(
-    "connection shutdown: a connection that waits for a descriptor when the shutdown starts is answered in "
-    "the end") {
+    "connection shutdown: a connection that waits for a descriptor when the shutdown starts is "
+    "answered later") {
     for (const Protocol protocol : all_protocols) {
         FrontendFixture fixture(protocol);
         auto active = fixture.open_idle_connection();
         active->send(fixture.request());
         fixture.test_loop.run_until([&] { return fixture.running_ids.size() == 1; });
-        // All descriptors that the frontend might use.
+        // Takes all descriptors that the frontend could use.
         std::vector<connection_admission::FileDescriptorBudget::Lease> leases;
         while (auto lease = fixture.descriptors.try_acquire(
                    fixture.server.now(), connection_admission::DescriptorPurpose::frontend))
@@ -210,13 +210,13 @@
             active_clients.back()->send(fixture.request());
         }
         fixture.test_loop.run_until([&] { return fixture.running_ids.size() == 2; });
-        // One source may use one rejection slot.
+        // One source may hold only one rejection slot.
         waiting_clients.push_back(std::make_unique<RawClient>(fixture.frontend().port()));
         fixture.test_loop.run_until([&] { return fixture.admitter.limiter().rejection_slots_in_use() == 1; },
                                     true);
         RawClient active(fixture.frontend().port());
         RawClient silent(fixture.frontend().port());
-        // In the receive buffer before the connection is accepted.
+        // The request is in the receive buffer before the connection is accepted.
         active.send(fixture.request());
         fixture.test_loop.run_until([&] { return active.is_over() && silent.is_over(); });
         INFO(active.received);
@@ -234,21 +234,21 @@
 TEST_CASE("connection shutdown: an incomplete request and a silent connection do not delay the exit") {
     for (const Protocol protocol : all_protocols) {
         frontend::Frontend::Limits limits;
-        // Longer than the shutdown takes: only the exit can end the incomplete request.
+        // Longer than the shutdown: only the exit can end the incomplete request.
         limits.request_timeout = Duration(60'000'000);
         FrontendFixture fixture(protocol, limits, 64, Duration(20'000'000));
-        const std::string all = fixture.request();
+        const std::string full_request = fixture.request();
         auto incomplete = fixture.open_idle_connection();
         auto silent = fixture.open_idle_connection();
         auto active = fixture.open_idle_connection();
-        active->send(all);
+        active->send(full_request);
         fixture.test_loop.run_until([&] { return fixture.running_ids.size() == 1; });
-        incomplete->send(all.substr(0, 20));
+        incomplete->send(full_request.substr(0, 20));
         fixture.test_loop.loop.run_once(false);
         fixture.test_loop.loop.run_once(false);
-        const Timestamp from = wall_clock_now();
+        const Timestamp started_at = wall_clock_now();
         fixture.shutdown_coordinator.start_graceful_shutdown();
-        // The exit begins half a second before the deadline; the test does not wait for it.
+        // The drain starts half a second before the deadline. The test moves the timers there instead of waiting.
         fixture.test_loop.timers.run_due(fixture.server.shutdown_deadline() - Duration(500'000));
         bool stopped = false;
         fixture.finish_all();
@@ -263,25 +263,25 @@
         });
         CHECK(stopped);
         CHECK(fixture.frontend().closed_connections().incomplete_at_shutdown == 1);
-        // No response is owed to an incomplete request.
+        // An incomplete request gets no response.
         CHECK(incomplete->received.empty());
         CHECK_FALSE(incomplete->was_reset);
-        CHECK(wall_clock_now() - from < Duration(5'000'000));
+        CHECK(wall_clock_now() - started_at < Duration(5'000'000));
     }
 }
 
-TEST_CASE("connection shutdown: a request completed while others are waited for is answered") {
+TEST_CASE("connection shutdown: a request completed while other requests are in flight is answered") {
     for (const Protocol protocol : all_protocols) {
         FrontendFixture fixture(protocol);
-        const std::string all = fixture.request();
+        const std::string full_request = fixture.request();
         auto incomplete = fixture.open_idle_connection();
         auto active = fixture.open_idle_connection();
-        active->send(all);
-        incomplete->send(all.substr(0, 20));
+        active->send(full_request);
+        incomplete->send(full_request.substr(0, 20));
         fixture.test_loop.run_until([&] { return fixture.running_ids.size() == 1; });
         fixture.test_loop.loop.run_once(false);
         fixture.frontend().start_drain();
-        incomplete->send(all.substr(20));
+        incomplete->send(full_request.substr(20));
         fixture.test_loop.run_until([&] { return fixture.running_ids.size() == 2; });
         fixture.finish_all();
         fixture.expect_served(*active);
@@ -299,7 +299,7 @@
     const std::string large(240'000, 'm');
     for (const request::RequestId request_id : std::exchange(fixture.running_ids, {}))
         fixture.server.run_finished(request_id, request::RunResult::succeeded, large);
-    // Most of the response is still to be written.
+    // Most of the response is still unwritten.
     client->half_close();
     for (int i = 0; i < 3; ++i)
         fixture.test_loop.loop.run_once(false);
@@ -324,15 +324,15 @@
         CHECK(malformed->has_received(" 400 "));
         CHECK(fixture.frontend().closed_connections().malformed_requests == 1);
         fixture.test_loop.run_until([&] { return truncated->is_over(); });
-        // An HTTP client that half-closes within a request has given up; over SCGI it gets a response.
+        // An HTTP client that half-closes within a request gets no response, an SCGI client does.
         CHECK(truncated->has_received(" 400 ") == (protocol == Protocol::scgi));
         CHECK(fixture.frontend().closed_connections().truncated_requests == 1);
         fixture.frontend().start_drain();
         fixture.finish_all();
-        const std::string part(64'000, 'x');
+        const std::string excess_bytes(64'000, 'x');
         fixture.test_loop.run_until(
             [&] {
-                flooding->try_send(part);
+                flooding->try_send(excess_bytes);
                 return fixture.frontend().closed_connections().excess_input == 1;
             },
             false);
@@ -340,7 +340,7 @@
     }
 }
 
-TEST_CASE("connection shutdown: the connection lifecycle only moves forwards") {
+TEST_CASE("connection shutdown: a connection lifecycle never returns to an earlier state") {
     frontend::ConnectionLifecycle lifecycle;
     CHECK(lifecycle.accepts_requests());
     CHECK(lifecycle.drain());
--- a/tests/cressledge/frontend_fixture.hpp
+++ b/tests/cressledge/frontend_fixture.hpp
@@ -1,5 +1,5 @@
-/// A frontend before a request manager whose runs the test ends, and clients that act by plain system calls while the loop
-/// stands still: with them a race is forced, not hoped for.
+/// A frontend with a request manager whose runs the test finishes, and clients that use system calls while the event
+/// loop is not running, so that races between client and frontend are deterministic.
 #pragma once
 
 #include <arpa/inet.h>
@@ -17,7 +17,8 @@
 
 namespace cressledge::testing {
 
-/// A client that acts while the loop does not turn. The system completes its connection in the backlog.
+/// A client on system calls, which acts while the event loop is not running. The kernel completes its connection in the
+/// backlog.
 class RawClient {
 public:
     explicit RawClient(int port, int receive_buffer_bytes = 0)
@@ -26,7 +27,7 @@
         address.sin_family = AF_INET;
         address.sin_port = htons(static_cast<std::uint16_t>(port));
         address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        // Sent bytes have to be on their way when send() returns: the system must not hold a second small write back.
+        // Sent bytes must be in transit when send() returns: the kernel must not delay a second small write.
         const int on = 1;
         ::setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
         if (receive_buffer_bytes > 0)
@@ -39,14 +40,14 @@
     void send(const std::string& bytes) const {
         REQUIRE(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
     }
-    /// Sends on a connection that may have been reset. The system tells of a reset once, perhaps here.
+    /// Sends on a connection that may have been reset. The kernel reports a reset only once, possibly here.
     void try_send(const std::string& bytes) {
         if (::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0)
             was_reset = was_reset || errno == ECONNRESET;
     }
     void half_close() const { ::shutdown(fd_, SHUT_WR); }
     void close() { ::close(std::exchange(fd_, -1)); }
-    /// Reads what has come so far.
+    /// Reads the bytes that have arrived.
     void read_available() {
         if (fd_ < 0)
             return;
@@ -75,29 +76,29 @@
     int fd_;
 };
 
-/// Runs everything at once, except a repeat: it shares the result of the request that it repeats.
+/// Runs each request at once, except a repeated one, which gets the result of the request that it repeats.
 struct RunAllController final : policy::AdmissionController {
     explicit RunAllController(policy::Settings settings) : policy_settings(std::move(settings)) {}
     const policy::Settings policy_settings;
     std::optional<policy::RequestArrived> last_request;
-    void handle(Timestamp, const policy::Event& e, std::vector<policy::Action>& out) override {
-        const auto* r = std::get_if<policy::RequestArrived>(&e);
-        if (r == nullptr)
+    void handle(Timestamp, const policy::Event& event, std::vector<policy::Action>& out) override {
+        const auto* request = std::get_if<policy::RequestArrived>(&event);
+        if (request == nullptr)
             return;
-        last_request = *r;
-        const policy::RequestClass& c = policy_settings.classes[r->class_index];
-        if (r->repeated_id != 0)
-            return out.emplace_back(policy::ReplayResult{r->id}), void();
-        if (c.idempotency == policy::Idempotency::with_key)
-            out.emplace_back(policy::RetainKey{r->id, c.idempotency_window - r->age});
-        out.emplace_back(policy::Run{r->id});
+        last_request = *request;
+        const policy::RequestClass& request_class = policy_settings.classes[request->class_index];
+        if (request->repeated_id != 0)
+            return out.emplace_back(policy::ReplayResult{request->id}), void();
+        if (request_class.idempotency == policy::Idempotency::with_key)
+            out.emplace_back(policy::RetainKey{request->id, request_class.idempotency_window - request->age});
+        out.emplace_back(policy::Run{request->id});
     }
 };
 
 enum class Protocol { http, scgi };
 inline constexpr Protocol all_protocols[] = {Protocol::http, Protocol::scgi};
 
-/// One frontend before a request manager whose runs the test ends.
+/// One frontend with a request manager whose runs the test finishes.
 struct FrontendFixture : request::Executor, request::DependencyClient, request::ConnectionSettingsSink {
     TestLoop test_loop;
     const Protocol protocol;
@@ -112,13 +113,13 @@
     std::vector<request::RequestId> running_ids;
 
     static connection_admission::DescriptorPlan make_plan(std::uint32_t connections) {
-        connection_admission::DescriptorDemand needs;
-        needs.listeners = 1;
-        needs.rejection_slots = 4;
-        return connection_admission::plan_descriptors(256, 0, needs, connections);
+        connection_admission::DescriptorDemand demand;
+        demand.listeners = 1;
+        demand.rejection_slots = 4;
+        return connection_admission::plan_descriptors(256, 0, demand, connections);
     }
-    /// `send_buffer_bytes`: what the system takes from the program for each connection before the peer does; 0: its default.
-    static net::ListenEndpoint make_listening(int send_buffer_bytes) {
+    /// `send_buffer_bytes`: size of the send buffer of each connection; 0: default of the system.
+    static net::ListenEndpoint make_listen_endpoint(int send_buffer_bytes) {
         if (send_buffer_bytes == 0)
             return net::ListenEndpoint{loopback_address(0)};
         const int fd = net::open_listening_socket(loopback_address(0));
@@ -127,10 +128,10 @@
     }
     static connection_admission::Settings make_admission_settings(
         const connection_admission::DescriptorPlan& plan) {
-        connection_admission::Settings s;
-        s.max_connections = plan.max_connections;
-        s.rejection_slots = plan.rejection_slots;
-        return s;
+        connection_admission::Settings settings;
+        settings.max_connections = plan.max_connections;
+        settings.rejection_slots = plan.rejection_slots;
+        return settings;
     }
     explicit FrontendFixture(Protocol protocol_under_test, frontend::Frontend::Limits limits = {},
                              std::uint32_t connections = 64, Duration stop_delay = Duration(3'000'000),
@@ -147,11 +148,11 @@
         server.attach(*this, *this, *this);
         server.start(wall_clock_now());
         shutdown_coordinator.add_frontend(std::make_unique<frontend::Frontend>(
-            test_loop.loop, test_loop.timers, server, admitter, make_listening(send_buffer_bytes), limits,
-            [this](frontend::Frontend& f) -> std::unique_ptr<frontend::Session> {
+            test_loop.loop, test_loop.timers, server, admitter, make_listen_endpoint(send_buffer_bytes),
+            limits, [this](frontend::Frontend& owner) -> std::unique_ptr<frontend::Session> {
                 if (protocol == Protocol::scgi)
-                    return std::make_unique<frontend::scgi::ScgiSession>(f, defaults);
-                return std::make_unique<frontend::http::HttpSession>(f, &defaults);
+                    return std::make_unique<frontend::scgi::ScgiSession>(owner, defaults);
+                return std::make_unique<frontend::http::HttpSession>(owner, &defaults);
             }));
     }
     void run(const request::Work& work) override { running_ids.push_back(work.request_id); }
@@ -168,7 +169,7 @@
 
     frontend::Frontend& frontend() { return shutdown_coordinator.last_frontend(); }
     std::uint64_t requests_read() const { return server.counts().received; }
-    /// A whole request of the fixture's protocol. `extra_fields`: names on the wire, and values.
+    /// Returns a complete request in the fixture's protocol. `extra_fields`: platform fields by HTTP header name.
     std::string request(const std::string& class_name = "map-order", const std::string& body = "x",
                         const std::vector<std::pair<std::string, std::string>>& extra_fields = {}) {
         if (protocol == Protocol::http) {
@@ -187,8 +188,8 @@
         }
         return std::to_string(head.size()) + ':' + head + ',' + body;
     }
-    /// A connection that has been accepted and has no request in flight: over HTTP one that has had a response.
-    /// `receive_buffer_bytes`: what the system takes for it before it reads; 0: its default.
+    /// Opens a connection and waits until it is accepted. Over HTTP it has also received one response.
+    /// `receive_buffer_bytes`: size of the client's receive buffer; 0: default of the system.
     std::unique_ptr<RawClient> open_idle_connection(int receive_buffer_bytes = 0) {
         auto client = std::make_unique<RawClient>(frontend().port(), receive_buffer_bytes);
         const std::size_t open_before = open_connections();
@@ -205,7 +206,7 @@
         for (const request::RequestId id : std::exchange(running_ids, {}))
             server.run_finished(id, request::RunResult::succeeded, "a whole map");
     }
-    /// One whole response, then a clean end.
+    /// Expects exactly one complete response and a close without a reset.
     void expect_served(RawClient& client) {
         test_loop.run_until([&] { return client.is_over(); });
         INFO(client.received);
--- a/tests/cressledge/platform_http_test.cpp
+++ b/tests/cressledge/platform_http_test.cpp
@@ -1,11 +1,11 @@
-// Requests of callers over HTTP on a platform node: parsing, limits and responses.
+// Tests of HTTP requests to a platform node: parsing, limits and responses.
 #include "platform_fixture.hpp"
 
 namespace {
 
 using namespace cressledge::testing;
 
-TEST_CASE("PlatformNode: a run's call and result pass byte for byte") {
+TEST_CASE("PlatformNode: a run's dependency call and result are passed on byte for byte") {
     PlatformFixture fixture;
     auto caller = fixture.connect_caller();
     const std::string body = binary_literal("\0\r\n\xff sheet"), result = binary_literal("\r\nDONE 9\0\xfe");
@@ -16,7 +16,7 @@
         return fixture.records.has_received("OP " + run) &&
                fixture.records.has_received(" 7\r\n" + call + "\r\n");
     });
-    // A reply to another request, and one that is split.
+    // A reply to another request, and a split reply.
     fixture.records.latest_peer().send("ffffffffffffffff WAIT\r\n" + run + " DO");
     fixture.records.latest_peer().send("NE 5\r\n" + reply + "\r\n");
     fixture.test_loop.run_until(
@@ -50,11 +50,12 @@
     fixture.test_loop.run_until([&] { return caller->is_closed; });
 }
 
-TEST_CASE("HTTP session: malformed requests are rejected by their fault and hold up nobody") {
+TEST_CASE(
+    "HTTP session: malformed requests get the status of their error and do not delay other connections") {
     PlatformFixture fixture;
-    auto slow = fixture.connect_caller();
-    // It never ends.
-    slow->send("POST /v1/trail-sheet HTTP/1.1\r\nTrace-");
+    auto incomplete = fixture.connect_caller();
+    // The request is never completed.
+    incomplete->send("POST /v1/trail-sheet HTTP/1.1\r\nTrace-");
     const auto status_of = [&](const std::string& bytes) {
         auto caller = fixture.connect_caller();
         caller->send(bytes);
@@ -86,7 +87,7 @@
         callers.back()->send("GET /healthz HTTP/1.1\r\n\r\n");
         fixture.expect_received(*callers.back(), "200 OK");
     }
-    // From here on number 2 has been idle longest.
+    // callers[2] has now been idle longest.
     callers[1]->take_through("200 OK");
     callers[1]->send("GET /healthz HTTP/1.1\r\n\r\n");
     fixture.expect_received(*callers[1], "200 OK");
@@ -112,18 +113,18 @@
 
 TEST_CASE("HTTP session: a silent connection or endless request is answered or closed within three seconds") {
     PlatformFixture fixture;
-    auto silent = fixture.connect_caller(), half_request = fixture.connect_caller(),
+    auto silent = fixture.connect_caller(), incomplete = fixture.connect_caller(),
          endless = fixture.connect_caller(), empty_lines = fixture.connect_caller(),
          idle = fixture.connect_caller();
     const Timestamp started_at = wall_clock_now();
-    half_request->send("POST /v1/trail-sheet HTTP/1.1\r\nTrace-");
+    incomplete->send("POST /v1/trail-sheet HTTP/1.1\r\nTrace-");
     endless->send("POST /v1/trail-sheet HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;" +
                   std::string(40'000, 'x'));
     empty_lines->send(std::string(40'000, '\n'));
     idle->send("GET /healthz HTTP/1.1\r\n\r\n");
     fixture.expect_received(*endless, "HTTP/1.1 400");
     fixture.expect_received(*empty_lines, "HTTP/1.1 400");
-    fixture.expect_received(*half_request, "HTTP/1.1 408");
+    fixture.expect_received(*incomplete, "HTTP/1.1 408");
     fixture.test_loop.run_until([&] { return silent->is_closed; });
     CHECK(silent->received.empty());
     CHECK(wall_clock_now() - started_at < Duration(3'000'000));
@@ -131,18 +132,18 @@
     auto large = fixture.connect_caller();
     large->send("POST /v1/trail-sheet HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
     fixture.expect_received(*large, "HTTP/1.1 413");
-    const std::string body_part(200'000, 'x');
-    // The rejection does not keep the caller from sending on.
+    const std::string excess_bytes(200'000, 'x');
+    // The caller keeps sending after the rejection.
     while (!large->is_closed && wall_clock_now() - started_at < Duration(6'000'000)) {
         if (large->stream != nullptr)
-            large->stream->write(body_part);
+            large->stream->write(excess_bytes);
         fixture.test_loop.loop.run_once(false);
     }
     CHECK(large->is_closed);
     CHECK(wall_clock_now() - started_at < Duration(6'000'000));
 }
 
-TEST_CASE("HTTP session: a body of ambiguous length is rejected with all that follows it") {
+TEST_CASE("HTTP session: a body of ambiguous length is rejected with all bytes after it") {
     PlatformFixture fixture;
     const std::string hidden_request = fixture.make_request("trail-sheet", "hidden");
     const std::string head =
@@ -181,17 +182,17 @@
     CHECK_FALSE(fixture.engine.has_received("RUN "));
 }
 
-TEST_CASE("PlatformNode: the id of an open request is rejected for another, and the first is served") {
+TEST_CASE("PlatformNode: a request with the id of an open request is rejected, and the first is served") {
     PlatformFixture fixture;
     auto caller = fixture.connect_caller(), other_caller = fixture.connect_caller();
     const std::string run = fixture.start_run(*caller, "trail-sheet", "mine");
-    // The next request gets the same name.
+    // The next request gets the same id.
     --fixture.request_count;
     other_caller->send(fixture.make_request("trail-sheet", "other"));
     fixture.expect_received(*other_caller, "HTTP/1.1 400");
     fixture.engine.latest_peer().send("DONE 1 " + run + " PASS 1 1\r\nx\r\n");
     fixture.expect_received(*caller, "HTTP/1.1 200");
-    // The engine does not know this one.
+    // The engine refuses this run.
     auto third_caller = fixture.connect_caller();
     const std::string rejected_run = fixture.start_run(*third_caller, "trail-sheet", "x");
     fixture.engine.latest_peer().send("NO RUN " + rejected_run + "\r\n");
