--- a/tests/cressledge/connection_shutdown_test.cpp
+++ b/tests/cressledge/connection_shutdown_test.cpp
@@ -152,8 +152,8 @@
         client->send(fixture.request());
         for (int i = 0; i < 2; ++i)
             CHECK(fixture.admitter.descriptors().used() > 0);
-        const auto first = fixture.admitter.limiter().evict_connection(fixture.server.now());
-        const auto second = fixture.admitter.limiter().evict_connection(fixture.server.now());
+        const auto first = fixture.admitter.limiter().evict_connection(fixture.request_manager.now());
+        const auto second = fixture.admitter.limiter().evict_connection(fixture.request_manager.now());
         REQUIRE((first && second));
         fixture.frontend().evict(first->connection_id);
         fixture.frontend().evict(second->connection_id);
@@ -178,7 +178,7 @@
         // Takes all descriptors that the frontend could use.
         std::vector<connection_admission::FileDescriptorBudget::Lease> leases;
         while (auto lease = fixture.descriptors.try_acquire(
-                   fixture.server.now(), connection_admission::DescriptorPurpose::frontend))
+                   fixture.request_manager.now(), connection_admission::DescriptorPurpose::frontend))
             leases.push_back(std::move(lease));
         RawClient waiting(fixture.frontend().port());
         waiting.send(fixture.request());
@@ -249,7 +249,7 @@
         const Timestamp started_at = wall_clock_now();
         fixture.shutdown_coordinator.start_graceful_shutdown();
         // The drain starts half a second before the deadline. The test moves the timers there instead of waiting.
-        fixture.test_loop.timers.run_due(fixture.server.shutdown_deadline() - Duration(500'000));
+        fixture.test_loop.timers.run_due(fixture.request_manager.shutdown_deadline() - Duration(500'000));
         bool stopped = false;
         fixture.finish_all();
         fixture.expect_served(*active);
@@ -298,7 +298,7 @@
     fixture.frontend().start_drain();
     const std::string large(240'000, 'm');
     for (const request::RequestId request_id : std::exchange(fixture.running_ids, {}))
-        fixture.server.run_finished(request_id, request::RunResult::succeeded, large);
+        fixture.request_manager.run_finished(request_id, request::RunResult::succeeded, large);
     // Most of the response is still unwritten.
     client->half_close();
     for (int i = 0; i < 3; ++i)
--- a/tests/cressledge/frontend_fixture.hpp
+++ b/tests/cressledge/frontend_fixture.hpp
@@ -104,9 +104,9 @@
     const Protocol protocol;
     connection_admission::DescriptorPlan plan;
     connection_admission::FileDescriptorBudget descriptors;
-    /// Owned by `server`.
+    /// Owned by `request_manager`.
     RunAllController* controller;
-    request::RequestManager server;
+    request::RequestManager request_manager;
     frontend::ConnectionAdmitter admitter;
     frontend::FieldDefaults defaults{7, 24.0};
     frontend::ShutdownCoordinator shutdown_coordinator;
@@ -141,15 +141,16 @@
           plan(make_plan(connections)),
           descriptors(plan),
           controller(new RunAllController(policy_settings)),
-          server(policy_settings, std::unique_ptr<policy::AdmissionController>(controller), test_loop.loop,
-                 test_loop.timers),
-          admitter(test_loop.timers, server, descriptors, make_admission_settings(plan), 1),
-          shutdown_coordinator(test_loop.loop, test_loop.timers, server, stop_delay) {
-        server.attach(*this, *this, *this);
-        server.start(wall_clock_now());
+          request_manager(policy_settings, std::unique_ptr<policy::AdmissionController>(controller),
+                          test_loop.loop, test_loop.timers),
+          admitter(test_loop.timers, request_manager, descriptors, make_admission_settings(plan), 1),
+          shutdown_coordinator(test_loop.loop, test_loop.timers, request_manager, stop_delay) {
+        request_manager.attach(*this, *this, *this);
+        request_manager.start(wall_clock_now());
         shutdown_coordinator.add_frontend(std::make_unique<frontend::Frontend>(
-            test_loop.loop, test_loop.timers, server, admitter, make_listen_endpoint(send_buffer_bytes),
-            limits, [this](frontend::Frontend& owner) -> std::unique_ptr<frontend::Session> {
+            test_loop.loop, test_loop.timers, request_manager, admitter,
+            make_listen_endpoint(send_buffer_bytes), limits,
+            [this](frontend::Frontend& owner) -> std::unique_ptr<frontend::Session> {
                 if (protocol == Protocol::scgi)
                     return std::make_unique<frontend::scgi::ScgiSession>(owner, defaults);
                 return std::make_unique<frontend::http::HttpSession>(owner, &defaults);
@@ -168,7 +169,7 @@
     void set_idle_timeout(Duration) override {}
 
     frontend::Frontend& frontend() { return shutdown_coordinator.last_frontend(); }
-    std::uint64_t requests_read() const { return server.counts().received; }
+    std::uint64_t requests_read() const { return request_manager.counts().received; }
     /// Returns a complete request in the fixture's protocol. `extra_fields`: platform fields by HTTP header name.
     std::string request(const std::string& class_name = "map-order", const std::string& body = "x",
                         const std::vector<std::pair<std::string, std::string>>& extra_fields = {}) {
@@ -204,7 +205,7 @@
     std::size_t open_connections() { return admitter.limiter().open_connections(); }
     void finish_all() {
         for (const request::RequestId id : std::exchange(running_ids, {}))
-            server.run_finished(id, request::RunResult::succeeded, "a whole map");
+            request_manager.run_finished(id, request::RunResult::succeeded, "a whole map");
     }
     /// Expects exactly one complete response and a close without a reset.
     void expect_served(RawClient& client) {
--- a/tests/cressledge/idempotency_test.cpp
+++ b/tests/cressledge/idempotency_test.cpp
@@ -55,7 +55,7 @@
         auto third = fixture.send_request("c2b3952039f261d01566c845da2b2120", "seat 4");
         fixture.expect_response(*third, "a whole map");
         CHECK(fixture.running_ids.empty());
-        CHECK(fixture.server.counts().runs_started == 2);
+        CHECK(fixture.request_manager.counts().runs_started == 2);
     }
 }
 
@@ -70,9 +70,9 @@
         fixture.expect_response(*first, "a whole map");
         auto after_end = fixture.send_request("k1", "seat 5");
         fixture.expect_response(*after_end, " 400 ");
-        CHECK(fixture.server.counts().runs_started == 1);
-        CHECK(fixture.server.counts().failed == 2);
-        CHECK(fixture.server.counts_by_class().at("map-order").failed == 2);
+        CHECK(fixture.request_manager.counts().runs_started == 1);
+        CHECK(fixture.request_manager.counts().failed == 2);
+        CHECK(fixture.request_manager.counts_by_class().at("map-order").failed == 2);
     }
 }
 
@@ -103,7 +103,7 @@
         fixture.test_loop.run_until([&] { return fixture.running_ids.size() == 1; });
         fixture.finish_all();
         fixture.expect_response(*late, "a whole map");
-        CHECK(fixture.server.counts().runs_started == 2);
+        CHECK(fixture.request_manager.counts().runs_started == 2);
     }
 }
 
@@ -114,7 +114,7 @@
         fixture.test_loop.run_until([&] { return fixture.running_ids.size() == 1; });
         policy::Settings settings = settings_with_keys();
         settings.classes[0].priority_weight = 9.0;
-        fixture.server.reconfigure(settings, std::make_unique<RunAllController>(settings));
+        fixture.request_manager.reconfigure(settings, std::make_unique<RunAllController>(settings));
         auto second = fixture.send_request("k1", "seat 4");
         fixture.test_loop.run_until([&] { return fixture.requests_read() == 2; });
         CHECK(fixture.running_ids.size() == 1);
