--- a/src/frontend/scgi/scgi_session.hpp
+++ b/src/frontend/scgi/scgi_session.hpp
@@ -15,7 +15,7 @@
 /// A connection of an SCGI caller.
 class ScgiSession final : public Session {
 public:
-    /// `defaults`: values of the fields that a request does not have.
+    /// `defaults`: values for fields that a request omits, from the operator's configuration.
     ScgiSession(Frontend& frontend, FieldDefaults& defaults) : Session(frontend), defaults_(defaults) {}
 
 protected:
--- a/src/frontend/session_shutdown.cpp
+++ b/src/frontend/session_shutdown.cpp
@@ -25,8 +25,8 @@
     close_and_remove();
 }
 
-// Reads the input that has arrived, to be called before the connection is closed: a request that the peer has already
-// sent still counts. Returns true if a request is in flight or reading has led to the end of the connection.
+// Reads the input that has arrived. To be called before the connection is closed: a request that the peer has already
+// sent is still accepted. Returns true if a request is now in flight or the input has ended the connection.
 bool Session::read_pending() {
     if (stream_ != nullptr)
         stream_->read_pending();
--- a/tests/cressledge/connection_shutdown_test.cpp
+++ b/tests/cressledge/connection_shutdown_test.cpp
@@ -30,7 +30,7 @@
         auto client = fixture.open_idle_connection();
         const auto before = fixture.requests_read();
         fixture.frontend().start_drain();
-        // The request is sent before the client can see the close.
+        // The client sends before it has seen the close.
         client->send(fixture.request());
         fixture.expect_clean_close(*client);
         CHECK(fixture.requests_read() == before);
@@ -324,7 +324,7 @@
         CHECK(malformed->has_received(" 400 "));
         CHECK(fixture.frontend().closed_connections().malformed_requests == 1);
         fixture.test_loop.run_until([&] { return truncated->is_over(); });
-        // An HTTP client that half-closes within a request gets no response, an SCGI client does.
+        // An HTTP client that half-closes within a request has given up and gets no response. An SCGI client gets one.
         CHECK(truncated->has_received(" 400 ") == (protocol == Protocol::scgi));
         CHECK(fixture.frontend().closed_connections().truncated_requests == 1);
         fixture.frontend().start_drain();
