--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -1,4 +1,4 @@
-/// The time types of the program and the clock that supplies them. A test replaces the clock by one set by hand.
+/// The time types of the program, and the clock interface, which tests implement with a manual clock.
 #pragma once
 
 #include "policy/admission_controller.hpp"
@@ -13,7 +13,7 @@
 public:
     virtual ~Clock() = default;
 
-    /// Microseconds since the Unix epoch. May go backwards when the system clock is set back.
+    /// Microseconds since the Unix epoch. May decrease when the system clock is set back.
     virtual Timestamp unix_now() = 0;
 };
 
--- a/src/base/latency_histogram.hpp
+++ b/src/base/latency_histogram.hpp
@@ -1,6 +1,6 @@
-/// A latency histogram with buckets of a fixed ratio: each is 2^(1/4) times as wide as the one before, from 1 ms up, so
-/// that any quantile is known to 19%. Counts of two processes, or of two moments of one, may be added and subtracted
-/// bucket by bucket.
+/// A latency histogram with exponential buckets: from 1 ms up, each bound is 2^(1/4) times the previous one, so that
+/// quantiles have an error of at most 19%. Counts of different processes or times can be added and subtracted bucket by
+/// bucket.
 #pragma once
 
 #include <algorithm>
@@ -16,10 +16,10 @@
 /// Counts latencies by bucket.
 class LatencyHistogram {
 public:
-    /// Buckets reach to about 150 s; the last one has no upper bound.
+    /// The buckets cover latencies up to about 150 s; the last one has no upper bound.
     static constexpr std::size_t bucket_count = 70;
 
-    /// The bucket that counts this latency. Bucket 0 holds everything below 1 ms.
+    /// The index of the bucket for this latency. Bucket 0 holds all latencies below 1 ms.
     static std::size_t bucket_index(Duration latency) {
         const double ms = static_cast<double>(latency.count()) * 1e-3;
         if (ms < 1.0)
@@ -36,7 +36,7 @@
     /// Counts one latency.
     void record(Duration latency) { ++counts_[bucket_index(latency)]; }
 
-    /// How many latencies each bucket has counted.
+    /// The number of latencies recorded in each bucket.
     const std::array<std::uint64_t, bucket_count>& counts() const { return counts_; }
 
 private:
--- a/src/base/log_rate_limiter.hpp
+++ b/src/base/log_rate_limiter.hpp
@@ -1,5 +1,4 @@
-/// Limits how often one kind of log line is written, so that a peer cannot fill the log by causing a line with
-/// everything it sends.
+/// Limits the rate of one kind of log line, so that a peer cannot flood the log by causing a line with each message.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +8,11 @@
 
 namespace cressledge::base {
 
-/// Allows one line a second and counts those suppressed in between.
+/// Allows one line per second and counts the lines suppressed in between.
 class LogRateLimiter {
 public:
-    /// Whether a line may be written at `now`. If so, `suppressed` is set to the number of lines suppressed since the
-    /// last one that was written; else it keeps its value.
+    /// Returns whether a line may be written at `now`. If so, sets `suppressed` to the number of lines suppressed since
+    /// the last written line; otherwise leaves it unchanged.
     bool try_acquire(Timestamp now, std::uint64_t& suppressed) {
         if (now < next_allowed_) {
             ++suppressed_;
--- a/src/base/metric.hpp
+++ b/src/base/metric.hpp
@@ -1,4 +1,4 @@
-/// One figure of the admin address. Names and meanings are listed in docs/operators/.
+/// The metric type of the admin address. docs/operators/ lists the names and meanings of the metrics.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace cressledge::base {
 
-/// A counter or gauge as `GET /v1/metrics` shows it: a dotted name and a whole number.
+/// A counter or gauge of `GET /v1/metrics`: a dotted name and an integer value.
 struct Metric {
     Metric(std::string metric_name, std::uint64_t metric_value)
         : name(std::move(metric_name)), value(metric_value) {}
@@ -17,7 +17,7 @@
     std::uint64_t value = 0;
 };
 
-/// The figures of one module, in the order in which they are shown.
+/// A list of metrics in output order.
 using Metrics = std::vector<Metric>;
 
 }  // namespace cressledge::base
--- a/src/base/slot_map.hpp
+++ b/src/base/slot_map.hpp
@@ -1,8 +1,8 @@
-/// A slot map: values addressed by ids that never name another value later.
+/// A slot map: values addressed by ids that are never reused for another value.
 ///
-/// An id holds the index of its slot and the slot's version, which changes with every erase. A late event (a reply, a
-/// timer, a closed connection) that names an erased value therefore finds nothing, although the slot may be in use
-/// again.
+/// An id consists of the index of a slot and the slot's version, which changes with every erase. A late event (a reply,
+/// a timer, a closed connection) that refers to an erased value therefore finds nothing, even if the slot has been
+/// reused.
 #pragma once
 
 #include <cstddef>
@@ -14,14 +14,14 @@
 
 namespace cressledge::base {
 
-/// Names a value in a `SlotMap`: version in the upper 32 bits, index in the lower. Never 0.
+/// Identifies a value in a `SlotMap`: the version in the upper 32 bits, the index in the lower. Never 0.
 using SlotId = std::uint64_t;
 
-/// Owns values and gives out ids for them. Adding and erasing take constant time; a value's address is stable.
+/// Owns values and assigns ids to them. Adding and erasing take constant time; the addresses of values are stable.
 template <class T>
 class SlotMap {
 public:
-    /// Takes the value in, in the slot that was freed last.
+    /// Adds a value, in the most recently freed slot if there is one, and returns its id.
     SlotId add(std::unique_ptr<T> value) {
         if (free_indices_.empty()) {
             free_indices_.push_back(static_cast<std::uint32_t>(slots_.size()));
@@ -35,7 +35,7 @@
         return make_id(index, slot.version);
     }
 
-    /// The value of that id; null where it has been erased.
+    /// The value with this id; null if it has been erased.
     T* find(SlotId id) {
         const std::uint32_t index = index_of(id);
         if (index >= slots_.size())
@@ -44,7 +44,7 @@
         return slot.value && make_id(index, slot.version) == id ? slot.value.get() : nullptr;
     }
 
-    /// Destroys the value of that id. Does nothing where it has been erased before.
+    /// Destroys the value with this id. Does nothing if it has been erased already.
     void erase(SlotId id) {
         if (find(id) == nullptr)
             return;
@@ -55,7 +55,7 @@
         --size_;
     }
 
-    /// How many values there are.
+    /// The number of values.
     std::size_t size() const { return size_; }
 
     /// The ids of all values, in the order of their slots.
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,4 +1,4 @@
-// Socket addresses of IPv4 and IPv6, as numbers: no name is ever resolved.
+// IPv4 and IPv6 socket addresses in numeric form; names are never resolved.
 #pragma once
 
 #include <sys/socket.h>
@@ -15,13 +15,13 @@
 struct Address {
     sockaddr_storage raw{};
 
-    /// Reads "127.0.0.1:80" or "[::1]:80". Returns nothing for names and malformed text.
+    /// Parses "127.0.0.1:80" or "[::1]:80". Returns nothing for host names and malformed text.
     static std::optional<Address> parse(const std::string& text);
 
     /// The address without its port.
     connection_admission::IpAddress ip() const;
 
-    /// Whether both are the same socket address, byte for byte.
+    /// Compares the socket addresses byte by byte.
     bool operator==(const Address& other) const { return std::memcmp(&raw, &other.raw, sizeof raw) == 0; }
 };
 
--- a/src/net/file_watcher.hpp
+++ b/src/net/file_watcher.hpp
@@ -1,5 +1,5 @@
-// Reports changes of a file, by polling its times and its size on libuv's thread pool: this works where the kernel
-// sends no notice (network file systems), and takes no descriptor.
+// Reports changes of a file by polling its times and size on libuv's thread pool. This also works on file systems
+// without kernel notifications (network file systems), and needs no descriptor.
 #pragma once
 
 #include <uv.h>
@@ -9,7 +9,7 @@
 
 namespace cressledge::net {
 
-/// Watches one path. What the path stands for may change, come or go.
+/// Watches one path. The file may be replaced, created or removed while it is watched.
 class FileWatcher {
 public:
     /// Calls `on_change` on the loop, at most once every `interval_ms` milliseconds.
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-/// One exchange. It lives in the client's slot map until finish().
+/// One request and its response. Owned by the client's slot map until finish().
 class HttpClient::PendingRequest final : public Stream::Owner {
 public:
     PendingRequest(HttpClient& client, std::string text, ResponseHandler on_response)
@@ -42,8 +42,8 @@
     void start(base::SlotId id, const Address& address, base::Timestamp deadline) {
         id_ = id;
         deadline_timer_ = client_.timers_.schedule(deadline, [&client = client_, id] {
-            if (PendingRequest* late = client.pending_requests_.find(id); late != nullptr)
-                late->finish();
+            if (PendingRequest* pending = client.pending_requests_.find(id); pending != nullptr)
+                pending->finish();
         });
         stream_ = Stream::connect(client_.loop_.uv(), address, *this);
         if (stream_ == nullptr)
@@ -58,7 +58,7 @@
     }
     void on_end(bool) override {
         stream_ = nullptr;
-        // A response without a length ends with its connection.
+        // A response without a stated length ends when the connection closes.
         http_parser_execute(&parser_, &parser_settings_, nullptr, 0);
         finish();
     }
@@ -71,7 +71,7 @@
         return true;
     }
 
-    // Erasing the slot destroys this object: nothing of it is used afterwards.
+    // Erasing the slot destroys this object, so no member is used afterwards.
     void finish() {
         const auto on_response = std::move(on_response_);
         const Response response = response_.status == 0 ? Response{} : std::move(response_);
@@ -99,10 +99,10 @@
 
 void HttpClient::request(const Address& address, const std::string& method, const std::string& path,
                          const std::string& body, base::Timestamp deadline, ResponseHandler on_response) {
-    auto created =
+    auto owned_request =
         std::make_unique<PendingRequest>(*this, encode_request(method, path, body), std::move(on_response));
-    PendingRequest& pending = *created;
-    const base::SlotId id = pending_requests_.add(std::move(created));
+    PendingRequest& pending = *owned_request;
+    const base::SlotId id = pending_requests_.add(std::move(owned_request));
     pending.start(id, address, deadline);
 }
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 requests to admin addresses: one exchange on a connection of its own, with an absolute deadline. No
-// redirects, no TLS, no connection reuse.
+// An HTTP/1.1 client for admin addresses. Each request has a connection of its own and an absolute deadline. Redirects,
+// TLS and connection reuse are not supported.
 #pragma once
 
 #include <functional>
@@ -12,37 +12,39 @@
 
 namespace cressledge::net {
 
-/// Sends requests and reports their responses. Requests that are open when it is destroyed are dropped silently.
+/// Sends requests and reports their responses. Destroying the client drops pending requests without calling their
+/// handlers.
 class HttpClient {
 public:
-    /// What a request came to.
+    /// The result of a request.
     struct Response {
-        /// 0: no complete response came by the deadline.
+        /// The HTTP status code; 0 if no complete response was received by the deadline.
         int status = 0;
         std::string body;
     };
     using ResponseHandler = std::function<void(const Response&)>;
 
-    /// A response with a longer body counts as none.
+    /// A response with a longer body is reported as no response.
     static constexpr std::size_t max_response_bytes = 4U << 20U;
 
-    /// `timers` holds the deadline of each request.
+    /// `timers` schedules the deadlines of the requests.
     HttpClient(Loop& loop, base::TimerQueue& timers);
     ~HttpClient();
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
 
-    /// Calls `on_response` once, on a later turn of the loop or before this returns.
+    /// Sends a request. Calls `on_response` once, in a later loop iteration or before this returns. `deadline` is a
+    /// Unix time.
     void request(const Address& address, const std::string& method, const std::string& path,
                  const std::string& body, base::Timestamp deadline, ResponseHandler on_response);
 
-    /// A GET request; see request().
+    /// Sends a GET request; see request().
     void get(const Address& address, const std::string& path, base::Timestamp deadline,
              ResponseHandler on_response) {
         request(address, "GET", path, "", deadline, std::move(on_response));
     }
 
-    /// Requests that were sent and have not been reported yet.
+    /// Number of requests whose result has not been reported yet.
     std::size_t requests_in_flight() const { return pending_requests_.size(); }
 
 private:
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -43,15 +43,15 @@
     return ::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listening, &length) == 0 && listening != 0;
 }
 
-// Protects the loop from an accept that blocks, and the socket from programs that are started from here.
+// Non-blocking: accept() must not block the event loop. Close-on-exec: child processes must not inherit the socket.
 bool set_non_blocking_and_close_on_exec(int fd) {
     const int flags = ::fcntl(fd, F_GETFL);
     return flags >= 0 && ::fcntl(fd, F_SETFL, flags | O_NONBLOCK) == 0 &&
            ::fcntl(fd, F_SETFD, FD_CLOEXEC) == 0;
 }
 
-// Null: the descriptor can be adopted.
-const char* reason_not_to_adopt(int fd) {
+// Prepares an inherited descriptor for use. Returns null on success, otherwise the reason why it cannot be adopted.
+const char* adopt_descriptor(int fd) {
     int type = 0;
     socklen_t length = sizeof type;
     if (::getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &length) != 0)
@@ -73,7 +73,7 @@
     const std::optional<int> fd = parse_descriptor(text);
     if (!fd)
         throw SocketError(setting, "not a descriptor number");
-    if (const char* reason = reason_not_to_adopt(*fd); reason != nullptr)
+    if (const char* reason = adopt_descriptor(*fd); reason != nullptr)
         throw SocketError(setting, reason);
     return *fd;
 }
@@ -89,7 +89,7 @@
         const std::string reason = uv_strerror(uv_translate_sys_error(errno));
         if (fd >= 0)
             ::close(fd);
-        throw SocketError("cannot listen", reason);
+        throw SocketError("cannot open listening socket", reason);
     }
     return fd;
 }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,8 +1,8 @@
-// Listening sockets: opened here, or inherited from the process that started this one.
+// Listening sockets, opened by this process or inherited from its parent.
 //
-// libuv's own listening handle empties the backlog and closes what it finds there, requests included, when there is no
-// descriptor for it, and reports nothing. This one polls the socket only: a connection stays in the backlog until its
-// owner has a descriptor for it and calls Stream::accept.
+// When the process runs out of descriptors, libuv's own listening handle accepts and closes all connections in the
+// backlog, including those with requests, without reporting it. This listener only polls the socket: a connection stays
+// in the backlog until the owner has a descriptor for it and calls Stream::accept.
 #pragma once
 
 #include <uv.h>
@@ -13,29 +13,29 @@
 
 namespace cressledge::net {
 
-/// Where clients connect: an address to bind, or a listening socket that was inherited.
+/// Where clients connect: an address to bind, or an inherited listening socket.
 struct ListenEndpoint {
     Address address;
-    /// Used in place of `address` where it is not negative.
+    /// Used instead of `address` unless negative.
     int inherited_fd = -1;
 };
 
-/// A listening socket on the event loop. Owns the socket, adopted or not, and closes this process's copy of it.
+/// A listening socket on the event loop. Owns its descriptor, also if it is inherited, and closes it.
 class Listener {
 public:
-    /// `on_connection` may call Stream::accept; it is called again on each turn of the loop while a connection waits.
-    /// Throws SocketError when the address cannot be listened on.
+    /// `on_connection` may call Stream::accept; it is called in each loop iteration while a connection waits in the
+    /// backlog. Throws SocketError if listening on the address fails.
     Listener(uv_loop_t* loop, const Address& address, std::function<void()> on_connection);
-    /// As above, on the endpoint's address, or on its inherited socket where `inherited_fd` is not negative.
+    /// Like the other constructor, but listens on the endpoint's inherited socket if there is one.
     Listener(uv_loop_t* loop, const ListenEndpoint& endpoint, std::function<void()> on_connection);
     ~Listener();
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
 
-    /// While paused, connections wait in the backlog and `on_connection` is not called.
+    /// Pauses or resumes calls of `on_connection`. While paused, connections wait in the backlog.
     void set_paused(bool paused);
 
-    /// New connections are refused from here on, unless another process has the socket open as well.
+    /// Closes the socket. New connections are then refused unless another process also has the socket open.
     void close();
 
     /// The local port; 0 once closed.
@@ -50,15 +50,16 @@
     std::function<void()> on_connection_;
 };
 
-/// The listening socket whose number stands in the environment variable `variable` (the platform's NODE_ACCEPT_FD),
-/// made non-blocking and closed on exec. Returns -1 when the variable is unset. Throws SocketError, naming the
-/// variable, when the value is no whole number or the descriptor is not a listening TCP socket over IPv4 or IPv6.
+/// Adopts the listening socket whose descriptor number the environment variable `variable` (the platform's
+/// NODE_ACCEPT_FD) contains, and makes it non-blocking and close-on-exec. Returns -1 if the variable is unset. Throws
+/// SocketError, naming the variable, if the value is not a descriptor number or the descriptor is not a listening TCP
+/// socket over IPv4 or IPv6.
 int inherited_listening_socket(const char* variable);
 
-/// Opens a listening socket, non-blocking and closed on exec. Throws SocketError.
+/// Opens a non-blocking, close-on-exec listening socket. Throws SocketError.
 int open_listening_socket(const Address& address);
 
-/// The local port of a socket; 0 when it has none.
+/// The local port of a socket; 0 if it has none.
 int local_port(int socket);
 
 }  // namespace cressledge::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -19,10 +19,10 @@
 }  // namespace
 
 Loop::Loop(base::TimerQueue& timers) : timers_(timers) {
-    // A write to a connection that the peer has closed must not end the process.
+    // A write to a connection that the peer has closed must not terminate the process.
     std::signal(SIGPIPE, SIG_IGN);
     if (uv_loop_init(&loop_) != 0)
-        throw std::runtime_error("no event loop");
+        throw std::runtime_error("cannot initialize the event loop");
     loop_.data = this;
     uv_timer_init(&loop_, &timer_);
     uv_prepare_init(&loop_, &prepare_);
@@ -38,7 +38,7 @@
                 uv_close(handle, nullptr);
         },
         nullptr);
-    // A stop() that was called before ends a run before all handles have been closed.
+    // An earlier stop() ends the first uv_run() before all handles have been closed.
     while (uv_loop_close(&loop_) == UV_EBUSY)
         uv_run(&loop_, UV_RUN_DEFAULT);
 }
@@ -63,7 +63,7 @@
         uv_timer_stop(&timer_);
         return;
     }
-    // libuv counts whole milliseconds from a cached time: the time is refreshed and the wait rounded up, so that no
+    // libuv counts whole milliseconds from a cached time. Refreshing that time and rounding the wait up ensures that no
     // timer fires early.
     uv_update_time(&loop_);
     const std::uint64_t wait_ms = milliseconds_rounded_up((*next - unix_now()).count());
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,4 +1,4 @@
-// The event loop: libuv, the Unix clock, and the one libuv timer that serves all entries of the timer queue.
+// The event loop: wraps libuv, provides the Unix clock and runs the timer queue with a single libuv timer.
 #pragma once
 
 #include <uv.h>
@@ -10,16 +10,16 @@
 
 namespace cressledge::net {
 
-/// Runs everything on one thread. Destroying it closes all handles that are left on the loop.
+/// The process's single-threaded event loop. The destructor closes all handles left on the loop.
 class Loop final : public base::Clock {
 public:
-    /// Ignores SIGPIPE for the whole process. Throws std::runtime_error when the system gives no event loop.
+    /// Ignores SIGPIPE for the whole process. Throws std::runtime_error if libuv cannot initialize the loop.
     explicit Loop(base::TimerQueue& timers);
     ~Loop() override;
     Loop(const Loop&) = delete;
     Loop& operator=(const Loop&) = delete;
 
-    /// The system clock as a Unix time in microseconds.
+    /// The system clock's Unix time in microseconds.
     base::Timestamp unix_now() override;
 
     /// Calls `handler` on the loop for each delivery of `signal`.
@@ -27,13 +27,13 @@
 
     /// Runs until stop().
     void run();
-    /// Ends run() after the present turn of the loop; handles stay open.
+    /// Ends run() after the current loop iteration; handles stay open.
     void stop();
 
-    /// Handles what is ready; with `wait`, waits for the next event if nothing is.
+    /// Runs one loop iteration. With `wait`, blocks until an event occurs if none is ready.
     void run_once(bool wait);
 
-    /// libuv's loop, for new handles.
+    /// The libuv loop, for creating handles.
     uv_loop_t* uv() { return &loop_; }
 
 private:
--- a/src/net/process_descriptors.cpp
+++ b/src/net/process_descriptors.cpp
@@ -9,6 +9,7 @@
 namespace cressledge::net {
 namespace {
 
+/// Replaces higher or unlimited values of RLIMIT_NOFILE.
 constexpr std::size_t max_descriptor_limit = 1'000'000;
 
 }  // namespace
@@ -29,7 +30,7 @@
         ++count;
         entry.increment(error);
     }
-    // One of them is the descriptor that reads the list.
+    // The directory iterator itself uses one of the counted descriptors.
     return count > 0 ? count - 1 : 0;
 }
 
--- a/src/net/socket_error.hpp
+++ b/src/net/socket_error.hpp
@@ -1,4 +1,4 @@
-// The one error type of this module.
+// The exception type of the net module.
 #pragma once
 
 #include <stdexcept>
@@ -6,18 +6,18 @@
 
 namespace cressledge::net {
 
-/// A socket that cannot be created, adopted, bound or listened on.
+/// Thrown if a socket cannot be created, adopted, bound or listened on.
 class SocketError : public std::runtime_error {
 public:
-    /// `operation` says what failed, with the value that it failed for; `reason` says why.
+    /// `operation` is the failed operation or the invalid setting; `reason` is the cause.
     SocketError(std::string operation, std::string reason)
         : std::runtime_error(operation + ": " + reason),
           operation_(std::move(operation)),
           reason_(std::move(reason)) {}
 
-    /// What failed, with the value that it failed for.
+    /// The failed operation, or the setting with its invalid value.
     const std::string& operation() const { return operation_; }
-    /// Why it failed, such as the system's text for the error.
+    /// The cause, such as the system's error text.
     const std::string& reason() const { return reason_; }
 
 private:
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -16,13 +16,13 @@
 // A peer that never stops sending must not keep read_pending() busy.
 constexpr int max_pending_reads = 4;
 
-// Bytes are delivered before the next read, on one thread: one buffer serves all streams.
+// Bytes are delivered before the next read, on a single thread, so all streams share one buffer.
 void use_shared_read_buffer(uv_handle_t*, std::size_t, uv_buf_t* buffer) {
     static char shared[read_buffer_bytes];
     *buffer = uv_buf_init(shared, sizeof shared);
 }
 
-// libuv does not write through the buffer, though its type would allow it.
+// The const_cast is safe: libuv does not modify a buffer that it writes.
 uv_buf_t to_buffer(std::string_view bytes) {
     return uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
 }
@@ -134,7 +134,7 @@
         if (state_ == State::closing || reading_paused_)
             return;
         const ssize_t length = ::read(fd, bytes.data(), bytes.size());
-        // The loop finds an end or an error again in its turn.
+        // The event loop detects an end of stream or an error again and reports it.
         if (length <= 0)
             return;
         deliver({bytes.data(), static_cast<std::size_t>(length)});
@@ -147,7 +147,7 @@
     if (unwritten_bytes_ == 0) {
         const uv_buf_t buffer = to_buffer(bytes);
         const int written = uv_try_write(handle(), &buffer, 1);
-        // A broken connection is reported by the reading side, in its turn.
+        // The read side reports a broken connection later.
         if (written < 0 && written != UV_EAGAIN)
             return true;
         if (written > 0)
@@ -215,7 +215,7 @@
     if (state_ == State::closing)
         return;
     state_ = State::closing;
-    // libuv closes the descriptor of a TCP handle here; only the memory lasts until the callback.
+    // uv_close() closes the descriptor of a TCP handle immediately; only the memory is kept until the callback.
     uv_close(reinterpret_cast<uv_handle_t*>(&tcp_),
              [](uv_handle_t* handle) { delete static_cast<Stream*>(handle->data); });
     lease_.release();
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,6 +1,6 @@
-// TCP connections on the event loop, accepted or opened, with a bounded buffer of bytes still to be written.
+// TCP connections on the event loop, accepted or opened, with a bounded write buffer.
 //
-// A stream frees itself once libuv has closed its handle. Its owner holds a plain pointer, which is valid until
+// A stream deletes itself once libuv has closed its handle. Its owner holds a raw pointer, which is valid until
 // Stream::close or Owner::on_end, whichever comes first.
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace cressledge::net {
 
-/// One TCP connection. It holds its descriptor's lease until it is closed.
+/// One TCP connection. Holds its file descriptor lease until it is closed.
 class Stream {
 public:
     using Lease = connection_admission::FileDescriptorBudget::Lease;
@@ -26,54 +26,54 @@
     public:
         virtual ~Owner() = default;
 
-        /// A connection that was opened with connect() is established.
+        /// A connection opened with connect() has been established.
         virtual void on_open() {}
 
-        /// Bytes have been read. They are valid during the call only.
+        /// Bytes have been read. `bytes` is valid only during the call.
         virtual void on_bytes(std::string_view bytes) = 0;
 
-        /// The peer has sent its last byte. Return true to keep the stream: the peer may still read a response, which
-        /// shut_down_writes() ends. Otherwise on_end() follows.
+        /// The peer has shut down its write side. Return true to keep the stream open, since the peer may still read a
+        /// response; end it with shut_down_writes(). Otherwise on_end() follows.
         virtual bool on_eof() { return false; }
 
-        /// The peer closed the connection, it broke, or it was never established (`refused`). The stream must not be
-        /// used any more.
+        /// The connection was closed by the peer, broke, or could not be established (`refused`). The stream must not
+        /// be used afterwards.
         virtual void on_end(bool refused) = 0;
     };
 
-    /// Opens a connection. Returns null on failure and stores libuv's error code in `error`, if given; see
+    /// Opens a connection. Returns null on failure. Stores 0 or libuv's error code in `error` unless it is null; see
     /// is_descriptor_exhaustion().
     static Stream* connect(uv_loop_t* loop, const Address& address, Owner& owner, Lease lease = {},
                            int* error = nullptr);
 
-    /// Accepts a connection from the listener's backlog. Fails like connect().
+    /// Accepts a connection from the listener's backlog. Reports failure like connect().
     static Stream* accept(Listener& listener, Owner& owner, Lease lease = {}, int* error = nullptr);
 
-    /// Later events go to `owner`.
+    /// Sends later events to `owner`.
     void set_owner(Owner& owner) { owner_ = &owner; }
 
-    /// The peer's address; all zero if the peer has gone.
+    /// The peer's address; all zero if the connection has already ended.
     Address peer_address() const;
 
-    /// Queues bytes for writing. Returns false when the peer has let too much pile up, or the stream is closing: the
-    /// caller must close it.
+    /// Writes or queues `bytes`. Returns false if the write buffer is full or the stream is not open for writing; the
+    /// owner must then close it.
     bool write(std::string_view bytes);
 
-    /// Writes what is queued, then sends the end of the stream. Reading goes on.
+    /// Shuts down the write side once all queued bytes have been written. Reading continues.
     void shut_down_writes();
 
-    /// Whether the system has not taken all written bytes yet.
+    /// Whether queued bytes have not been passed to the operating system yet.
     bool has_unwritten_bytes() const { return unwritten_bytes_ > 0; }
 
-    /// Delivers what has arrived now instead of on the loop's next turn. To be called before a connection is closed:
-    /// bytes that are already here were sent before the peer could know of it. The owner may close the stream
-    /// meanwhile.
+    /// Delivers bytes that have arrived immediately instead of in the next loop iteration. Call it before closing a
+    /// connection: the peer sent these bytes before it could know of the close. The owner may close the stream during
+    /// the call.
     void read_pending();
 
-    /// Closes at once. The owner gets no further event.
+    /// Closes the connection immediately. The owner receives no further events.
     void close();
 
-    /// Stops reading, or takes it up again.
+    /// Pauses or resumes reading.
     void set_reading_paused(bool paused);
 
 private:
--- a/src/net/udp_socket.cpp
+++ b/src/net/udp_socket.cpp
@@ -8,7 +8,7 @@
 namespace cressledge::net {
 namespace {
 
-// Room for a datagram of any size: one that is cut would pass for a shorter one.
+// Large enough for any datagram: a truncated one would be taken for a shorter one.
 std::array<char, 65'536> receive_buffer;
 
 void use_receive_buffer(uv_handle_t*, std::size_t, uv_buf_t* buffer) {
@@ -27,7 +27,7 @@
     int status = uv_udp_init(loop, handle_);
     if (status != 0) {
         delete handle_;
-        throw SocketError("no datagram socket", uv_strerror(status));
+        throw SocketError("cannot create UDP socket", uv_strerror(status));
     }
     handle_->data = this;
     status = uv_udp_bind(handle_, reinterpret_cast<const sockaddr*>(&address.raw), 0);
@@ -40,7 +40,7 @@
             });
     if (status != 0) {
         close_and_delete(handle_);
-        throw SocketError("cannot take datagrams", uv_strerror(status));
+        throw SocketError("cannot bind UDP socket", uv_strerror(status));
     }
 }
 
@@ -50,7 +50,7 @@
 }
 
 void UdpSocket::on_received(ssize_t length, const uv_buf_t& buffer, const sockaddr* from) {
-    // No address: there is nothing more to read. A negative length: an error of an earlier send.
+    // Without an address, there is nothing more to read. A negative length is the error of an earlier send.
     if (length < 0 || from == nullptr)
         return;
     Address sender;
--- a/src/net/udp_socket.hpp
+++ b/src/net/udp_socket.hpp
@@ -1,5 +1,5 @@
-// A UDP socket on the event loop. A datagram that the system does not take at once is dropped and counted, as the
-// network itself might drop it.
+// A UDP socket on the event loop. A datagram that the system does not accept immediately is dropped and counted;
+// callers must tolerate loss anyway, since the network may drop datagrams too.
 #pragma once
 
 #include <uv.h>
@@ -16,22 +16,22 @@
 /// A bound UDP socket.
 class UdpSocket {
 public:
-    /// Receives each datagram, whole. The bytes are valid during the call only.
+    /// Receives one complete datagram. `bytes` is valid only during the call.
     using ReceiveHandler = std::function<void(std::string_view bytes, const Address& from)>;
 
-    /// Throws SocketError when the address cannot be bound.
+    /// Throws SocketError if the address cannot be bound.
     UdpSocket(uv_loop_t* loop, const Address& address, ReceiveHandler on_receive);
     ~UdpSocket();
     UdpSocket(const UdpSocket&) = delete;
     UdpSocket& operator=(const UdpSocket&) = delete;
 
-    /// The local port; 0 when the system does not tell it.
+    /// The local port; 0 if it cannot be determined.
     int port() const;
 
-    /// Returns false when the datagram was dropped.
+    /// Sends a datagram. Returns false if it was dropped.
     bool send(const Address& to, std::string_view bytes);
 
-    /// How many datagrams send() has dropped.
+    /// Number of datagrams that send() has dropped.
     std::uint64_t dropped_datagrams() const { return dropped_datagrams_; }
 
 private:
--- a/tests/cressledge/base_test.cpp
+++ b/tests/cressledge/base_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the basic containers: slot map and timer queue.
+// The slot map and the timer queue.
 #include <functional>
 #include <memory>
 #include <string>
@@ -12,7 +12,7 @@
 
 using namespace cressledge::testing;
 
-TEST_CASE("SlotMap: an id finds nothing once its value is erased, even when the slot is used again") {
+TEST_CASE("SlotMap: an id finds nothing once its value is erased, even if the slot is reused") {
     base::SlotMap<int> slots;
     const auto first_id = slots.add(std::make_unique<int>(1));
     slots.erase(first_id);
@@ -47,13 +47,13 @@
     timers.schedule_detached(Timestamp(10), [&] { order += 'b'; });
     auto moved = timers.schedule(Timestamp(10), [&] { order += 'x'; });
     const auto third = timers.schedule(Timestamp(10), [&] { order += 'c'; });
-    // Assigned: takes its place at the end.
+    // The assigned callback is scheduled last.
     moved = timers.schedule(Timestamp(10), [&] { order += 'd'; });
     timers.run_due(Timestamp(10));
     CHECK(order == "abcd");
 }
 
-TEST_CASE("TimerHandle: cancels its callback once, when it is told to or destroyed") {
+TEST_CASE("TimerHandle: cancels its callback once, on cancel() or destruction") {
     base::TimerQueue timers;
     int runs = 0;
     {
@@ -73,24 +73,24 @@
     empty.cancel();
 }
 
-TEST_CASE("TimerHandle: moves its callback, and cancels the one that it is assigned over") {
+TEST_CASE("TimerHandle: a move transfers the callback, and assignment cancels the previous one") {
     base::TimerQueue timers;
     std::string order;
     auto first = timers.schedule(Timestamp(10), [&] { order += 'a'; });
     auto second = timers.schedule(Timestamp(20), [&] { order += 'b'; });
-    base::TimerHandle taken(std::move(first));
+    base::TimerHandle moved(std::move(first));
     first.cancel();
     CHECK_FALSE(first.is_scheduled());
-    CHECK(taken.is_scheduled());
+    CHECK(moved.is_scheduled());
 
-    second = std::move(taken);
-    taken.cancel();
-    CHECK_FALSE(taken.is_scheduled());
+    second = std::move(moved);
+    moved.cancel();
+    CHECK_FALSE(moved.is_scheduled());
     CHECK(second.is_scheduled());
     // A handle that was moved from can be used again.
     first = timers.schedule(Timestamp(30), [&] { order += 'c'; });
-    base::TimerHandle& same = second;
-    second = std::move(same);
+    base::TimerHandle& alias = second;
+    second = std::move(alias);
     timers.run_due(Timestamp(30));
     CHECK(order == "ac");
 }
@@ -108,7 +108,7 @@
     CHECK(order == "ab");
 }
 
-TEST_CASE("TimerHandle: its own callback may destroy it, or assign it anew") {
+TEST_CASE("TimerHandle: its own callback may destroy or reassign it") {
     base::TimerQueue timers;
     std::string order;
     struct Owner {
@@ -133,7 +133,7 @@
     CHECK(order == "destroyed again again ");
 }
 
-TEST_CASE("TimerHandle: a callback may own the handle of another, also when the queue ends") {
+TEST_CASE("TimerHandle: a callback may own the handle of another, also when the queue is destroyed") {
     base::TimerQueue timers;
     const auto schedule_chain = [&timers] {
         auto inner = std::make_shared<base::TimerHandle>(timers.schedule(Timestamp(10), [] {}));
