--- a/src/admin/admin_connection.cpp
+++ b/src/admin/admin_connection.cpp
@@ -8,17 +8,17 @@
 namespace cressledge::admin {
 namespace {
 
-/// More is answered with 431.
+/// A larger request head is answered with 431.
 constexpr std::size_t max_head_bytes = 4096;
-/// More is answered with 413.
+/// A larger body is answered with 413.
 constexpr std::size_t max_body_bytes = 64U << 10U;
-/// From the accept to a complete request, else the connection is closed.
+/// Time from the accept to a complete request, after which the connection is closed.
 constexpr base::Duration request_timeout{2'000'000};
-/// For a caller to read its reply.
+/// Time that a caller has to read its reply and close the connection.
 constexpr base::Duration linger_timeout{1'000'000};
 
 /// Return values of the parser's callbacks.
-constexpr int go_on = 0;
+constexpr int continue_parsing = 0;
 constexpr int stop_parsing = 1;
 
 std::string format_message(const char* status, const std::string& body, const char* content_type) {
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-/// The callbacks of http-parser, each of which hands over to the connection behind `data`.
+/// http-parser callbacks, which forward to the connection that the parser's `data` points to.
 struct AdminConnection::Callbacks {
     static AdminConnection& owner(http_parser* parser) {
         return *static_cast<AdminConnection*>(parser->data);
@@ -42,11 +42,11 @@
     static int on_body(http_parser* parser, const char* data, std::size_t size) {
         return owner(parser).append_body(data, size);
     }
-    // One request a connection: what follows is not read.
+    // One request per connection: bytes after it are not parsed.
     static int on_message_complete(http_parser* parser) {
         owner(parser).is_complete_ = true;
         http_parser_pause(parser, 1);
-        return go_on;
+        return continue_parsing;
     }
 
     static http_parser_settings make() {
@@ -79,7 +79,7 @@
     stream_ = net::Stream::accept(listener, *this, std::move(lease), &error);
     if (stream_ == nullptr)
         return error;
-    deadline_ = timers_.schedule(clock_.unix_now() + request_timeout, [this] { on_request_timeout(); });
+    timeout_timer_ = timers_.schedule(clock_.unix_now() + request_timeout, [this] { on_request_timeout(); });
     return 0;
 }
 
@@ -104,10 +104,10 @@
 }
 
 bool AdminConnection::on_eof() {
-    // Both sides are through, or the linger deadline ends it.
+    // Keep the stream until the reply is written; the linger timeout bounds the wait.
     if (has_replied_)
         return stream_->has_unwritten_bytes();
-    // Nothing more can complete the request.
+    // The request can no longer be completed.
     reply("400 Bad Request", "cut short\n");
     return true;
 }
@@ -123,7 +123,8 @@
     has_replied_ = true;
     stream_->write(format_message(status, body, content_type));
     stream_->shut_down_writes();
-    deadline_ = timers_.schedule(clock_.unix_now() + linger_timeout, [this] { handler_.on_closed(id_); });
+    timeout_timer_ =
+        timers_.schedule(clock_.unix_now() + linger_timeout, [this] { handler_.on_closed(id_); });
 }
 
 bool AdminConnection::read_pending() {
@@ -152,7 +153,7 @@
 int AdminConnection::count_head_bytes(std::size_t size) {
     head_bytes_ += size;
     is_head_too_large_ = head_bytes_ > max_head_bytes;
-    return is_head_too_large_ ? stop_parsing : go_on;
+    return is_head_too_large_ ? stop_parsing : continue_parsing;
 }
 
 int AdminConnection::append_body(const char* data, std::size_t size) {
@@ -160,7 +161,7 @@
     if (is_body_too_large_)
         return stop_parsing;
     body_.append(data, size);
-    return go_on;
+    return continue_parsing;
 }
 
 }  // namespace cressledge::admin
--- a/src/admin/admin_connection.hpp
+++ b/src/admin/admin_connection.hpp
@@ -1,9 +1,8 @@
 /// One connection of the admin address: HTTP/1.1, one request and one reply.
 ///
-/// Owns the stream, the parser and the connection's deadline. Does not own what is replied: a complete request goes to its
-/// handler.
+/// Owns the stream, the parser and the connection's timer. The handler provides the reply to a complete request.
 ///
-/// Invariant: at most one reply is written; after it nothing more is read as a request.
+/// Invariant: at most one reply is written, and nothing is parsed as a request after it.
 #pragma once
 
 #include <http_parser.h>
@@ -19,51 +18,52 @@
 
 namespace cressledge::admin {
 
-/// A connection with its one request and reply.
+/// A connection that carries one request and its reply.
 class AdminConnection final : public net::Stream::Owner {
 public:
-    /// Who keeps the connections.
+    /// Owns the connections and handles their requests.
     class Handler {
     public:
         virtual ~Handler() = default;
-        /// A complete request has come: reply() is due before this returns.
+        /// Handles a complete request. Must call reply() before it returns.
         virtual void on_request(AdminConnection& connection) = 0;
-        /// The connection is over. It may be destroyed before this returns.
+        /// The connection has ended. The handler may destroy it in this call.
         virtual void on_closed(base::SlotId connection_id) = 0;
     };
 
-    /// `handler` is told of each complete request and of the end; `timers` holds the deadline of the request.
+    /// `handler` receives the complete request and the end of the connection; `timers` schedules the timeouts.
     AdminConnection(Handler& handler, base::Clock& clock, base::TimerQueue& timers);
     ~AdminConnection() override;
     AdminConnection(const AdminConnection&) = delete;
     AdminConnection& operator=(const AdminConnection&) = delete;
 
-    /// Accepts a connection, to be known by `id`, and waits for its request. Returns 0, or libuv's error code.
+    /// Accepts a connection from the listener and waits for its request. `id` identifies it to the handler. Returns 0
+    /// or a libuv error code.
     int accept(net::Listener& listener, connection_admission::FileDescriptorBudget::Lease lease,
                base::SlotId id);
-    /// Writes the reply, unless there has been one. `status`: code and reason.
+    /// Writes the reply unless one has been written. `status` is the status code and reason phrase.
     void reply(const char* status, const std::string& body, const char* content_type = "text/plain");
-    /// To be called before the connection is ended: a request that lies complete in the socket gets its reply, so that
-    /// no close goes over unread bytes. Returns whether there is a reply.
+    /// Reads and answers a complete request that is still in the socket, so that closing the connection discards no
+    /// unread bytes. Call it before closing the connection. Returns whether a reply has been written.
     bool read_pending();
 
-    // Of a complete request:
+    /// The request method. This and the functions below are valid once the request is complete.
     const char* method() const;
-    /// Whether the method of the request is GET.
+    /// Whether the request method is GET.
     bool is_get() const { return parser_.method == HTTP_GET; }
-    /// The target without its query.
+    /// The request target without its query.
     std::string path() const;
-    /// The query with its question mark; empty where there is none.
+    /// The query, including the question mark; empty if there is none.
     std::string query() const;
     /// The body of the request, at most 64 KiB; a longer one is answered with 413.
     const std::string& body() const { return body_; }
 
     /// net::Stream::Owner: feeds the bytes read to the HTTP parser.
     void on_bytes(std::string_view bytes) override;
-    /// net::Stream::Owner: a request cut short gets 400. Returns whether a reply is still being written.
+    /// net::Stream::Owner: answers an incomplete request with 400. Returns whether a reply is still being written.
     bool on_eof() override;
-    /// net::Stream::Owner: the stream is over; tells the handler, which may destroy this connection.
-    void on_end(bool connect_failed) override;
+    /// net::Stream::Owner: the stream has ended; notifies the handler, which may destroy this connection.
+    void on_end(bool refused) override;
 
 private:
     struct Callbacks;
@@ -78,7 +78,7 @@
     base::TimerQueue& timers_;
     base::SlotId id_ = 0;
     net::Stream* stream_ = nullptr;
-    base::TimerHandle deadline_;
+    base::TimerHandle timeout_timer_;
     http_parser parser_{};
     std::string url_, body_;
     std::size_t head_bytes_ = 0;
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -14,13 +14,13 @@
 
 AdminServer::AdminServer(net::Loop& loop, base::TimerQueue& timers,
                          connection_admission::FileDescriptorBudget& descriptors,
-                         const net::ListenEndpoint& listening, AdminSource& source)
+                         const net::ListenEndpoint& endpoint, AdminSource& source)
     : loop_(loop),
       timers_(timers),
       descriptors_(descriptors),
       source_(source),
       listener_lease_(descriptors.try_acquire(loop.unix_now(), DescriptorPurpose::admin)),
-      listener_(loop.uv(), listening, [this] { accept_pending(); }) {}
+      listener_(loop.uv(), endpoint, [this] { accept_pending(); }) {}
 
 void AdminServer::accept_pending() {
     for (std::size_t accepted = 0; accepted < max_connections; ++accepted)
@@ -29,11 +29,11 @@
 }
 
 bool AdminServer::accept_connection() {
-    // Guards readiness against callers that hold connections open.
+    // Clients that hold connections open must not block readiness requests.
     if (connections_.size() >= max_connections)
         evict_oldest();
     auto lease = descriptors_.try_acquire(loop_.unix_now(), DescriptorPurpose::admin);
-    // The connection waits in the backlog until another one has ended.
+    // The connection stays in the backlog until another one has closed.
     if (!lease)
         return false;
     AdminConnection::Handler& handler = *this;
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,10 +1,10 @@
 /// The admin address (`listen.control` in operators' files): readiness, metrics and membership over HTTP/1.1.
 ///
-/// `GET /v1/readyz`, `GET /v1/metrics` and, where the process keeps a membership table, `GET /v1/fleet`; further requests
-/// are the source's own. Owns the listener and its connections. It shares the loop with the frontends and nothing else,
-/// so that a reply is due within a second whatever callers do.
+/// Serves `GET /v1/readyz`, `GET /v1/metrics` and, if the process has a membership table, `GET /v1/fleet`; the
+/// AdminSource may handle further requests. Owns the listener and its connections. Shares only the event loop with the
+/// frontends, so that it replies within a second whatever the callers do.
 ///
-/// Invariant: at most max_connections are open; a new one closes the oldest.
+/// Invariant: at most max_connections connections are open; a new one evicts the oldest.
 #pragma once
 
 #include <cstdint>
@@ -23,32 +23,32 @@
 
 namespace cressledge::admin {
 
-/// The listener of the admin address.
+/// Serves the admin address.
 class AdminServer final : private AdminConnection::Handler {
 public:
-    /// Open at a time.
+    /// Maximum number of open connections.
     static constexpr std::size_t max_connections = 32;
 
-    /// Throws std::runtime_error when the address cannot be listened on.
+    /// Throws net::SocketError if listening on the address fails.
     AdminServer(net::Loop& loop, base::TimerQueue& timers,
-                connection_admission::FileDescriptorBudget& descriptors, const net::ListenEndpoint& listening,
+                connection_admission::FileDescriptorBudget& descriptors, const net::ListenEndpoint& endpoint,
                 AdminSource& source);
     ~AdminServer() override = default;
     AdminServer(const AdminServer&) = delete;
     AdminServer& operator=(const AdminServer&) = delete;
 
-    /// The port that is listened on, also where the address left it to the system.
+    /// The listening port, also if the system chose it.
     int port() const { return listener_.port(); }
-    /// Requests that were answered with what they asked for.
+    /// Number of requests that were handled, as opposed to rejected with a 4xx status by the server itself.
     std::uint64_t answered_count() const { return answered_count_; }
-    /// Connections that were closed for a new one.
+    /// Number of connections closed in favour of a new one.
     std::uint64_t evicted_count() const { return evicted_count_; }
 
 private:
     void on_request(AdminConnection& connection) override;
     void on_closed(base::SlotId connection_id) override;
     void accept_pending();
-    /// Returns false when nothing more can be accepted now.
+    /// Returns false if no connection can be accepted now.
     bool accept_connection();
     void evict_oldest();
     void reply_readiness(AdminConnection& connection);
@@ -59,7 +59,7 @@
     connection_admission::FileDescriptorBudget& descriptors_;
     AdminSource& source_;
     base::SlotMap<AdminConnection> connections_;
-    /// Ids of the connections in the order in which they were accepted.
+    /// Connection ids in the order of acceptance.
     std::vector<base::SlotId> accept_order_;
     connection_admission::FileDescriptorBudget::Lease listener_lease_;
     std::uint64_t answered_count_ = 0;
--- a/src/admin/request_metrics.cpp
+++ b/src/admin/request_metrics.cpp
@@ -7,8 +7,8 @@
 namespace cressledge::admin {
 namespace {
 
-void add_class(const std::string& name, const request::RequestManager::ClassCounts& counts,
-               base::Metrics& out) {
+void append_class_metrics(const std::string& name, const request::RequestManager::ClassCounts& counts,
+                          base::Metrics& out) {
     const std::string prefix = "node.responses." + name + '.';
     out.emplace_back(prefix + "ok", counts.served);
     out.emplace_back(prefix + "shed", counts.rejected);
@@ -18,18 +18,18 @@
 
 }  // namespace
 
-void collect_class_metrics(const request::RequestManager& server, base::Metrics& out) {
-    const auto& counts_by_class = server.counts_by_class();
-    for (const auto& request_class : server.settings().classes)
+void collect_class_metrics(const request::RequestManager& request_manager, base::Metrics& out) {
+    const auto& counts_by_class = request_manager.counts_by_class();
+    for (const auto& request_class : request_manager.settings().classes)
         if (counts_by_class.count(request_class.name) == 0)
-            add_class(request_class.name, {}, out);
+            append_class_metrics(request_class.name, {}, out);
     for (const auto& [name, counts] : counts_by_class)
-        add_class(name, counts, out);
-    out.emplace_back("node.active", server.unanswered_count());
+        append_class_metrics(name, counts, out);
+    out.emplace_back("node.active", request_manager.unanswered_count());
 }
 
-void collect_latency_metrics(const request::RequestManager& server, base::Metrics& out) {
-    for (const auto& [name, counts] : server.counts_by_class()) {
+void collect_latency_metrics(const request::RequestManager& request_manager, base::Metrics& out) {
+    for (const auto& [name, counts] : request_manager.counts_by_class()) {
         out.emplace_back("node.responses." + name + ".late", counts.served_late);
         for (std::size_t i = 0; i < base::LatencyHistogram::bucket_count; ++i) {
             const std::uint64_t count = counts.latency.counts()[i];
