--- a/src/platform/directory_reporter.cpp
+++ b/src/platform/directory_reporter.cpp
@@ -5,9 +5,11 @@
 namespace cressledge::platform {
 namespace {
 
-/// An entry lapses 3 s after its last report: two reports in a row may fail.
+/// The directory drops an entry 3 s after its last report, so two consecutive reports may fail.
 constexpr base::Duration report_interval{800'000};
+/// Limits connecting, and then waiting for the response.
 constexpr base::Duration response_timeout{600'000};
+/// From a failed report to the next one.
 constexpr base::Duration retry_delay{150'000};
 constexpr unsigned http_no_content = 204;
 
@@ -41,7 +43,7 @@
 
 void DirectoryReporter::schedule_report(base::Duration delay) {
     report_timer_ = timers().schedule(loop().unix_now() + delay, [this] {
-        // The directory accepted the connection and does not answer.
+        // The directory accepted the connection but did not respond in time.
         if (state_ == State::awaiting_response)
             reset_connection();
         send_report();
@@ -109,8 +111,8 @@
 }
 
 void DirectoryReporter::on_end(bool) {
-    forget_stream();
-    // An idle connection that ends is no fault: the next report opens another.
+    clear_stream();
+    // The end of an idle connection is not an error: the next report opens a new one.
     if (state_ != State::idle) {
         if (last_report_accepted_)
             base::log_warning("directory: unreachable");
--- a/src/platform/directory_reporter.hpp
+++ b/src/platform/directory_reporter.hpp
@@ -1,4 +1,4 @@
-// Reports to the platform's directory, over and over, whether this server takes requests.
+// Reports periodically to the platform's directory whether this server accepts requests.
 #pragma once
 
 #include <http_parser.h>
@@ -9,27 +9,27 @@
 
 namespace cressledge::platform {
 
-/// Keeps this server's entry in the directory alive. One report is under way at a time, on a connection that is kept.
+/// Keeps this server's entry in the directory current. At most one report is in flight, on a persistent connection.
 class DirectoryReporter final : public ReconnectingLink {
 public:
-    /// What a report says: this server takes requests, or no longer does.
+    /// The reported state: `open` if this server accepts requests, `closed` if it no longer does.
     enum class Mode { open, closed };
 
-    /// `address`: the directory's, from the node configuration; `node_name`: this server's entry there.
+    /// `address` is the address of the directory; `node_name` is the name of this server's entry.
     DirectoryReporter(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
                       connection_admission::FileDescriptorBudget& descriptors, std::string node_name);
 
-    /// Reports `mode` as soon as possible, and again and again from then on.
+    /// Reports `mode` as soon as possible, and periodically from then on.
     void report(Mode mode);
 
-    /// Reports to another directory at once.
+    /// Switches to the directory at `address` and reports to it immediately. Does nothing if the address is unchanged.
     void set_address(const net::Address& address);
 
-    /// net::Stream::Owner: the link is open; the report under way is sent.
+    /// net::Stream::Owner: the connection is established; sends a report.
     void on_open() override;
     /// net::Stream::Owner: reads the directory's HTTP response to the report.
     void on_bytes(std::string_view bytes) override;
-    /// net::Stream::Owner: the link is over, or was `refused`.
+    /// net::Stream::Owner: the connection has ended or was `refused`; a report in flight is retried after a delay.
     void on_end(bool refused) override;
 
 private:
@@ -46,9 +46,9 @@
     Mode mode_ = Mode::open;
     State state_ = State::disconnected;
     bool response_complete_ = false;
-    /// The mode has changed since the report that is under way was sent.
+    /// A new mode was set while a report was in flight.
     bool report_outdated_ = false;
-    /// Kept to log changes only.
+    /// Used to log only changes of the result.
     bool last_report_accepted_ = true;
     base::TimerHandle report_timer_;
 };
--- a/src/platform/engine_client.cpp
+++ b/src/platform/engine_client.cpp
@@ -8,12 +8,12 @@
 namespace cressledge::platform {
 namespace {
 
-/// The engine may lose what it was sent in the last 50 ms before a break. A command that is this much older was
-/// probably delivered.
+/// The engine may lose commands sent in the last 50 ms before the link broke. A command sent longer before the break
+/// than this window was probably delivered.
 constexpr base::Duration uncertain_delivery_window{250'000};
-/// How long a notice may take that shows a command which was probably delivered.
+/// How long to wait for the notice that confirms a probably delivered command before sending the command again.
 constexpr base::Duration confirmation_timeout{100'000};
-/// A command that was sent this long before the break was certainly delivered.
+/// A command sent longer than this before the break was certainly delivered.
 constexpr base::Duration certain_delivery_age{2'000'000};
 
 }  // namespace
@@ -25,7 +25,7 @@
     : ReconnectingLink(loop, timers, address, descriptors),
       request_manager_(request_manager),
       gauge_names_(std::move(gauge_names)),
-      line_reader_(engine_protocol::max_body_bytes, engine_protocol::has_body) {}
+      frame_reader_(engine_protocol::max_body_bytes, engine_protocol::has_body) {}
 
 void EngineClient::connect() {
     try_connect();
@@ -35,7 +35,7 @@
 
 void EngineClient::write(std::string_view bytes) {
     if (stream() != nullptr && !stream()->write(bytes))
-        drop_link("write buffer full");
+        close_link("write buffer full");
 }
 
 void EngineClient::send_command(request::RequestId request_id, std::string bytes, CommandType type) {
@@ -102,7 +102,7 @@
     const auto it = active_runs_.find(request_id);
     if (it == active_runs_.end())
         return;
-    // The name may belong to a later request by now.
+    // A later request may use the same name by now.
     if (const auto name = request_ids_by_name_.find(it->second.name);
         name != request_ids_by_name_.end() && name->second == request_id)
         request_ids_by_name_.erase(name);
@@ -119,22 +119,22 @@
 }
 
 void EngineClient::on_open() {
-    line_reader_.clear();
+    frame_reader_.clear();
     synchronized_ = false;
     ++link_epoch_;
     write(engine_protocol::encode_attach(last_notice_));
 }
 
 void EngineClient::on_end(bool refused) {
-    forget_stream();
+    clear_stream();
     if (synchronized_ || !refused)
         base::log_warning("engine: link lost last_notice={}", last_notice_);
     mark_unsynchronized();
     schedule_reconnect();
 }
 
-void EngineClient::drop_link(const char* reason) {
-    base::log_warning("engine: link closed: {}", reason);
+void EngineClient::close_link(const char* reason) {
+    base::log_warning("engine: link closed reason=\"{}\"", reason);
     mark_unsynchronized();
     disconnect();
     schedule_reconnect();
@@ -146,12 +146,12 @@
 }
 
 std::string EngineClient::synchronization_tag() const {
-    // Appended: GCC 12 warns of a literal's copy that overlaps (its bug 105651).
+    // append() instead of operator+: GCC 12 falsely warns about overlapping copies of a literal (GCC bug 105651).
     return std::string("s").append(std::to_string(link_epoch_));
 }
 
-// A call's reply that was sent just before the break counts as delivered: sent again, it might meet the next call of
-// its run and pass for the reply to that.
+// A call reply sent just before the break counts as delivered: if it were sent again, the engine could take it for the
+// reply to the run's next call.
 bool EngineClient::was_probably_delivered(const ActiveRun& run) const {
     if (run.sent_at == base::Timestamp(0))
         return false;
@@ -159,10 +159,10 @@
            link_lost_at_ - run.sent_at > uncertain_delivery_window;
 }
 
-// Decides what becomes of a run's last command on a new link; true: something has to be sent at once.
+// Updates the state of a run's last command for a new link. Returns whether a command must be sent immediately.
 bool EngineClient::needs_resend(ActiveRun& run) const {
     const bool delivered = was_probably_delivered(run);
-    // What a halted run would do with the reply is of no use to anybody.
+    // A suspended run does not need the reply.
     if (run.command_type == CommandType::call_reply && delivered && run.suspend_requested)
         run.unconfirmed_command.clear();
     run.awaiting_confirmation = !run.unconfirmed_command.empty() && delivered && !run.suspend_requested;
--- a/src/platform/engine_client_messages.cpp
+++ b/src/platform/engine_client_messages.cpp
@@ -1,4 +1,4 @@
-// What the engine's messages do to the client; commands and the link itself are in engine_client.cpp.
+// Handlers of the engine's messages. Commands and the connection are handled in engine_client.cpp.
 
 #include <algorithm>
 #include <cmath>
@@ -10,34 +10,34 @@
 namespace cressledge::platform {
 namespace {
 
-/// Longer uptimes of the engine count as this one.
+/// A longer reported uptime of the engine is clamped to this value.
 constexpr double max_uptime_ms = 1e9;
 constexpr double microseconds_per_millisecond = 1000.0;
 
 }  // namespace
 
 void EngineClient::on_bytes(std::string_view bytes) {
-    line_reader_.append(bytes);
-    Line line;
+    frame_reader_.append(bytes);
+    Frame frame;
     while (stream() != nullptr) {
-        const LineReader::Status status = line_reader_.read_line(line);
-        if (status == LineReader::Status::incomplete)
+        const FrameReader::Status status = frame_reader_.read_frame(frame);
+        if (status == FrameReader::Status::incomplete)
             return;
-        if (status == LineReader::Status::malformed)
-            return drop_link("protocol error detail=\"malformed message\"");
-        if (line.tokens.empty())
+        if (status == FrameReader::Status::malformed)
+            return close_link("malformed message");
+        if (frame.tokens.empty())
             continue;
         std::visit([this](const auto& message) { handle(message); },
-                   engine_protocol::parse_message(line, gauge_names_));
+                   engine_protocol::parse_message(frame, gauge_names_));
     }
 }
 
 void EngineClient::handle(const engine_protocol::MalformedNotice&) {
-    drop_link("protocol error detail=\"notice without a number\"");
+    close_link("notice without a valid number");
 }
 
 void EngineClient::handle(const engine_protocol::Notice& notice) {
-    // A new link repeats notices that the last one had brought.
+    // A new link may repeat notices that the previous one delivered.
     if (notice.number <= last_notice_)
         return;
     last_notice_ = notice.number;
@@ -60,7 +60,7 @@
         request_manager_.dependency_call_requested(request_id, number, std::string(call.body));
 }
 
-// Returns the request whose run this is; 0 where there is none.
+// Returns the request of the run, or 0 if there is none.
 request::RequestId EngineClient::confirm_last_command(std::string_view run_name) {
     const auto found = request_ids_by_name_.find(std::string(run_name));
     if (found == request_ids_by_name_.end())
@@ -84,12 +84,13 @@
 }
 
 void EngineClient::handle(const engine_protocol::Hello& hello) {
-    // The answer comes after all notices that were missed.
+    // The engine replies after it has sent all missed notices.
     write(engine_protocol::encode_gauges_query(synchronization_tag()));
     if (request_manager_.started())
         return;
     base::log_info("engine: up state={} uptime_ms={}", hello.state, hello.uptime_ms);
-    // A cold engine has warmed up since its start. The age of one that started with its data loaded says nothing.
+    // An engine that started cold has been warming up since then. If it started with its data loaded, its uptime is
+    // irrelevant.
     const base::Duration uptime(
         std::llround(std::min(hello.uptime_ms, max_uptime_ms) * microseconds_per_millisecond));
     const policy::Settings& settings = request_manager_.settings();
@@ -105,7 +106,7 @@
                           rejection.run_name, suppressed);
     if (!rejection.is_run)
         return;
-    // A run that never began still owes its caller a response.
+    // The run never started, but its caller still needs a response.
     const auto found = request_ids_by_name_.find(std::string(rejection.run_name));
     if (found != request_ids_by_name_.end())
         request_manager_.run_finished(found->second, request::RunResult::noop, {});
--- a/src/platform/engine_protocol.cpp
+++ b/src/platform/engine_protocol.cpp
@@ -9,7 +9,7 @@
 using Tokens = std::vector<std::string_view>;
 
 template <class Number>
-bool parse_as(std::string_view text, Number& value) {
+bool parse_entire(std::string_view text, Number& value) {
     const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     return !text.empty() && error == std::errc() && stop == text.data() + text.size();
 }
@@ -25,17 +25,17 @@
 }
 
 // DONE number run result ..., NEED number run ..., NOTE number ...
-Message parse_notice(const Line& line) {
-    const Tokens& tokens = line.tokens;
+Message parse_notice(const Frame& frame) {
+    const Tokens& tokens = frame.tokens;
     Notice notice;
     if (tokens.size() < 2 || !parse_number(tokens[1], notice.number))
         return MalformedNotice{};
     if (tokens.size() < 4)
         return notice;
     if (tokens[0] == "DONE")
-        notice.content = RunEnded{tokens[2], to_run_result(tokens[3]), line.body};
+        notice.content = RunEnded{tokens[2], to_run_result(tokens[3]), frame.body};
     if (tokens[0] == "NEED")
-        notice.content = CallNeeded{tokens[2], line.body};
+        notice.content = CallNeeded{tokens[2], frame.body};
     return notice;
 }
 
@@ -52,18 +52,18 @@
 
 // STATS tag value ...
 Message parse_gauges(const Tokens& tokens, const std::vector<std::string>& gauge_names) {
-    constexpr std::size_t first_value = 2;
+    constexpr std::size_t first_value_token = 2;
     GaugesReply reply;
     reply.tag = tokens[1];
-    for (std::size_t i = 0; i < gauge_names.size() && i + first_value < tokens.size(); ++i) {
+    for (std::size_t i = 0; i < gauge_names.size() && i + first_value_token < tokens.size(); ++i) {
         double value = 0.0;
-        if (parse_as(tokens[i + first_value], value) && std::isfinite(value))
+        if (parse_entire(tokens[i + first_value_token], value) && std::isfinite(value))
             store_gauge(gauge_names[i], value, reply.gauges);
     }
     return reply;
 }
 
-// TESTED tag result
+// TESTED query_id result
 Message parse_health(const Tokens& tokens) {
     HealthCheckReply reply;
     if (!parse_number(tokens[1], reply.query_id))
@@ -72,12 +72,12 @@
     return reply;
 }
 
-// HELLO state milliseconds
+// HELLO state uptime_ms
 Message parse_hello(const Tokens& tokens) {
     Hello hello;
     hello.state = tokens[1];
     double uptime_ms = 0.0;
-    if (parse_as(tokens[2], uptime_ms) && uptime_ms >= 0.0)
+    if (parse_entire(tokens[2], uptime_ms) && uptime_ms >= 0.0)
         hello.uptime_ms = uptime_ms;
     return hello;
 }
@@ -94,14 +94,14 @@
 }
 
 bool parse_number(std::string_view text, std::uint64_t& value) {
-    return parse_as(text, value);
+    return parse_entire(text, value);
 }
 
-Message parse_message(const Line& line, const std::vector<std::string>& gauge_names) {
-    const Tokens& tokens = line.tokens;
+Message parse_message(const Frame& frame, const std::vector<std::string>& gauge_names) {
+    const Tokens& tokens = frame.tokens;
     const std::string_view type = tokens[0];
     if (type == "DONE" || type == "NEED" || type == "NOTE")
-        return parse_notice(line);
+        return parse_notice(frame);
     if (type == "STATS" && tokens.size() >= 2)
         return parse_gauges(tokens, gauge_names);
     if (type == "TESTED" && tokens.size() >= 3)
@@ -118,9 +118,9 @@
 }
 
 std::string encode_run(std::string_view run_name, std::string_view class_name, std::string_view body) {
-    std::string line = "RUN ";
-    line.append(run_name).append(" ").append(class_name).append(" ").append(std::to_string(body.size()));
-    return line.append("\r\n").append(body).append("\r\n");
+    std::string command = "RUN ";
+    command.append(run_name).append(" ").append(class_name).append(" ").append(std::to_string(body.size()));
+    return command.append("\r\n").append(body).append("\r\n");
 }
 
 std::string encode_resume(std::string_view run_name) {
@@ -132,14 +132,14 @@
 }
 
 std::string encode_call_reply(std::string_view run_name, std::string_view body) {
-    std::string line = "FEED ";
-    line.append(run_name).append(" ").append(std::to_string(body.size()));
-    return line.append("\r\n").append(body).append("\r\n");
+    std::string command = "FEED ";
+    command.append(run_name).append(" ").append(std::to_string(body.size()));
+    return command.append("\r\n").append(body).append("\r\n");
 }
 
 std::string encode_skip_call(std::string_view run_name, std::uint64_t notice) {
-    std::string line = "SKIP ";
-    return line.append(run_name).append(" ").append(std::to_string(notice)).append("\r\n");
+    std::string command = "SKIP ";
+    return command.append(run_name).append(" ").append(std::to_string(notice)).append("\r\n");
 }
 
 std::string encode_gauges_query(std::string_view tag) {
--- a/src/platform/engine_protocol.hpp
+++ b/src/platform/engine_protocol.hpp
@@ -1,7 +1,7 @@
-// The engine's wire: commands as bytes, and messages out of lines. Nothing here keeps state.
+// The engine's wire protocol: encodes commands and parses messages. Stateless.
 //
-// Messages that report what a run did are notices, which the engine numbers without gaps. A new link names the last
-// notice that was read, and the engine repeats those after it.
+// Messages about the progress of a run are notices, which the engine numbers without gaps. A new link states the number
+// of the last notice that was read, and the engine repeats all later ones.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,15 @@
 #include <variant>
 #include <vector>
 
-#include "platform/line_reader.hpp"
+#include "platform/frame_reader.hpp"
 #include "request/request_manager.hpp"
 
 namespace cressledge::platform::engine_protocol {
 
-/// Results hold 4 KiB at most; the engine states no bound for the bodies of calls.
+/// Results have at most 4 KiB; the engine's protocol does not bound the bodies of dependency calls.
 constexpr std::size_t max_body_bytes = 64U << 10U;
 
-/// Whether a message has a counted body; see LineReader.
+/// Whether a message with these tokens has a body of stated length; see FrameReader.
 bool has_body(const std::vector<std::string_view>& tokens);
 
 /// A run has ended.
@@ -28,31 +28,31 @@
     std::string_view body;
 };
 
-/// A run waits for a call of its dependency.
+/// A run waits for a dependency call.
 struct CallNeeded {
     std::string_view run_name;
     std::string_view body;
 };
 
-/// A notice of which only the number counts.
+/// A notice whose content is ignored; only its number is used.
 struct OtherNotice {};
 
-/// A numbered message of the engine about a run; the engine numbers them without gaps.
+/// A message about a run; the engine numbers notices without gaps.
 struct Notice {
     std::uint64_t number = 0;
     std::variant<OtherNotice, RunEnded, CallNeeded> content;
 };
 
-/// A notice without a readable number: the link can no longer be taken up after it.
+/// A notice without a valid number: a later link could not continue after it.
 struct MalformedNotice {};
 
-/// The answer to encode_gauges_query(). `tag` is the one of the query.
+/// The reply to encode_gauges_query(). `tag` is the tag of the query.
 struct GaugesReply {
     std::string_view tag;
     policy::Gauges gauges;
 };
 
-/// The answer to encode_health_check().
+/// The reply to encode_health_check().
 struct HealthCheckReply {
     std::uint64_t query_id = 0;
     bool healthy = false;
@@ -61,46 +61,46 @@
 /// The engine's first message on a link.
 struct Hello {
     std::string_view state;
-    /// Since the engine's start, in milliseconds; 0 where the engine says nothing that can be read.
+    /// Time since the engine's start in milliseconds; 0 if the reported value is invalid.
     double uptime_ms = 0.0;
 };
 
-/// The engine did not carry a command out.
+/// The engine rejected a command.
 struct CommandRejected {
     std::string_view command;
     std::string_view run_name;
     bool is_run = false;
 };
 
-/// A message that this version does not know, or that lacks a field.
+/// A message of an unknown type, or one that lacks a field.
 struct Ignored {};
 
-/// Any one message of the engine, as `parse_message` reads it.
+/// Any message of the engine.
 using Message =
     std::variant<Ignored, Notice, MalformedNotice, GaugesReply, HealthCheckReply, Hello, CommandRejected>;
 
-/// Reads one message. Its views are those of `line`, which must have tokens. `gauge_names` gives the order in which the
-/// engine states its gauges.
-Message parse_message(const Line& line, const std::vector<std::string>& gauge_names);
+/// Parses one message. `frame` must have at least one token; the message refers to the frame's data. `gauge_names`
+/// lists the gauges in the order in which the engine reports them.
+Message parse_message(const Frame& frame, const std::vector<std::string>& gauge_names);
 
-/// Reads a whole decimal number; false where `text` is none.
+/// Parses a decimal integer. Returns false if `text` is not one or does not fit.
 bool parse_number(std::string_view text, std::uint64_t& value);
 
-/// Asks for all notices after `last_notice`.
+/// ATTACH: requests all notices after `last_notice`.
 std::string encode_attach(std::uint64_t last_notice);
-/// RUN: starts a run of the class with the request's body.
+/// RUN: starts a run of the request class `class_name` with the request's body.
 std::string encode_run(std::string_view run_name, std::string_view class_name, std::string_view body);
-/// RESUME: lets a suspended run go on.
+/// RESUME: resumes a suspended run.
 std::string encode_resume(std::string_view run_name);
 /// HALT: suspends a run.
 std::string encode_suspend(std::string_view run_name);
-/// FEED: the reply of a run's dependency call.
+/// FEED: delivers the reply to a run's dependency call.
 std::string encode_call_reply(std::string_view run_name, std::string_view body);
-/// SKIP: the run goes on without the dependency call of notice `notice`.
+/// SKIP: lets the run continue without the dependency call that `notice` requested.
 std::string encode_skip_call(std::string_view run_name, std::uint64_t notice);
-/// STAT: asks for the engine's gauges; the reply carries `tag`.
+/// STAT: queries the engine's gauges; the reply carries `tag`.
 std::string encode_gauges_query(std::string_view tag);
-/// TEST: asks for a health check; the reply carries `query_id`.
+/// TEST: requests a health check; the reply carries `query_id`.
 std::string encode_health_check(std::uint64_t query_id);
 
 }  // namespace cressledge::platform::engine_protocol
--- a/src/platform/line_reader.cpp
+++ b/src/platform/frame_reader.cpp
@@ -1,4 +1,4 @@
-#include "platform/line_reader.hpp"
+#include "platform/frame_reader.hpp"
 
 #include <algorithm>
 #include <optional>
@@ -33,20 +33,20 @@
 
 }  // namespace
 
-void LineReader::clear() {
+void FrameReader::clear() {
     buffer_.clear();
     consumed_bytes_ = 0;
 }
 
-// Moves what is left to the front only when that is no more than what goes: linear time over all messages.
-void LineReader::discard_consumed() {
+// Compacts the buffer only once at least half of it has been consumed, so that the total cost is linear.
+void FrameReader::discard_consumed() {
     if (consumed_bytes_ == 0 || consumed_bytes_ < buffer_.size() / 2)
         return;
     buffer_.erase(0, consumed_bytes_);
     consumed_bytes_ = 0;
 }
 
-LineReader::Status LineReader::read_line(Line& line) {
+FrameReader::Status FrameReader::read_frame(Frame& frame) {
     discard_consumed();
     const std::string_view unread = std::string_view(buffer_).substr(consumed_bytes_);
     const std::size_t end = unread.find(line_end);
@@ -54,21 +54,21 @@
         return unread.size() > max_line_bytes ? Status::malformed : Status::incomplete;
     if (end > max_line_bytes)
         return Status::malformed;
-    split_tokens(unread.substr(0, end), line.tokens);
-    line.body = {};
-    std::size_t taken = end + line_end.size();
-    if (!line.tokens.empty() && has_body_(line.tokens)) {
-        const std::optional<std::size_t> length = parse_length(line.tokens.back(), max_body_bytes_);
+    split_tokens(unread.substr(0, end), frame.tokens);
+    frame.body = {};
+    std::size_t frame_bytes = end + line_end.size();
+    if (!frame.tokens.empty() && has_body_(frame.tokens)) {
+        const std::optional<std::size_t> length = parse_length(frame.tokens.back(), max_body_bytes_);
         if (!length)
             return Status::malformed;
-        if (unread.size() < taken + *length + line_end.size())
+        if (unread.size() < frame_bytes + *length + line_end.size())
             return Status::incomplete;
-        line.body = unread.substr(taken, *length);
-        if (unread.substr(taken + *length, line_end.size()) != line_end)
+        frame.body = unread.substr(frame_bytes, *length);
+        if (unread.substr(frame_bytes + *length, line_end.size()) != line_end)
             return Status::malformed;
-        taken += *length + line_end.size();
+        frame_bytes += *length + line_end.size();
     }
-    consumed_bytes_ += taken;
+    consumed_bytes_ += frame_bytes;
     return Status::complete;
 }
 
--- a/src/platform/platform_node.cpp
+++ b/src/platform/platform_node.cpp
@@ -10,24 +10,24 @@
 namespace {
 
 constexpr std::uint32_t rejection_slots = 16;
-/// In the report of connections by source.
+/// Limits the sources that the connection report lists.
 constexpr std::size_t max_reported_sources = 10;
-/// How much longer than the callers' own idle timeout a connection may be idle: well-behaved callers close it first.
+/// Added to the idle timeout that callers observe, so that well-behaved callers close a connection first.
 constexpr base::Duration idle_timeout_margin{1'000'000};
 
 net::Address parse_address(const char* field, const std::string& text) {
     const auto address = net::Address::parse(text);
     if (!address)
-        throw config::ConfigError(std::string(field) + ": not an address: " + text);
+        throw config::ConfigError(std::string(field) + ": not an IP address with a port: " + text);
     return *address;
 }
 
-// There is none where no class calls the dependency. A call that came up all the same would be refused.
+// The address is empty if no request class calls the dependency; a call made nevertheless would be refused.
 net::Address records_address(const config::NodeConfig& config) {
     return config.records_address.empty() ? net::Address{} : parse_address("records", config.records_address);
 }
 
-// Callers of the platform cannot be told apart with certainty: there are no client groups and no limits by source.
+// The platform's callers cannot be identified reliably, so there are no client groups and no limits by source.
 connection_admission::Settings admission_settings(const config::NodeConfig& config,
                                                   const connection_admission::DescriptorPlan& plan) {
     connection_admission::Settings settings;
@@ -41,7 +41,7 @@
     return std::max<std::size_t>(2, config.max_descriptors / 8);
 }
 
-// What callers do not use is for the links to the peers, and for connections that are closing.
+// A quarter of the descriptors is left for the connections to peers and for connections that are closing.
 connection_admission::DescriptorPlan make_descriptor_plan(const config::NodeConfig& config) {
     connection_admission::DescriptorDemand demand;
     demand.listeners = 1;
@@ -121,16 +121,16 @@
             descriptors_.try_acquire(request_manager_.now(), connection_admission::DescriptorPurpose::file);
         const config::NodeConfig new_config = config::load_node_config(path);
         if (new_config.name != config_.name || new_config.listen_address != config_.listen_address)
-            throw config::ConfigError(path + ": name and listen change with a restart only");
+            throw config::ConfigError(path + ": name and listen require a restart");
         apply(new_config);
         ++configurations_applied_;
     } catch (const std::exception& error) {
         ++configurations_rejected_;
-        base::log_error("configuration: the old one stays in force: {}", error.what());
+        base::log_error("configuration: reload rejected error=\"{}\"", error.what());
     }
 }
 
-// All fields are parsed before the first is used: never is half a configuration in force.
+// Parses all addresses before applying any, so that a configuration is never applied in part.
 void PlatformNode::apply(const config::NodeConfig& new_config) {
     const net::Address engine = parse_address("engine", new_config.engine_address);
     const net::Address records = records_address(new_config);
--- a/src/platform/platform_node.hpp
+++ b/src/platform/platform_node.hpp
@@ -1,5 +1,5 @@
-// One server on the platform: it wires the HTTP frontend, the engine link, the records client, the directory reporter
-// and the admin address around the request manager.
+// One server of the platform. Connects the HTTP frontend, the engine client, the records client, the directory reporter
+// and the admin address to the request manager.
 #pragma once
 
 #include <optional>
@@ -17,46 +17,47 @@
 
 namespace cressledge::platform {
 
-/// Owns all parts of the server. Nothing is accepted or sent before start().
+/// Owns all components of the server. Accepts and sends nothing before start().
 class PlatformNode final : public request::ConnectionSettingsSink, public admin::AdminSource {
 public:
-    /// Throws config::ConfigError when an address cannot be read, and net::SocketError when one cannot be listened on.
+    /// Throws config::ConfigError if an address is invalid, and net::SocketError if listening on an address fails.
     PlatformNode(net::Loop& loop, base::TimerQueue& timers, const config::NodeConfig& config);
 
-    /// Installs the signal handlers, opens the engine link and reports to the directory.
+    /// Installs the signal handlers, opens the link to the engine and starts reporting to the directory.
     void start();
 
-    /// Reports to the directory that the server closes, answers what has been read, and ends the loop.
+    /// Reports mode `closed` to the directory, answers the requests already read, and stops the loop.
     void begin_graceful_shutdown();
 
-    /// Reads the configuration again: new addresses of the peers, new settings. An invalid file changes nothing.
+    /// Reloads the configuration file and applies changed addresses and settings. An invalid file changes nothing and
+    /// is logged and counted.
     void reload(const std::string& path);
 
-    /// request::ConnectionSettingsSink: the idle timeout of the callers' connections, set by an
-    /// action of the admission controller.
+    /// request::ConnectionSettingsSink: sets the idle timeout of the callers' connections, as an action of the
+    /// admission controller requires.
     void set_idle_timeout(base::Duration timeout) override { shutdown_coordinator_.set_idle_limit(timeout); }
-    /// admin::AdminSource: whether the request manager has started and is not draining.
+    /// admin::AdminSource: returns whether the request manager has started and is not draining.
     bool is_ready() override;
-    /// admin::AdminSource: counts of each class, of connections, and of configurations
-    /// applied and rejected.
+    /// admin::AdminSource: appends the counts of each request class, of connections, and of configurations applied and
+    /// rejected.
     void collect_metrics(base::Metrics& out) override;
 
     /// The port that callers connect to.
     int http_port() { return shutdown_coordinator_.last_frontend().port(); }
 
-    /// The port of the admin address; 0 where there is none.
+    /// The port of the admin address; 0 if there is none.
     int admin_port() const { return admin_server_ ? admin_server_->port() : 0; }
 
-    /// Settings generations that have open requests, and the newest.
+    /// The number of settings generations in use: the newest, and those that still have open requests.
     std::size_t generation_count() const { return request_manager_.generation_count(); }
 
 private:
     void add_http_frontend();
     void apply(const config::NodeConfig& new_config);
 
-    /// As it was at the start.
+    /// The configuration at startup; reloads do not change it.
     const config::NodeConfig config_;
-    /// The text of the settings in force.
+    /// The JSON text of the current settings.
     std::string settings_json_;
     net::Loop& loop_;
     base::TimerQueue& timers_;
--- a/src/platform/reconnecting_link.hpp
+++ b/src/platform/reconnecting_link.hpp
@@ -1,4 +1,4 @@
-// A connection to one peer of the platform that is opened again, with exponential backoff, for as long as it is wanted.
+// A connection to one peer of the platform that can be reopened with exponential backoff.
 #pragma once
 
 #include "base/timer_queue.hpp"
@@ -8,11 +8,11 @@
 
 namespace cressledge::platform {
 
-/// Base of the links to engine and directory. Derived classes handle the stream's events; when one ends, they call
-/// forget_stream() and decide when to connect again.
+/// Base class of the links to the engine and the directory. Derived classes handle the stream's events; when the stream
+/// ends, they call clear_stream() and decide when to reconnect.
 class ReconnectingLink : public net::Stream::Owner {
 public:
-    /// `address`: the peer's; each connection takes a descriptor lease of `descriptors`.
+    /// `address` is the peer's address. Each connection holds a lease of `descriptors`.
     ReconnectingLink(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
                      connection_admission::FileDescriptorBudget& descriptors);
     ~ReconnectingLink() override;
@@ -20,27 +20,27 @@
     ReconnectingLink& operator=(const ReconnectingLink&) = delete;
 
 protected:
-    /// Opens the connection unless there is one. stream() stays null when there is no descriptor for it.
+    /// Opens a connection unless there is one. stream() stays null if this fails, for example for lack of a descriptor.
     void try_connect();
 
-    /// Connects after the backoff, and again until a connection is under way.
+    /// Connects after the backoff, and retries until a connection attempt could be started.
     void schedule_reconnect();
 
-    /// The next backoff is the shortest again. To be called once the peer has proved to work.
+    /// Resets the backoff to its minimum. Call it once the peer has proved to work.
     void reset_backoff() { backoff_ = base::Duration(0); }
 
     /// Closes the connection, established or not.
     void disconnect();
 
-    /// Connects to `address` from the next connection on. Returns whether it is another than before.
+    /// Uses `address` for later connections. Returns whether it differs from the previous address.
     bool change_address(const net::Address& address);
 
     net::Loop& loop() const { return loop_; }
     base::TimerQueue& timers() const { return timers_; }
-    /// The connection, established or not; null: none.
+    /// The connection, established or not; null if there is none.
     net::Stream* stream() const { return stream_; }
-    /// To be called once the stream has ended.
-    void forget_stream() { stream_ = nullptr; }
+    /// Clears the pointer to a stream that has ended. Call it from on_end().
+    void clear_stream() { stream_ = nullptr; }
 
 private:
     net::Loop& loop_;
--- a/src/platform/records_client.cpp
+++ b/src/platform/records_client.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "base/log.hpp"
-#include "platform/line_reader.hpp"
+#include "platform/frame_reader.hpp"
 #include "platform/records_protocol.hpp"
 
 namespace cressledge::platform {
@@ -13,19 +13,20 @@
 using policy::Outcome;
 
 constexpr std::size_t max_calls_per_connection = 64;
-/// The service may close or forget an idle connection. A call that is lost on one proves nothing, and a write would
-/// have failed for good.
+/// The service may close or drop an idle connection. If a call is lost on such a connection, it is unknown whether it
+/// ran, so a write would fail without a retry.
 constexpr base::Duration max_idle_time{100'000};
 
 }  // namespace
 
-/// One connection, with the call that it carries. It lives in the client's slot map until it has been closed.
+/// One connection and the call that it carries. Owned by the client's slot map until it has been closed.
 class RecordsClient::Connection final : public net::Stream::Owner {
 public:
     enum class State { connecting, open, closed };
 
     explicit Connection(RecordsClient& records_client)
-        : client(records_client), line_reader(records_protocol::max_body_bytes, records_protocol::has_body) {}
+        : client(records_client),
+          frame_reader(records_protocol::max_body_bytes, records_protocol::has_body) {}
     ~Connection() override {
         if (stream != nullptr)
             stream->close();
@@ -39,22 +40,22 @@
         client.on_connection_lost(*this, refused);
     }
     void on_bytes(std::string_view bytes) override {
-        line_reader.append(bytes);
-        Line line;
+        frame_reader.append(bytes);
+        Frame frame;
         while (stream != nullptr) {
-            const LineReader::Status status = line_reader.read_line(line);
-            if (status == LineReader::Status::incomplete)
+            const FrameReader::Status status = frame_reader.read_frame(frame);
+            if (status == FrameReader::Status::incomplete)
                 return;
-            if (status == LineReader::Status::malformed)
+            if (status == FrameReader::Status::malformed)
                 return on_malformed_reply();
-            const auto reply = records_protocol::parse_reply(line.tokens);
+            const auto reply = records_protocol::parse_reply(frame.tokens);
             if (!reply)
                 return on_malformed_reply();
-            if (answers_this_call(*reply)) {
-                client.finish_call(*this, reply->outcome, std::string(line.body));
+            if (matches_current_call(*reply)) {
+                client.finish_call(*this, reply->outcome, std::string(frame.body));
                 continue;
             }
-            // A duplicate, or a reply to nobody: it is ignored, but more may follow.
+            // A duplicate or unexpected reply is ignored. More may follow, so the connection is not reused.
             reusable = false;
             if (request_id == 0)
                 return client.close_connection(*this);
@@ -64,23 +65,23 @@
     RecordsClient& client;
     base::SlotId id = 0;
     net::Stream* stream = nullptr;
-    LineReader line_reader;
-    /// The request whose call it carries; 0: none.
+    FrameReader frame_reader;
+    /// The request whose call this connection carries; 0 if idle.
     request::RequestId request_id = 0;
-    /// Requests that it has served: duplicates of their replies may still be under way.
+    /// Names of the requests served so far; duplicates of their replies may still arrive.
     std::vector<std::string> served_names;
     base::TimerHandle idle_timer;
     State state = State::connecting;
     bool reusable = true;
 
 private:
-    bool answers_this_call(const records_protocol::Reply& reply) const {
+    bool matches_current_call(const records_protocol::Reply& reply) const {
         const auto call = client.pending_calls_.find(request_id);
         return request_id != 0 && call != client.pending_calls_.end() &&
                call->second.name == reply.request_name;
     }
 
-    // What follows a malformed reply cannot be told from the rest of it.
+    // The end of a malformed reply is unknown, so the bytes after it cannot be parsed.
     void on_malformed_reply() {
         std::uint64_t suppressed = 0;
         if (client.log_limiter_.try_acquire(client.loop_.unix_now(), suppressed))
@@ -119,12 +120,12 @@
         close_connection(*connections_.find(idle_connections_.front()));
         return open_connection(request_id, call);
     }
-    // Its deadline stays the same.
+    // Waiting does not extend the call's deadline.
     waiting_requests_.push_back(request_id);
 }
 
-// The connection used last is the least likely to have been closed. One that served this very request may still bring
-// a duplicate of that reply, which would pass for the reply to this call.
+// Prefers the most recently used connection, which is the least likely to have been closed. Skips connections that have
+// served this request: a duplicate of an earlier reply could be taken for the reply to this call.
 RecordsClient::Connection* RecordsClient::take_idle_connection(const std::string& request_name) {
     for (std::size_t i = idle_connections_.size(); i > 0; --i) {
         Connection& connection = *connections_.find(idle_connections_[i - 1]);
@@ -144,9 +145,9 @@
 }
 
 void RecordsClient::open_connection(request::RequestId request_id, PendingCall& call) {
-    auto created = std::make_unique<Connection>(*this);
-    Connection& connection = *created;
-    connection.id = connections_.add(std::move(created));
+    auto owned_connection = std::make_unique<Connection>(*this);
+    Connection& connection = *owned_connection;
+    connection.id = connections_.add(std::move(owned_connection));
     bind_call(connection, request_id, call);
     const base::Timestamp now = loop_.unix_now();
     int error = 0;
@@ -154,7 +155,7 @@
         connection.stream = net::Stream::connect(loop_.uv(), address_, connection, std::move(lease), &error);
     if (net::is_descriptor_exhaustion(error))
         descriptors_.on_system_exhausted(now);
-    // Nothing was sent: that is as good as a refused connection.
+    // Nothing was sent, so this is equivalent to a refused connection.
     if (connection.stream == nullptr)
         on_connection_lost(connection, true);
 }
@@ -190,7 +191,8 @@
                                              [this, &connection] { close_connection(connection); });
 }
 
-// A refused connection proves that the call never ran; one that breaks under the call proves nothing.
+// A refused connection proves that the call never ran. If a connection breaks after the call was sent, it is unknown
+// whether the call ran.
 void RecordsClient::on_connection_lost(Connection& connection, bool refused) {
     const request::RequestId request_id = std::exchange(connection.request_id, 0);
     close_connection(connection);
@@ -204,15 +206,15 @@
     fail_call(request_id, it->second.progress == Progress::sent ? Outcome::reset : Outcome::connect_failed);
 }
 
-// The outcome is reported on the loop's next turn: actions of the admission controller that are being applied come
-// first, in their order.
+// The outcome is reported in the next loop iteration, after the actions of the admission controller that are being
+// applied.
 void RecordsClient::fail_call(request::RequestId request_id, Outcome outcome) {
     PendingCall& call = pending_calls_.at(request_id);
     call.connection_id = 0;
     call.progress = Progress::failure_pending;
     timers_.schedule_detached(base::Timestamp(0), [this, request_id, outcome, sequence = call.sequence] {
         const auto it = pending_calls_.find(request_id);
-        // Abandoned meanwhile, perhaps for another call of the same request.
+        // The call was abandoned in the meantime; the request may have a new call.
         if (it == pending_calls_.end() || it->second.sequence != sequence)
             return;
         pending_calls_.erase(it);
@@ -220,7 +222,8 @@
     });
 }
 
-// Closing the connection tells the service that nobody waits, and keeps a late reply from passing for another's.
+// Closing the connection signals to the service that the reply is not needed, and prevents a late reply from being
+// taken for the reply to another call.
 void RecordsClient::abandon(request::RequestId request_id) {
     const auto it = pending_calls_.find(request_id);
     if (it == pending_calls_.end())
@@ -244,7 +247,7 @@
         connection.reusable = false;
         if (connection.state != Connection::State::connecting)
             continue;
-        // Nothing has been sent on it: its call goes to the new address.
+        // Nothing has been sent on this connection: its call goes to the new address.
         const request::RequestId request_id = std::exchange(connection.request_id, 0);
         close_connection(connection);
         if (const auto it = pending_calls_.find(request_id); it != pending_calls_.end())
@@ -259,7 +262,7 @@
         std::exchange(connection.stream, nullptr)->close();
     if (std::exchange(connection.state, Connection::State::closed) == Connection::State::closed)
         return;
-    // One of its own functions may be running: the slot is freed on the loop's next turn.
+    // A member function of the connection may be running, so the slot is freed in the next loop iteration.
     timers_.schedule_detached(base::Timestamp(0), [this, id = connection.id] {
         connections_.erase(id);
         assign_waiting_calls();
--- a/src/platform/records_client.hpp
+++ b/src/platform/records_client.hpp
@@ -1,5 +1,5 @@
-// Calls to the records service. Each has a connection to itself for as long as it lasts; connections are used again
-// for a short while. A malformed reply, or one that never comes, fails the call that it was for and no other.
+// Client of the records service. Each call has a connection to itself; idle connections are reused for a short time.
+// A malformed or missing reply fails only the call that it belongs to.
 #pragma once
 
 #include <deque>
@@ -17,10 +17,10 @@
 
 namespace cressledge::platform {
 
-/// The shared dependency of the platform's runs. Never retries a call: that is the admission controller's decision.
+/// Makes the dependency calls of runs. Never retries a call: the admission controller decides on retries.
 class RecordsClient final : public request::DependencyClient {
 public:
-    /// `address`: the records service's; at most `max_connections` are open at a time.
+    /// `address` is the address of the records service. At most `max_connections` are open at a time.
     RecordsClient(net::Loop& loop, base::TimerQueue& timers, const net::Address& address,
                   std::size_t max_connections, request::RequestManager& request_manager,
                   connection_admission::FileDescriptorBudget& descriptors);
@@ -28,14 +28,14 @@
     RecordsClient(const RecordsClient&) = delete;
     RecordsClient& operator=(const RecordsClient&) = delete;
 
-    /// request::DependencyClient: sends the call on an idle connection, or on a new one while
-    /// fewer than `max_connections` are open; `deadline` is absolute.
+    /// request::DependencyClient: sends the call on an idle connection, or on a new one while fewer than
+    /// `max_connections` are open; otherwise the call waits. `deadline` is a Unix time.
     void call(request::RequestId request_id, std::string_view name, std::string_view body,
               base::Timestamp deadline) override;
-    /// request::DependencyClient: the outcome is no longer reported; the call's connection is closed.
+    /// request::DependencyClient: cancels the call without reporting an outcome, and closes its connection.
     void abandon(request::RequestId request_id) override;
 
-    /// New calls go there from now on. A call that was sent ends where it is, while its connection stands.
+    /// Uses `address` for new calls and for those not sent yet. A call already sent completes on its connection.
     void set_address(const net::Address& address);
 
 private:
@@ -72,7 +72,7 @@
     request::RequestManager& request_manager_;
     connection_admission::FileDescriptorBudget& descriptors_;
     base::SlotMap<Connection> connections_;
-    /// The one used last is at the end.
+    /// Ordered by last use, the most recently used connection last.
     std::vector<base::SlotId> idle_connections_;
     std::deque<request::RequestId> waiting_requests_;
     std::unordered_map<request::RequestId, PendingCall> pending_calls_;
--- a/src/platform/records_protocol.cpp
+++ b/src/platform/records_protocol.cpp
@@ -11,7 +11,7 @@
 std::optional<policy::Outcome> parse_outcome(std::string_view token) {
     if (token == "DONE")
         return policy::Outcome::ok;
-    // Either way the call never ran.
+    // In both cases the call did not run.
     if (token == "WAIT" || token == "EMPTY")
         return policy::Outcome::rejected;
     if (token == "PAST")
--- a/tests/cressledge/platform_node_test.cpp
+++ b/tests/cressledge/platform_node_test.cpp
@@ -6,7 +6,8 @@
 using namespace cressledge::testing;
 
 TEST_CASE(
-    "PlatformNode: graceful shutdown reports to the directory, answers what was read and ends the loop") {
+    "PlatformNode: graceful shutdown reports to the directory, answers requests already read and stops the "
+    "loop") {
     PlatformFixture fixture({.stop_delay = Duration(900'000)});
     fixture.test_loop.run_until([&] { return fixture.directory.has_received("{\"mode\":\"open\"}"); });
     CHECK(fixture.directory.latest_peer().received.rfind("PUT /dir/nodes/n3 HTTP/1.1\r\n", 0) == 0);
@@ -24,8 +25,7 @@
 }
 
 TEST_CASE(
-    "PlatformNode: a reload moves all links at once while calls end where they are, and an invalid one moves "
-    "none") {
+    "PlatformNode: a reload switches all links while sent calls complete, and an invalid one switches none") {
     PlatformFixture fixture;
     TemporaryDirectory files;
     ListeningPeer engine(fixture.test_loop.loop), records(fixture.test_loop.loop),
@@ -48,14 +48,14 @@
           write_configuration(engine.address(), "127.0.0.1:1"), files.path + "/none"}) {
         take_log();
         fixture.node->reload(invalid_path);
-        CHECK(take_log().find("configuration: the old one stays in force: ") != std::string::npos);
+        CHECK(take_log().find("configuration: reload rejected error=") != std::string::npos);
     }
     fixture.test_loop.loop.run_once(false);
     CHECK(engine.peers.empty());
     CHECK(directory.peers.empty());
     const std::string valid_path = write_configuration(engine.address(), "127.0.0.1:0");
     fixture.node->reload(valid_path);
-    fixture.node->reload(valid_path);  // again, while the connections are being opened
+    fixture.node->reload(valid_path);  // repeated while the connections are being opened
     fixture.test_loop.run_until(
         [&] { return engine.has_received("ATTACH 1\r\n") && directory.has_received("{\"mode\":\"open\"}"); });
     fixture.test_loop.run_until([&] { return fixture.engine.latest_peer().is_closed; });
@@ -70,10 +70,9 @@
     CHECK(fixture.records.peers.size() == 1);
 }
 
-TEST_CASE(
-    "AdminServer: metrics count a scripted load as the callers saw it, and readiness follows the engine") {
+TEST_CASE("AdminServer: metrics match the responses to a scripted load, and readiness follows the engine") {
     PlatformFixture fixture({.engine_is_up = false, .has_admin = true});
-    // The engine has not greeted the node yet.
+    // The engine has not sent HELLO yet.
     CHECK(fixture.get_from_admin("/v1/readyz").rfind("HTTP/1.1 503 ", 0) == 0);
     auto early_caller = fixture.connect_caller();
     early_caller->send(fixture.make_request("trail-sheet", "too soon"));
@@ -106,10 +105,10 @@
     CHECK(fixture.get_from_admin("/v1/readyz").rfind("HTTP/1.1 503 ", 0) == 0);
 }
 
-TEST_CASE("AdminServer: it answers within a second while every caller's connection is taken") {
+TEST_CASE("AdminServer: responds within a second while all connection slots are in use") {
     PlatformFixture fixture({.has_admin = true});
     std::vector<std::unique_ptr<StreamPeer>> callers;
-    // More than there are connection slots, each with a request that the engine does not end.
+    // More callers than connection slots, each with a request that the engine does not complete.
     for (int n = 0; n < 80; ++n) {
         callers.push_back(fixture.connect_caller());
         if (callers.back()->is_open)
@@ -124,15 +123,15 @@
 }
 
 TEST_CASE(
-    "PlatformNode: links are made and reports resume while idle clients hold all descriptors they can") {
+    "PlatformNode: links reconnect and reports resume while idle clients hold all descriptors they can") {
     PlatformFixture fixture({.has_admin = true});
     fixture.test_loop.run_until([&] { return fixture.directory.has_received("PUT /dir/nodes/n3"); });
     const int directory_port = fixture.directory.port();
     fixture.directory.listener->close();
-    // The connection breaks, and nobody accepts another.
+    // The connection breaks, and new ones are refused.
     fixture.directory.peers.clear();
     std::vector<std::unique_ptr<RawClient>> idle_clients;
-    // Twice as many as the process has descriptors for; a third of them with half a line.
+    // Twice as many as the process has descriptors for; a third of them send an incomplete request head.
     for (int n = 0; n < 120; ++n) {
         idle_clients.push_back(std::make_unique<RawClient>(fixture.node->http_port()));
         if (n % 3 == 0)
@@ -140,7 +139,7 @@
     }
     for (int i = 0; i < 50; ++i)
         fixture.test_loop.loop.run_once(false);
-    // The engine link breaks, and is opened again.
+    // The link to the engine breaks and is reopened.
     const std::size_t link_count = fixture.engine.peers.size();
     fixture.engine.latest_peer().close();
     fixture.test_loop.run_until([&] {
@@ -148,7 +147,7 @@
                fixture.engine.latest_peer().has_received("ATTACH ");
     });
     fixture.synchronize_engine();
-    // A caller is served, and its call gets a connection to the records service.
+    // A caller is served, and its dependency call gets a connection to the records service.
     auto caller = fixture.connect_caller();
     const std::string run = fixture.start_run(*caller, "trail-sheet", "x");
     fixture.engine.latest_peer().send("NEED 1 " + run + " 1\r\nq\r\n");
@@ -157,7 +156,7 @@
     fixture.test_loop.run_until([&] { return fixture.engine.has_received("FEED " + run + " 1\r\nr\r\n"); });
     fixture.engine.latest_peer().send("DONE 2 " + run + " PASS 1 3\r\nmap\r\n");
     fixture.expect_received(*caller, "\r\n\r\nmap");
-    // The admin address answers; then the directory is back, and is reported to at once.
+    // The admin address responds. Once the directory is back, it receives a report.
     CHECK(fixture.get_from_admin("/v1/readyz").rfind("HTTP/1.1 200 OK", 0) == 0);
     fixture.directory.listen(fixture.test_loop.loop, directory_port);
     fixture.test_loop.run_until([&] {
@@ -166,9 +165,7 @@
     });
 }
 
-TEST_CASE(
-    "PlatformNode: reloaded classes serve new requests, open ones keep theirs, and an invalid file changes "
-    "nothing") {
+TEST_CASE("PlatformNode: reloaded classes apply to new requests only, and an invalid file changes nothing") {
     PlatformFixture fixture({.has_admin = true});
     TemporaryDirectory files;
     const auto write_configuration = [&](const std::string& name, const std::string& classes) {
@@ -179,7 +176,7 @@
                       classes + R"(],"domain":{"cores":4,"memory-kb":80000}}})");
     };
     auto first_caller = fixture.connect_caller(), second_caller = fixture.connect_caller();
-    // It runs across the reload.
+    // This run is open during the reload.
     const std::string open_run = fixture.start_run(*first_caller, "map-order", "before");
     const std::string new_classes_path =
         write_configuration("a.json", R"({"name":"map-order","effect":"single_shot","deadline":12000},
@@ -191,14 +188,14 @@
     fixture.engine.latest_peer().send("DONE 1 " + new_run + " PASS 1 1\r\nn\r\n");
     fixture.expect_received(*second_caller, "\r\n\r\nn");
     second_caller->take_through("\r\n\r\nn");
-    // Its own settings generation answers it, and is dropped then.
+    // The request is answered by its own settings generation, which is then removed.
     fixture.engine.latest_peer().send("DONE 2 " + open_run + " PASS 1 1\r\no\r\n");
     fixture.expect_received(*first_caller, "\r\n\r\no");
     fixture.test_loop.run_until([&] { return fixture.node->generation_count() == 1; });
     CHECK(fixture.metric("node.responses.trail-sheet-ii.ok") == "1");
     CHECK(fixture.metric("node.responses.map-order.ok") == "1");
 
-    // A class that the new file does not have is unknown now.
+    // A class missing from the new file is now unknown.
     second_caller->send(fixture.make_request("route-profile", "gone"));
     fixture.expect_received(*second_caller, "HTTP/1.1 404");
     second_caller->take_through("HTTP/1.1 404");
@@ -210,13 +207,13 @@
           files.write_file("g.json", "{\"name\":\"n3\",\"se")}) {
         take_log();
         fixture.node->reload(invalid_path);
-        CHECK(take_log().find("configuration: the old one stays in force: ") != std::string::npos);
+        CHECK(take_log().find("configuration: reload rejected error=") != std::string::npos);
     }
     CHECK(fixture.metric("node.config_rejected") == "5");
     CHECK(fixture.metric("node.config_applied") == "1");
     CHECK(fixture.node->generation_count() == 1);
     auto third_caller = fixture.connect_caller();
-    // The last valid file is in force.
+    // The last valid file still applies.
     const std::string later_run = fixture.start_run(*third_caller, "trail-sheet-ii", "still");
     fixture.engine.latest_peer().send("DONE 3 " + later_run + " PASS 1 1\r\ns\r\n");
     fixture.expect_received(*third_caller, "\r\n\r\ns");
