--- a/tests/cressledge/directory_reporter_test.cpp
+++ b/tests/cressledge/directory_reporter_test.cpp
@@ -1,4 +1,4 @@
-// Reports of a platform node to the directory.
+// The directory reporter of a platform node: retries after failed reports.
 #include "platform_fixture.hpp"
 
 namespace {
@@ -6,8 +6,8 @@
 using namespace cressledge::testing;
 
 TEST_CASE(
-    "DirectoryReporter: a directory that fails, closes or does not answer is reported to again within a "
-    "second") {
+    "DirectoryReporter: a report is retried within a second if the directory fails, closes or does not "
+    "respond") {
     PlatformFixture fixture;
     const std::string report = "{\"mode\":\"open\"}";
     const Timestamp started_at = wall_clock_now();
--- a/tests/cressledge/engine_client_test.cpp
+++ b/tests/cressledge/engine_client_test.cpp
@@ -1,4 +1,4 @@
-// The engine link of a platform node: commands, notices, and breaks of the link.
+// The engine client of a platform node: commands, notices, and recovery from a broken link.
 #include "platform_fixture.hpp"
 
 namespace {
@@ -26,10 +26,10 @@
     fixture.engine.latest_peer().close();
     fixture.test_loop.run_until(
         [&] { return fixture.engine.peers.size() == 2 && fixture.engine.has_received("ATTACH 2\r\n"); });
-    // A notice that the last link brought.
+    // The engine repeats a notice that the previous link delivered.
     fixture.engine.latest_peer().send("HELLO LOADED 9\r\nDONE 2 " + first_run + " FAIL 1 0\r\n\r\n");
     fixture.test_loop.run_until([&] { return fixture.engine.has_received("STAT s"); });
-    // No command may overtake a notice that was missed.
+    // No command may be sent before all missed notices have been received.
     CHECK_FALSE(fixture.engine.has_received("RUN "));
     PlatformFixture::answer_gauges_query(fixture.test_loop, fixture.engine, " 0 0 0 0\r\n");
     fixture.test_loop.run_until(
@@ -58,7 +58,7 @@
     fixture.test_loop.run_until(
         [&] { return fixture.engine.peers.size() == 2 && fixture.engine.has_received("ATTACH 2\r\n"); });
     fixture.synchronize_engine();
-    // A further call shows that the first run has got its reply.
+    // A further call confirms that the first run has received its reply.
     fixture.engine.latest_peer().send("NEED 3 " + first_run + " 1\r\nr\r\n");
     fixture.test_loop.run_until(
         [&] { return fixture.engine.has_received("FEED " + second_run + " 1\r\nb\r\n"); });
@@ -66,8 +66,7 @@
 }
 
 TEST_CASE(
-    "EngineClient: health checks fail until a late engine is up, and the directory is reported to "
-    "meanwhile") {
+    "EngineClient: health checks fail until a late engine is up, and directory reports are sent meanwhile") {
     PlatformFixture fixture({.engine_is_up = false});
     const auto health_status = [&] {
         auto caller = fixture.connect_caller();
--- a/tests/cressledge/platform_fixture.hpp
+++ b/tests/cressledge/platform_fixture.hpp
@@ -1,4 +1,4 @@
-// A platform node whose callers, engine, records service and directory are scripted peers.
+// Fixture of a platform node whose callers, engine, records service and directory are scripted peers.
 #pragma once
 
 #include <cstdio>
@@ -12,21 +12,21 @@
 
 struct PlatformFixtureOptions {
     Duration stop_delay{3'000'000};
-    /// Whether the engine greets the node, and has brought all notices, before the test begins.
+    /// Whether the link to the engine is synchronized before the test begins.
     bool engine_is_up = true;
     /// Whether there is an admin address.
     bool has_admin = false;
     int inherited_listener_fd = -1;
 };
 
-/// The node on a loop of its own, with one link to the engine open.
+/// A node on an event loop of its own, with an open link to the engine.
 struct PlatformFixture {
     TestLoop test_loop;
     ListeningPeer engine{test_loop.loop};
     ListeningPeer records{test_loop.loop};
     ListeningPeer directory{test_loop.loop};
     std::unique_ptr<platform::PlatformNode> node;
-    /// Requests made so far; the name of the last one follows from it.
+    /// Number of requests made so far; determines the name of the last one.
     int request_count = 0;
 
     explicit PlatformFixture(const PlatformFixtureOptions& options = {}) {
@@ -34,11 +34,11 @@
         config.stop_delay = options.stop_delay;
         config.inherited_listener_fd = options.inherited_listener_fd;
         config.gauge_names = {"cpu_busy", "runnable", "mem_used", "sockets"};
-        // Twelve connections of callers.
+        // Leaves twelve connections for callers.
         config.max_descriptors = 21;
         if (options.has_admin) {
             config.admin_address = "127.0.0.1:0";
-            // The admin address needs 33 descriptors more.
+            // The admin address needs another 33 descriptors.
             config.max_descriptors = 64;
         }
         policy::Settings& settings = config.policy_settings;
@@ -66,15 +66,15 @@
         return config;
     }
 
-    /// The engine greets the node and answers its first query: no notice was missed.
+    /// The engine sends HELLO and replies to the node's first gauges query, which synchronizes the link.
     void synchronize_engine() {
         engine.latest_peer().send("HELLO LOADED 5\r\n");
         test_loop.run_until([&] { return engine.has_received("STAT s"); });
         answer_gauges_query(test_loop, engine, " 0.1 0 0.1 3\r\n");
     }
 
-    /// The engine answers the query that asks whether all notices have come, of which "STAT s" has arrived. `gauges`:
-    /// the words after the tag.
+    /// The engine replies to the gauges query of which "STAT s" has been received; this synchronizes the link.
+    /// `gauges`: the words after the tag.
     static void answer_gauges_query(TestLoop& test_loop, ListeningPeer& engine, const std::string& gauges) {
         engine.latest_peer().take_through("STAT ");
         test_loop.run_until([&] { return engine.has_received("\r\n"); });
@@ -82,7 +82,7 @@
         engine.latest_peer().send("STATS " + tag + gauges);
     }
 
-    /// The word of a line with this index, from 0.
+    /// The word of `line` at `index`, counted from 0.
     static std::string word_at(const std::string& line, std::size_t index) {
         std::size_t begin = 0;
         for (; index > 0; --index)
@@ -96,19 +96,19 @@
         return text;
     }
 
-    /// A request of the next name.
+    /// Encodes a request with the next name.
     std::string make_request(const std::string& class_name, const std::string& body,
-                             const std::string& more_headers = "") {
+                             const std::string& extra_headers = "") {
         return "POST /v1/" + class_name +
                " HTTP/1.1\r\nHost: app.svc\r\nTrace-Id: " + request_name(++request_count) +
                "\r\nAccepted-At-Ms: " + std::to_string(wall_clock_now().count() / 1000) +
-               "\r\nClient-No: 4\r\nReserve-Kb: 24.5\r\nStanding: 0.6250\r\n" + more_headers +
+               "\r\nClient-No: 4\r\nReserve-Kb: 24.5\r\nStanding: 0.6250\r\n" + extra_headers +
                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
 
     std::unique_ptr<StreamPeer> connect_caller() { return connect_peer(test_loop, node->http_port()); }
 
-    /// The whole response of the admin address.
+    /// Returns the admin address's complete response to a GET request.
     std::string get_from_admin(const std::string& path) {
         auto client = connect_peer(test_loop, node->admin_port());
         client->send("GET " + path + " HTTP/1.1\r\nHost: n3\r\n\r\n");
@@ -127,7 +127,7 @@
         return metrics.substr(begin, metrics.find('\n', begin) - begin);
     }
 
-    /// Sends a request and waits for its run to come to the engine. Returns its name.
+    /// Sends a request and waits until the engine has received its RUN command. Returns the request's name.
     std::string start_run(StreamPeer& caller, const std::string& class_name, const std::string& body) {
         caller.send(make_request(class_name, body));
         const std::string name = request_name(request_count);
@@ -137,11 +137,11 @@
         return name;
     }
 
-    /// Waits until the peer has received `part`, or its connection has ended.
-    void expect_received(StreamPeer& peer, const std::string& part) {
-        test_loop.run_until([&] { return peer.has_received(part) || peer.is_closed; });
+    /// Waits until the peer has received `expected_text` or its connection has ended, and requires the text.
+    void expect_received(StreamPeer& peer, const std::string& expected_text) {
+        test_loop.run_until([&] { return peer.has_received(expected_text) || peer.is_closed; });
         INFO(peer.received);
-        REQUIRE(peer.has_received(part));
+        REQUIRE(peer.has_received(expected_text));
     }
 };
 
--- a/tests/cressledge/protocol_parity_test.cpp
+++ b/tests/cressledge/protocol_parity_test.cpp
@@ -1,6 +1,6 @@
-// Parity of the two protocols: one scripted load with an overload and a drain, played over HTTP and again over SCGI
-// against a fake upstream host on loopback. The script drives the clock, and each step ends when all that it set off has
-// settled, so that the machine's speed has no part in the result.
+// Parity of the two protocols: the same scripted load, with an overload and a drain, runs over HTTP and over SCGI
+// against a fake upstream host on loopback. The script drives the clock, and each step waits until all its effects have
+// settled, so that the result does not depend on the machine's speed.
 #include <algorithm>
 #include <array>
 #include <cstring>
@@ -20,55 +20,55 @@
 constexpr int script_ms = 14'000;
 constexpr int shutdown_ms = 11'000;
 constexpr int step_ms = 5;
-/// After the grace of the drain only orders come, and none of them may run.
-constexpr int late_ms = shutdown_ms + 2'000;
+/// The end of the drain's grace period. Later requests are all orders, and all must be rejected.
+constexpr int grace_end_ms = shutdown_ms + 2'000;
 
 struct ScriptedRequest {
     Timestamp send_at{0};
     std::size_t class_index = 0;
     int work_ms = 0;
-    /// The client disconnects then, unless it has its response.
+    /// The client disconnects after this time if it has no response.
     Duration caller_timeout{0};
 };
 
-/// Light load, then 1.6 times what the upstream's four cores can do, then light load again, and a drain at the end.
+/// Light load, then 1.6 times the capacity of the upstream's four cores, then light load again, and a drain at the end.
 class RequestScript {
 public:
     std::vector<ScriptedRequest> make() {
         std::vector<ScriptedRequest> script;
         for (int ms = 0; ms < script_ms - 550; ms += step_ms) {
-            const bool is_late = ms > late_ms;
+            const bool is_after_grace = ms > grace_end_ms;
             const bool is_light = ms < 2'500 || ms > 8'500;
-            const int per_second = !is_late && is_light ? 9 : 26;
-            if (below(1'000 / step_ms) < per_second)
-                script.push_back(make_request(ms, is_late));
+            const int requests_per_second = !is_after_grace && is_light ? 9 : 26;
+            if (random_below(1'000 / step_ms) < requests_per_second)
+                script.push_back(make_request(ms, is_after_grace));
         }
         return script;
     }
 
 private:
-    ScriptedRequest make_request(int ms, bool is_late) {
-        const int dice = below(100);
+    ScriptedRequest make_request(int ms, bool is_after_grace) {
+        const int class_percentile = random_below(100);
         ScriptedRequest request;
         request.send_at = Timestamp(ms * 1000);
-        request.class_index = is_late ? order_class : class_of(dice);
+        request.class_index = is_after_grace ? order_class : class_at(class_percentile);
         constexpr int base_work_ms[class_count] = {200, 120, 300};
-        request.work_ms = base_work_ms[request.class_index] + below(150);
-        request.caller_timeout = below(12) == 0 ? Duration(400'000) : Duration(60'000'000);
+        request.work_ms = base_work_ms[request.class_index] + random_below(150);
+        request.caller_timeout = random_below(12) == 0 ? Duration(400'000) : Duration(60'000'000);
         return request;
     }
-    static std::size_t class_of(int dice) {
-        if (dice < 46)
+    static std::size_t class_at(int percentile) {
+        if (percentile < 46)
             return 0;
-        return dice < 90 ? 1 : order_class;
+        return percentile < 90 ? 1 : order_class;
     }
-    int below(unsigned limit) { return static_cast<int>(random_() % limit); }
+    int random_below(unsigned limit) { return static_cast<int>(random_() % limit); }
 
-    /// The same numbers on every machine, unlike the library's distributions.
+    /// Used without the library's distributions, whose results differ between implementations.
     std::mt19937 random_{5};
 };
 
-/// Four cores, shared by all calls in flight; responds when the script's clock says so.
+/// Four cores, shared equally by all calls in flight; advances with the script's clock.
 class FakeMultiCoreUpstream {
 public:
     FakeMultiCoreUpstream(TestLoop& test_loop, bool uses_scgi)
@@ -80,7 +80,8 @@
         return static_cast<std::size_t>(
             std::count_if(calls_.begin(), calls_.end(), [](const auto& call) { return call->is_running(); }));
     }
-    /// Takes in the calls that are complete: their body is the work in milliseconds, and ends in a full stop.
+    /// Starts the calls that have been received completely. A body states the work in milliseconds and ends in a full
+    /// stop.
     void read_calls() {
         for (auto& call : calls_) {
             const std::string& received = call->peer.received;
@@ -92,11 +93,11 @@
         }
     }
     void advance(double ms) {
-        const double core_share = std::min(1.0, cores / std::max(1.0, static_cast<double>(open_calls())));
+        const double core_fraction = std::min(1.0, cores / std::max(1.0, static_cast<double>(open_calls())));
         for (auto& call : calls_) {
             if (!call->is_running())
                 continue;
-            call->remaining_ms = std::max(0.0, call->remaining_ms - ms * core_share);
+            call->remaining_ms = std::max(0.0, call->remaining_ms - ms * core_fraction);
             if (call->remaining_ms <= 0.0)
                 respond(*call);
         }
@@ -107,7 +108,7 @@
 
     struct Call {
         StreamPeer peer;
-        /// Below 0: the call is incomplete.
+        /// Work left in milliseconds; negative until the call has been received completely.
         double remaining_ms = -1.0;
         std::string body;
         bool has_response = false;
@@ -141,13 +142,13 @@
     return names[static_cast<std::size_t>(outcome)];
 }
 
-/// What a run of the script came to.
+/// Results of one run of the script.
 struct Totals {
     std::array<std::array<int, std::size(all_outcomes)>, class_count> counts{};
     double offered_weight = 0.0;
     double earned_weight = 0.0;
-    int late_orders = 0;
-    int late_orders_rejected = 0;
+    int orders_after_grace = 0;
+    int orders_rejected_after_grace = 0;
     int wrong_results = 0;
 
     double earned_fraction() const { return earned_weight / offered_weight; }
@@ -174,7 +175,7 @@
     }
 };
 
-/// The script played over one protocol.
+/// Runs the script over one protocol.
 class ProtocolRun {
 public:
     explicit ProtocolRun(Protocol protocol)
@@ -191,7 +192,7 @@
         gateway_ = std::make_unique<upstream::UpstreamGateway>(test_loop_.loop, timers_, clock_, config, 11);
     }
 
-    Totals play() {
+    Totals run() {
         const std::vector<ScriptedRequest> script = RequestScript().make();
         std::size_t next = 0;
         for (int ms = 0; ms < script_ms; ms += step_ms) {
@@ -219,7 +220,7 @@
         return gateway_->request_manager().settings().classes[request.class_index];
     }
 
-    /// Until nothing is on its way between clients, gateway and upstream host.
+    /// Waits until nothing is in flight between clients, gateway and upstream host.
     void settle() {
         test_loop_.run_until(
             [&] {
@@ -259,9 +260,9 @@
             totals_.wrong_results += result != expected;
             totals_.earned_weight += earned_weight(client.request);
         }
-        const bool is_late = client.request.send_at > Timestamp(late_ms * 1000);
-        totals_.late_orders += is_late;
-        totals_.late_orders_rejected += is_late && status == "503";
+        const bool is_after_grace = client.request.send_at > Timestamp(grace_end_ms * 1000);
+        totals_.orders_after_grace += is_after_grace;
+        totals_.orders_rejected_after_grace += is_after_grace && status == "503";
         finish(client, outcome_of(status));
     }
     static Outcome outcome_of(const std::string& status) {
@@ -319,29 +320,29 @@
     std::size_t cancelled_count_ = 0;
 };
 
-TEST_CASE("HTTP and SCGI: one scripted load gets the same outcomes over either protocol") {
-    const Totals http = ProtocolRun(Protocol::http).play();
-    const Totals scgi = ProtocolRun(Protocol::scgi).play();
-    const int all = http.count();
+TEST_CASE("HTTP and SCGI: one scripted load has the same outcomes over either protocol") {
+    const Totals http = ProtocolRun(Protocol::http).run();
+    const Totals scgi = ProtocolRun(Protocol::scgi).run();
+    const int total = http.count();
     INFO("HTTP: " << http.summary());
     INFO("SCGI: " << scgi.summary());
-    // The load has to be worth comparing.
-    CHECK(all > 150);
-    CHECK(http.count(Outcome::served) > all / 2);
-    CHECK(http.count(Outcome::rejected) > all / 50);
+    // The load must be large and varied enough for the comparison.
+    CHECK(total > 150);
+    CHECK(http.count(Outcome::served) > total / 2);
+    CHECK(http.count(Outcome::rejected) > total / 50);
     CHECK(http.count(Outcome::cancelled) > 0);
-    CHECK(scgi.count() == all);
+    CHECK(scgi.count() == total);
     for (std::size_t i = 0; i < class_count; ++i)
         for (const Outcome outcome : all_outcomes) {
             INFO(class_names[i] << ' ' << to_string(outcome));
-            CHECK(std::abs(http.count(i, outcome) - scgi.count(i, outcome)) <= 0.02 * all);
+            CHECK(std::abs(http.count(i, outcome) - scgi.count(i, outcome)) <= 0.02 * total);
         }
     CHECK(std::abs(http.earned_fraction() - scgi.earned_fraction()) <= 0.02 * http.earned_fraction());
     CHECK(http.wrong_results + scgi.wrong_results == 0);
-    CHECK(http.late_orders > 0);
-    CHECK(http.late_orders_rejected == http.late_orders);
-    CHECK(scgi.late_orders_rejected == http.late_orders);
-    WARN("served " << http.count(Outcome::served) << " and " << scgi.count(Outcome::served) << " of " << all
+    CHECK(http.orders_after_grace > 0);
+    CHECK(http.orders_rejected_after_grace == http.orders_after_grace);
+    CHECK(scgi.orders_rejected_after_grace == http.orders_after_grace);
+    WARN("served " << http.count(Outcome::served) << " and " << scgi.count(Outcome::served) << " of " << total
                    << ", earned " << http.earned_fraction() << " and " << scgi.earned_fraction());
 }
 
--- a/tests/cressledge/records_client_test.cpp
+++ b/tests/cressledge/records_client_test.cpp
@@ -1,11 +1,11 @@
-// Calls of a platform node to the records service: connections, malformed and duplicate replies.
+// The records client of a platform node: connections, and malformed or duplicate replies.
 #include "platform_fixture.hpp"
 
 namespace {
 
 using namespace cressledge::testing;
 
-TEST_CASE("RecordsClient: a write is called again after a refused connection and never after a broken one") {
+TEST_CASE("RecordsClient: a write is retried after a refused connection and never after a broken one") {
     PlatformFixture fixture;
     auto caller = fixture.connect_caller();
     const std::string run = fixture.start_run(*caller, "map-order", "pay");
@@ -55,12 +55,12 @@
         fixture.records.peers[1]->send(second_run + " DONE 1\r\nr\r\n");
         fixture.test_loop.run_until(
             [&] { return fixture.engine.has_received("FEED " + second_run + " 1\r\nr\r\n"); });
-        // The write is not called again.
+        // The write is not retried.
         CHECK(fixture.records.peers.size() == 2);
     }
 }
 
-TEST_CASE("RecordsClient: an idle connection is closed soon and not used again") {
+TEST_CASE("RecordsClient: an idle connection is closed soon and not reused") {
     PlatformFixture fixture;
     auto first_caller = fixture.connect_caller(), second_caller = fixture.connect_caller();
     const std::string first_run = fixture.start_run(*first_caller, "trail-sheet", "x"),
@@ -76,7 +76,7 @@
         [&] { return fixture.records.peers.size() == 2 && fixture.records.has_received("q\r\n"); });
 }
 
-TEST_CASE("RecordsClient: a duplicate reply never passes for the reply to the next call of its run") {
+TEST_CASE("RecordsClient: a duplicate reply is never taken for the reply to the next call of its run") {
     PlatformFixture fixture;
     auto first_caller = fixture.connect_caller(), second_caller = fixture.connect_caller();
     const std::string first_run = fixture.start_run(*first_caller, "trail-sheet", "x"),
@@ -86,7 +86,7 @@
     fixture.records.latest_peer().send("00000000000000aa DONE 1\r\nz\r\n" + first_run + " DONE 1\r\na\r\n");
     fixture.test_loop.run_until(
         [&] { return fixture.engine.has_received("FEED " + first_run + " 1\r\na\r\n"); });
-    // The connection brought a reply to nobody.
+    // The connection delivered an unexpected reply.
     fixture.test_loop.run_until([&] { return fixture.records.latest_peer().is_closed; });
     fixture.engine.latest_peer().send("NEED 2 " + second_run + " 1\r\nq\r\n");
     fixture.test_loop.run_until(
@@ -94,7 +94,7 @@
     fixture.records.latest_peer().send(second_run + " DONE 1\r\nb\r\n");
     fixture.test_loop.run_until(
         [&] { return fixture.engine.has_received("FEED " + second_run + " 1\r\nb\r\n"); });
-    // The connection that served this run before is open, and must not be used.
+    // The connection that served this run before is still open, but must not be used.
     fixture.engine.latest_peer().send("NEED 3 " + second_run + " 1\r\nr\r\n");
     fixture.test_loop.run_until(
         [&] { return fixture.records.peers.size() == 3 && fixture.records.has_received("r\r\n"); });
--- a/tests/cressledge/takeover_test.cpp
+++ b/tests/cressledge/takeover_test.cpp
@@ -1,4 +1,4 @@
-// A listening socket that two platform nodes share: the second takes over while callers connect.
+// Two platform nodes share a listening socket: the second one takes over while callers connect.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -8,7 +8,7 @@
 
 using namespace cressledge::testing;
 
-// A listening socket on a free port, as the platform opens it.
+// Opens a listening socket on a free port, like the platform.
 int open_platform_socket() {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     const net::Address any_port = loopback_address(0);
@@ -28,7 +28,7 @@
     return count;
 }
 
-// The process that takes over, with links of its own, on the loop of the other.
+// The node that takes over, with links of its own, on the event loop of the old node.
 struct Successor {
     TestLoop& test_loop;
     ListeningPeer engine{test_loop.loop};
@@ -51,7 +51,7 @@
     }
 };
 
-// A caller whose connection stays in the backlog until somebody accepts it, with its request.
+// Connects a caller and sends its request, without waiting until the connection is accepted.
 int connect_to_backlog(int port, const std::string& request) {
     const int fd = ::socket(AF_INET, SOCK_STREAM, 0);
     const net::Address address = loopback_address(port);
@@ -60,12 +60,12 @@
     return fd;
 }
 
-// Reads until `part` has come, the peer has closed, or five seconds have passed.
-std::string receive_through(TestLoop& test_loop, int fd, const std::string& part) {
+// Reads until `expected_text` has been received, the peer has closed the connection, or five seconds have passed.
+std::string receive_until(TestLoop& test_loop, int fd, const std::string& expected_text) {
     std::string received;
     char buffer[4096];
-    const Timestamp end = wall_clock_now() + Duration(5'000'000);
-    while (received.find(part) == std::string::npos && wall_clock_now() < end) {
+    const Timestamp deadline = wall_clock_now() + Duration(5'000'000);
+    while (received.find(expected_text) == std::string::npos && wall_clock_now() < deadline) {
         test_loop.loop.run_once(false);
         const ssize_t length = ::recv(fd, buffer, sizeof buffer, MSG_DONTWAIT);
         if (length > 0)
@@ -76,54 +76,53 @@
     return received;
 }
 
-TEST_CASE(
-    "PlatformNode: a process that takes the listening socket over loses no request and answers none twice") {
+TEST_CASE("PlatformNode: taking over the listening socket loses no request and answers none twice") {
     const int platform_fd = open_platform_socket();
-    PlatformFixture old({.has_admin = true, .inherited_listener_fd = ::dup(platform_fd)});
-    const int port = old.node->http_port();
+    PlatformFixture old_node({.has_admin = true, .inherited_listener_fd = ::dup(platform_fd)});
+    const int port = old_node.node->http_port();
     std::vector<std::unique_ptr<StreamPeer>> earlier_callers;
     std::vector<std::string> earlier_runs;
     for (int n = 0; n < 6; ++n) {
-        earlier_callers.push_back(old.connect_caller());
+        earlier_callers.push_back(old_node.connect_caller());
         earlier_runs.push_back(
-            old.start_run(*earlier_callers.back(), "route-profile", "b" + std::to_string(n)));
+            old_node.start_run(*earlier_callers.back(), "route-profile", "b" + std::to_string(n)));
     }
-    Successor successor(old.test_loop, ::dup(platform_fd));
+    Successor successor(old_node.test_loop, ::dup(platform_fd));
 
-    // The successor accepts who is in the backlog when the shutdown starts.
-    const int waiting_fd = connect_to_backlog(port, old.make_request("route-profile", "queued"));
-    const std::string waiting_run = PlatformFixture::request_name(old.request_count);
-    old.node->begin_graceful_shutdown();
-    CHECK_FALSE(old.node->is_ready());
-    old.test_loop.run_until([&] { return successor.engine.has_received("RUN " + waiting_run); });
-    CHECK_FALSE(old.engine.has_received("RUN " + waiting_run));
+    // The successor accepts the connection that is in the backlog when the shutdown starts.
+    const int waiting_fd = connect_to_backlog(port, old_node.make_request("route-profile", "queued"));
+    const std::string waiting_run = PlatformFixture::request_name(old_node.request_count);
+    old_node.node->begin_graceful_shutdown();
+    CHECK_FALSE(old_node.node->is_ready());
+    old_node.test_loop.run_until([&] { return successor.engine.has_received("RUN " + waiting_run); });
+    CHECK_FALSE(old_node.engine.has_received("RUN " + waiting_run));
 
-    // The old process answers what it has read, each once, and closes.
+    // The old node answers each request that it has read once, and closes the connections.
     for (std::size_t n = 0; n < earlier_runs.size(); ++n)
-        old.engine.latest_peer().send("DONE " + std::to_string(n + 1) + ' ' + earlier_runs[n] +
-                                      " PASS 1 1\r\nx\r\n");
+        old_node.engine.latest_peer().send("DONE " + std::to_string(n + 1) + ' ' + earlier_runs[n] +
+                                           " PASS 1 1\r\nx\r\n");
     for (auto& caller : earlier_callers) {
-        old.test_loop.run_until([&] { return caller->is_closed; });
+        old_node.test_loop.run_until([&] { return caller->is_closed; });
         CHECK(response_count(*caller) == 1);
         CHECK(caller->has_received("Connection: close\r\n"));
     }
 
-    // New callers come to the successor only.
+    // New callers reach only the successor.
     std::vector<std::unique_ptr<StreamPeer>> later_callers;
     for (int n = 0; n < 6; ++n) {
-        later_callers.push_back(connect_peer(old.test_loop, port));
+        later_callers.push_back(connect_peer(old_node.test_loop, port));
         StreamPeer& caller = *later_callers.back();
-        caller.send(old.make_request("route-profile", "a" + std::to_string(n)));
-        const std::string run = PlatformFixture::request_name(old.request_count);
-        old.test_loop.run_until([&] { return successor.engine.has_received("RUN " + run); });
+        caller.send(old_node.make_request("route-profile", "a" + std::to_string(n)));
+        const std::string run = PlatformFixture::request_name(old_node.request_count);
+        old_node.test_loop.run_until([&] { return successor.engine.has_received("RUN " + run); });
         successor.engine.latest_peer().send("DONE " + std::to_string(n + 2) + ' ' + run +
                                             " PASS 1 1\r\ny\r\n");
-        old.test_loop.run_until([&] { return caller.has_received("\r\n\r\ny"); });
+        old_node.test_loop.run_until([&] { return caller.has_received("\r\n\r\ny"); });
         CHECK(response_count(caller) == 1);
-        CHECK_FALSE(old.engine.has_received("RUN " + run));
+        CHECK_FALSE(old_node.engine.has_received("RUN " + run));
     }
     successor.engine.latest_peer().send("DONE 8 " + waiting_run + " PASS 1 1\r\nq\r\n");
-    const std::string received = receive_through(old.test_loop, waiting_fd, "\r\n\r\nq");
+    const std::string received = receive_until(old_node.test_loop, waiting_fd, "\r\n\r\nq");
     CHECK(received.rfind("HTTP/1.1 200", 0) == 0);
     ::close(waiting_fd);
     ::close(platform_fd);
