--- a/src/store/background_writer.cpp
+++ b/src/store/background_writer.cpp
@@ -14,7 +14,7 @@
 }
 
 void BackgroundWriter::commit(Changes changes) {
-    // merge() keeps the newer value of a key in both.
+    // merge() doesn't overwrite: a key in both maps keeps its newer value.
     changes.merge(pending_);
     pending_ = std::move(changes);
     start_next_commit();
--- a/src/store/background_writer.hpp
+++ b/src/store/background_writer.hpp
@@ -1,4 +1,4 @@
-// Commits to a store on libuv's thread pool, so that the event loop never waits for a disk.
+// Commits to a store on libuv's thread pool, so that the event loop never waits for disk I/O.
 #pragma once
 
 #include <uv.h>
@@ -9,19 +9,20 @@
 
 namespace cressledge::store {
 
-/// Runs each commit on another thread; all its functions, and `on_commit`, run on that of the loop.
+/// Runs each commit on a thread of the pool. Its functions must be called, and `on_commit` is called, on the loop's
+/// thread.
 class BackgroundWriter final : public AsyncWriter {
 public:
-    /// Both `loop` and `store` must outlive the writer.
+    /// `loop` and `store` must outlive the writer.
     BackgroundWriter(uv_loop_t* loop, Store& store, CommitHandler on_commit);
-    /// Flushes: guards the thread that is still at work against a store that is gone.
+    /// Flushes, so that no commit uses the store after it is destroyed.
     ~BackgroundWriter() override;
     BackgroundWriter(const BackgroundWriter&) = delete;
     BackgroundWriter& operator=(const BackgroundWriter&) = delete;
 
     void commit(Changes changes) override;
 
-    /// Runs the loop itself: only for the end, when it is stopped.
+    /// Runs the loop until no commit is in progress. Only for shutdown, when the loop has been stopped.
     void flush() override;
 
     bool is_busy() const { return is_busy_; }
@@ -36,8 +37,8 @@
     Store& store_;
     const CommitHandler on_commit_;
     Changes pending_;
-    /// Of the commit that runs. The other thread reads it and writes commit_error_; the loop touches neither
-    /// meanwhile.
+    /// The changes of the running commit. Until it finishes, only the pool thread reads them and writes
+    /// commit_error_.
     Changes in_progress_;
     ErrorNumber commit_error_ = no_error;
     uv_work_t work_{};
--- a/src/store/byte_codec.cpp
+++ b/src/store/byte_codec.cpp
@@ -9,7 +9,7 @@
 namespace cressledge::store {
 namespace {
 
-constexpr int compression_level = 3;
+constexpr int zstd_compression_level = 3;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 std::string compress(std::string_view uncompressed) {
     std::string compressed(ZSTD_compressBound(uncompressed.size()), '\0');
     const std::size_t size = ZSTD_compress(compressed.data(), compressed.size(), uncompressed.data(),
-                                           uncompressed.size(), compression_level);
+                                           uncompressed.size(), zstd_compression_level);
     compressed.resize(ZSTD_isError(size) != 0 ? 0 : size);
     return compressed;
 }
--- a/src/store/byte_codec.hpp
+++ b/src/store/byte_codec.hpp
@@ -1,4 +1,4 @@
-// The building blocks of the store's formats: little-endian integers, checksums and compressed blocks.
+// Encoding primitives of the store's file formats: little-endian integers, checksums and compressed blocks.
 #pragma once
 
 #include <cstddef>
@@ -8,15 +8,15 @@
 
 namespace cressledge::store {
 
-/// Appends the bytes of an integer, least significant first.
+/// Appends an integer in little-endian byte order.
 template <class Integer>
 void append_integer(std::string& bytes, Integer value) {
     for (std::size_t i = 0; i < sizeof value; ++i)
         bytes.push_back(static_cast<char>(static_cast<std::uint64_t>(value) >> (8 * i)));
 }
 
-/// Takes fields off the front of a byte string. Once a field reaches beyond the end, the reader is invalid
-/// and returns zeros and empty strings.
+/// Reads consecutive fields from a byte string. Once a read goes past the end, the reader is invalid and
+/// returns zeros and empty strings.
 class ByteReader {
 public:
     explicit ByteReader(std::string_view bytes) : remaining_(bytes) {}
@@ -49,15 +49,16 @@
     bool is_valid_ = true;
 };
 
-/// XXH3, 64 bits. The checksum of one part as the seed of the next binds them in their order.
+/// Computes the 64-bit XXH3 hash. Seeding it with the checksum of the preceding block also detects reordered
+/// blocks.
 std::uint64_t compute_checksum(std::string_view bytes, std::uint64_t seed = 0);
 
-/// A zstd frame; empty if compression fails.
+/// Returns a zstd frame, or an empty string if compression fails.
 std::string compress(std::string_view uncompressed);
 
-/// Returns false unless the frame decompresses to exactly `size` bytes. Guards memory against a few bytes
-/// that decompress to gigabytes: never takes more than `size`, which is checked against the bound of entries
-/// first.
+/// Returns false unless the frame decompresses to exactly `size` bytes. Protects against a small frame that
+/// decompresses to gigabytes: it rejects a `size` above max_uncompressed_bytes and never allocates more than
+/// `size` bytes.
 bool decompress(std::string_view compressed, std::size_t size, std::string& uncompressed);
 
 }  // namespace cressledge::store
--- a/src/store/entries.hpp
+++ b/src/store/entries.hpp
@@ -1,4 +1,4 @@
-// What a store holds and how it changes.
+// The entries of a store and changes to them.
 #pragma once
 
 #include <cstddef>
@@ -11,10 +11,10 @@
 /// Values by key.
 using Entries = std::map<std::string, std::string>;
 
-/// New values by key; no value: the key is erased.
+/// New values by key; std::nullopt erases the key.
 using Changes = std::map<std::string, std::optional<std::string>>;
 
-/// Bytes of all entries, and of the changes of one record, before compression.
+/// The maximum size of all entries, and of the changes in one record, before compression.
 constexpr std::size_t max_uncompressed_bytes = 4U << 20U;
 constexpr std::size_t max_key_bytes = 4096;
 
--- a/src/store/file_system.hpp
+++ b/src/store/file_system.hpp
@@ -1,5 +1,5 @@
-// The system calls that a store makes, all in one directory. Tests replace them by a file system in memory
-// that fails and crashes.
+// The file system operations of a store, all in one directory. Tests replace them with an in-memory file
+// system that injects failures and crashes.
 #pragma once
 
 #include <cstddef>
@@ -13,25 +13,25 @@
 using ErrorNumber = int;
 constexpr ErrorNumber no_error = 0;
 
-/// Names are those of files in the directory, without a path.
+/// Operations on the files of one directory. File names have no path.
 class FileSystem {
 public:
     virtual ~FileSystem() = default;
 
-    /// Makes the directory if necessary and keeps other processes from locking it. EWOULDBLOCK: another one
-    /// has.
+    /// Creates the directory if necessary and takes an exclusive lock on it. Returns EWOULDBLOCK if another
+    /// process has the lock.
     virtual ErrorNumber lock() = 0;
 
-    /// Appends the names of all files.
+    /// Appends the names of all files to `names`.
     virtual ErrorNumber list(std::vector<std::string>& names) = 0;
 
-    /// Reads a whole file. EFBIG: it is longer than `max_bytes`.
+    /// Reads a whole file. Returns EFBIG if it is longer than `max_bytes`.
     virtual ErrorNumber read(const std::string& name, std::size_t max_bytes, std::string& contents) = 0;
 
-    /// Creates a file, or empties it if it exists; it is open for append() until close().
+    /// Creates a file, or truncates an existing one, and keeps it open for append() until close().
     virtual ErrorNumber create(const std::string& name) = 0;
 
-    /// May write only the first part of the bytes; `written` says how many.
+    /// May write fewer bytes than it is given; sets `written` to the number of bytes written.
     virtual ErrorNumber append(const std::string& name, std::string_view bytes, std::size_t& written) = 0;
 
     /// Makes the contents of an open file durable.
@@ -45,7 +45,7 @@
 
     virtual ErrorNumber remove(const std::string& name) = 0;
 
-    /// Makes created, renamed and removed names durable.
+    /// Makes the creation, renaming and removal of files durable.
     virtual ErrorNumber sync_directory() = 0;
 };
 
--- a/src/store/format.hpp
+++ b/src/store/format.hpp
@@ -1,4 +1,4 @@
-// The layout of a store's files. No I/O.
+// The formats of a store's files. These headers do no I/O.
 #pragma once
 
 #include "store/entries.hpp"
--- a/src/store/format_error.cpp
+++ b/src/store/format_error.cpp
@@ -5,35 +5,35 @@
 const char* to_string(FormatError error) {
     switch (error) {
         case FormatError::not_a_snapshot:
-            return "no snapshot";
+            return "not a snapshot";
         case FormatError::truncated:
-            return "cut short";
+            return "truncated";
         case FormatError::corrupt_header:
-            return "its head is spoilt";
+            return "corrupt header";
         case FormatError::unsupported_version:
-            return "another format version";
+            return "unsupported format version";
         case FormatError::too_large:
             return "too large";
         case FormatError::wrong_length:
-            return "cut short or too long";
+            return "length differs from the header";
         case FormatError::corrupt_body:
-            return "spoilt";
+            return "corrupt body";
         case FormatError::not_decompressible:
-            return "cannot be unpacked";
+            return "body cannot be decompressed";
         case FormatError::corrupt_entry:
-            return "an entry is spoilt";
+            return "corrupt entry";
         case FormatError::duplicate_entry:
-            return "an entry comes twice";
+            return "duplicate entry";
         case FormatError::wrong_generation:
-            return "another's name";
+            return "generation differs from the file name";
         case FormatError::wrong_snapshot:
-            return "the log of another snapshot";
+            return "log belongs to another snapshot";
         case FormatError::truncated_record:
-            return "a record is cut short";
+            return "truncated record";
         case FormatError::corrupt_record:
-            return "a record is spoilt";
+            return "corrupt record";
         case FormatError::record_not_decompressible:
-            return "a record cannot be unpacked";
+            return "record cannot be decompressed";
     }
     return "unknown";
 }
--- a/src/store/format_error.hpp
+++ b/src/store/format_error.hpp
@@ -1,11 +1,11 @@
-// Why a file of a store is refused, in whole or from some record on.
+// The errors that a store's files can have.
 #pragma once
 
 #include <cstdint>
 
 namespace cressledge::store {
 
-/// Why a snapshot, a log or one of its records is refused.
+/// Why a snapshot, a log or a record of a log is rejected.
 enum class FormatError : std::uint8_t {
     not_a_snapshot,
     truncated,
@@ -17,7 +17,7 @@
     not_decompressible,
     corrupt_entry,
     duplicate_entry,
-    /// The header has another generation than the name of the file.
+    /// The generation in the header differs from the one in the file name.
     wrong_generation,
     /// The log belongs to another snapshot.
     wrong_snapshot,
@@ -26,7 +26,7 @@
     record_not_decompressible
 };
 
-/// A phrase for log lines and for the operator's check of a store.
+/// Returns a short description, for log lines and for the operator's check of a store.
 const char* to_string(FormatError error);
 
 }  // namespace cressledge::store
--- a/src/store/generation_file.cpp
+++ b/src/store/generation_file.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t generation_digits = 16;
 constexpr int generation_base = 16;
 
-const char* prefix_of(FileType type) {
+const char* file_prefix(FileType type) {
     switch (type) {
         case FileType::snapshot:
             return "snap-";
@@ -40,12 +40,12 @@
 std::string file_name(FileType type, std::uint64_t generation) {
     char digits[generation_digits + 1];
     std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(generation));
-    return std::string(prefix_of(type)) + digits;
+    return std::string(file_prefix(type)) + digits;
 }
 
 std::optional<GenerationFile> parse_file_name(const std::string& name) {
     for (const FileType type : {FileType::snapshot, FileType::log, FileType::unfinished_snapshot})
-        if (const auto generation = parse_generation(name, prefix_of(type)))
+        if (const auto generation = parse_generation(name, file_prefix(type)))
             return GenerationFile{type, *generation};
     return std::nullopt;
 }
--- a/src/store/generation_file.hpp
+++ b/src/store/generation_file.hpp
@@ -1,4 +1,5 @@
-// The names of a store's files: KIND-GENERATION, the generation in 16 hexadecimal digits.
+// The names of a store's files: a prefix for the type and the generation in 16 hexadecimal digits, for example
+// snap-0000000000000001.
 #pragma once
 
 #include <cstdint>
@@ -7,23 +8,24 @@
 
 namespace cressledge::store {
 
-/// What a file of a store holds.
+/// The type of a store's file.
 enum class FileType : std::uint8_t {
     snapshot,
     log,
-    /// A snapshot that is still being written.
+    /// A snapshot that is still being written; renamed when it is durable.
     unfinished_snapshot
 };
 
-/// What the name of a file says.
+/// The type and the generation that a file name encodes.
 struct GenerationFile {
     FileType type = FileType::snapshot;
     std::uint64_t generation = 0;
 };
 
+/// Returns the name of the file of this type and generation.
 std::string file_name(FileType type, std::uint64_t generation);
 
-/// Nothing if the name is not one of a store's file.
+/// Returns std::nullopt if the name is not that of a store's file.
 std::optional<GenerationFile> parse_file_name(const std::string& name);
 
 }  // namespace cressledge::store
--- a/src/store/log_format.cpp
+++ b/src/store/log_format.cpp
@@ -10,17 +10,17 @@
 constexpr std::size_t header_bytes = 40;
 constexpr std::size_t record_header_bytes = 24;
 constexpr std::size_t checksum_bytes = 8;
-constexpr std::uint8_t change_erases = 0;
-constexpr std::uint8_t change_puts = 1;
+constexpr std::uint8_t change_type_erase = 0;
+constexpr std::uint8_t change_type_put = 1;
 
-/// Nothing if a key or the whole is too large.
+/// Returns std::nullopt if a key or the encoded changes are too large.
 std::optional<std::string> encode_changes(const Changes& changes) {
     std::string bytes;
     for (const auto& [key, value] : changes) {
         const std::size_t value_size = value ? value->size() : 0;
         if (key.size() > max_key_bytes || bytes.size() + value_size > max_uncompressed_bytes)
             return std::nullopt;
-        append_integer(bytes, value ? change_puts : change_erases);
+        append_integer(bytes, value ? change_type_put : change_type_erase);
         append_integer(bytes, static_cast<std::uint32_t>(key.size()));
         append_integer(bytes, static_cast<std::uint32_t>(value_size));
         bytes.append(key);
@@ -32,11 +32,11 @@
     return bytes;
 }
 
-/// Returns false if the bytes are no changes.
+/// Returns false if the bytes are not valid encoded changes.
 bool decode_changes(std::string_view bytes, Changes& changes) {
     ByteReader reader(bytes);
     while (!reader.remaining().empty()) {
-        const bool has_value = reader.read_integer<std::uint8_t>() == change_puts;
+        const bool has_value = reader.read_integer<std::uint8_t>() == change_type_put;
         const auto key_size = reader.read_integer<std::uint32_t>();
         const auto value_size = reader.read_integer<std::uint32_t>();
         const std::string_view key = reader.read_bytes(key_size);
@@ -48,14 +48,14 @@
     return true;
 }
 
-/// Covers the header of the record as well, and is seeded with the record before: a record fits in one place
-/// only.
+/// Covers the record's header and body and is seeded with the checksum of the preceding record, so that a
+/// record is valid in one place only.
 std::uint64_t record_checksum(std::string_view header, std::string_view compressed,
                               std::uint64_t previous_checksum) {
     return compute_checksum(compressed, compute_checksum(header, previous_checksum));
 }
 
-/// Reads the header and sets `position` to its end.
+/// Checks the header of a log and sets `position` to its end.
 std::optional<FormatError> read_header(ByteReader& reader, std::string_view bytes, const Snapshot& snapshot,
                                        LogPosition& position) {
     const std::string_view found_magic = reader.read_bytes(magic.size());
@@ -74,7 +74,7 @@
     return std::nullopt;
 }
 
-/// Reads the record after `position` and moves `position` behind it.
+/// Reads the record at `position` and moves `position` to its end.
 std::optional<FormatError> read_record(ByteReader& reader, LogPosition& position, Changes& changes) {
     const std::string_view header = reader.remaining().substr(0, record_header_bytes - checksum_bytes);
     const auto compressed_size = reader.read_integer<std::uint32_t>();
--- a/src/store/log_format.hpp
+++ b/src/store/log_format.hpp
@@ -1,6 +1,6 @@
-// The layout of a log: the changes since its snapshot, one record for each commit. A record is bound to its
-// place by a checksum that is seeded with that of the record before. docs/learning.md has the layout byte by
-// byte.
+// The format of a log: the changes since its snapshot, one record per commit. Each record's checksum is seeded
+// with that of the preceding record, so a record is valid in one place only. docs/learning.md specifies the
+// format byte by byte.
 #pragma once
 
 #include <cstddef>
@@ -15,32 +15,33 @@
 
 namespace cressledge::store {
 
-/// The end of a log, where the next record goes.
+/// The end of a log, where the next record is appended.
 struct LogPosition {
-    /// Of the last record; 0: there is none.
+    /// The number of the last record; 0 if the log has none.
     std::uint64_t record_number = 0;
-    /// Of the last record, or of the header.
+    /// The checksum of the last record, or of the header if there is no record.
     std::uint64_t checksum = 0;
 };
 
-/// Sets `position` to the end of the header.
+/// Returns the bytes of a log header and sets `position` to its end.
 std::string encode_log_header(std::uint64_t generation, std::uint64_t snapshot_checksum,
                               LogPosition& position);
 
-/// Moves `position` behind the record. Nothing, with `position` unchanged, if the changes are too large.
+/// Returns the bytes of the next record and moves `position` to its end. Returns std::nullopt, with `position`
+/// unchanged, if the changes are too large or compression fails.
 std::optional<std::string> encode_log_record(const Changes& changes, LogPosition& position);
 
-/// How far a log could be read.
+/// The result of replaying a log.
 struct LogReplay {
-    /// Whole records, whose changes have been applied.
+    /// The number of records that were applied.
     std::size_t replayed_records = 0;
-    /// Why the rest of the log was not read.
+    /// Why replay stopped before the end of the log, if it did.
     std::optional<FormatError> error;
 };
 
-/// Applies the records of the log to the snapshot's entries, up to the first that does not fit. A record is
-/// applied whole or not at all. Never throws, reads past its input, or takes more memory than
-/// max_uncompressed_bytes allows.
+/// Applies the records of the log to the snapshot's entries, up to the first invalid one. Each record is
+/// applied entirely or not at all. Never throws, never reads past its input, and bounds its memory by
+/// max_uncompressed_bytes.
 LogReplay replay_log(std::string_view bytes, Snapshot& snapshot);
 
 }  // namespace cressledge::store
--- a/src/store/posix_file_system.cpp
+++ b/src/store/posix_file_system.cpp
@@ -32,7 +32,7 @@
         lock_descriptor_ = ::open(path("lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, file_mode);
     if (lock_descriptor_ == no_descriptor)
         return errno;
-    // Unlike a file that says who is running, this lock ends with the process, however that ends.
+    // Unlike a PID file, this lock is released when the process exits, even if it is killed.
     return ::flock(lock_descriptor_, LOCK_EX | LOCK_NB) == 0 ? no_error : errno;
 }
 
@@ -40,7 +40,7 @@
     DIR* directory = ::opendir(directory_.c_str());
     if (directory == nullptr)
         return errno;
-    // readdir() returns null at the end and on an error alike.
+    // readdir() returns null both at the end and on an error; only errno tells them apart.
     errno = no_error;
     while (const dirent* entry = ::readdir(directory))
         names.emplace_back(entry->d_name);
--- a/src/store/posix_file_system.hpp
+++ b/src/store/posix_file_system.hpp
@@ -1,4 +1,5 @@
-// The system calls themselves, in a directory that exists or can be made. Blocking: never on the event loop.
+// The file system operations of a store as POSIX system calls. They block, so they must not be called on the event
+// loop.
 #pragma once
 
 #include <map>
@@ -9,7 +10,7 @@
 
 namespace cressledge::store {
 
-/// Closes its files and gives up the lock on destruction.
+/// Closes its files and releases the lock on destruction.
 class PosixFileSystem final : public FileSystem {
 public:
     explicit PosixFileSystem(std::string directory) : directory_(std::move(directory)) {}
@@ -34,7 +35,7 @@
     static constexpr int no_descriptor = -1;
 
     const std::string directory_;
-    /// Descriptors of created files that are not closed yet, by name.
+    /// The descriptors of open files, by name.
     std::map<std::string, int> open_files_;
     int lock_descriptor_ = no_descriptor;
 };
--- a/src/store/snapshot_format.cpp
+++ b/src/store/snapshot_format.cpp
@@ -26,7 +26,7 @@
     return compute_checksum(value, compute_checksum(key));
 }
 
-/// Nothing if a key or the whole is too large.
+/// Returns std::nullopt if a key or the encoded entries are too large.
 std::optional<std::string> encode_entries(const Entries& entries) {
     std::string bytes;
     for (const auto& [key, value] : entries) {
@@ -76,7 +76,7 @@
 std::optional<FormatError> check_header(const Header& header, std::string_view bytes) {
     if (header.checksum != compute_checksum(bytes.substr(0, header_bytes - checksum_bytes)))
         return FormatError::corrupt_header;
-    // After the checksum: only an intact header can tell of another version.
+    // Checked after the checksum, as the version field of a corrupt header means nothing.
     if (header.version != format_version || header.reserved_field != reserved)
         return FormatError::unsupported_version;
     if (header.uncompressed_size > max_uncompressed_bytes)
--- a/src/store/snapshot_format.hpp
+++ b/src/store/snapshot_format.hpp
@@ -1,4 +1,4 @@
-// The layout of a snapshot: all entries of one generation. docs/learning.md has it byte by byte.
+// The format of a snapshot: all entries of one generation. docs/learning.md specifies it byte by byte.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,24 @@
 
 namespace cressledge::store {
 
-/// Of snapshots and logs.
+/// The format version of snapshots and logs.
 constexpr std::uint32_t format_version = 1;
 
 /// All entries of a generation.
 struct Snapshot {
-    /// Counts the snapshots of a store.
+    /// Increases with each snapshot of a store.
     std::uint64_t generation = 0;
-    /// Of the header; binds a log to its snapshot.
+    /// The checksum of the header; a log's header repeats it to identify the log's snapshot.
     std::uint64_t checksum = 0;
     Entries entries;
 };
 
-/// Returns the bytes of the snapshot and sets its checksum. Nothing if a key or the whole is too large.
+/// Returns the bytes of the snapshot and sets its checksum. Returns std::nullopt if a key or all entries
+/// together are too large, or compression fails.
 std::optional<std::string> encode_snapshot(Snapshot& snapshot);
 
-/// Returns why the bytes are refused, and `snapshot` is not to be used then. Never throws, reads past its
-/// input, or takes more memory than max_uncompressed_bytes allows.
+/// Decodes a snapshot. Returns an error if the bytes are invalid; `snapshot` must not be used then. Never
+/// throws, never reads past its input, and bounds its memory by max_uncompressed_bytes.
 std::optional<FormatError> decode_snapshot(std::string_view bytes, Snapshot& snapshot);
 
 }  // namespace cressledge::store
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -10,7 +10,8 @@
 namespace cressledge::store {
 namespace {
 
-/// Compressed bytes may be more than uncompressed ones, and a log grows beyond its limit by one record.
+/// Above max_uncompressed_bytes, as compression may enlarge its input and a log may exceed its limit by one
+/// record.
 constexpr std::size_t max_file_bytes = 2 * max_uncompressed_bytes;
 
 }  // namespace
@@ -66,12 +67,12 @@
         skipped_files_.push_back(name + ": " + to_string(*format_error));
         return false;
     }
-    replay_log_of(snapshot);
+    apply_log(snapshot);
     snapshot_ = std::move(snapshot);
     return true;
 }
 
-void Store::replay_log_of(Snapshot& snapshot) {
+void Store::apply_log(Snapshot& snapshot) {
     const std::string name = file_name(FileType::log, snapshot.generation);
     std::string bytes;
     if (files_.read(name, max_file_bytes, bytes) != no_error)
@@ -136,7 +137,7 @@
     const std::optional<std::string> bytes = encode_snapshot(snapshot);
     if (!bytes)
         return EFBIG;
-    // A name is never used twice, whatever became of its file.
+    // A file name is never reused, even if writing the file fails.
     newest_generation_ = snapshot.generation;
     if (const ErrorNumber error = write_snapshot(snapshot.generation, *bytes); error != no_error)
         return error;
@@ -157,8 +158,8 @@
         error = files_.rename(unfinished, file_name(FileType::snapshot, generation));
     if (error == no_error)
         error = files_.sync_directory();
-    // Guards against a generation whose failure was reported and that a later start would still find. If it
-    // was renamed already it may be found all the same, but not for long: the next commit writes a newer one.
+    // Keeps recovery from finding a generation that was reported as failed. If the file has already been
+    // renamed, recovery may still find it until the next commit writes a newer generation.
     if (error != no_error)
         files_.remove(unfinished);
     return error;
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -1,11 +1,12 @@
-// A durable key-value store: snapshots in generations, and a log of changes to the newest. It knows nothing
-// of what it holds. Blocking, and for one thread at a time; AsyncWriter has it run on another thread.
+// A durable log-structured key-value store: numbered generations of snapshots, and a log of the changes to the
+// newest. Its functions block, and only one thread at a time may use it; AsyncWriter moves commits off the
+// event loop's thread.
 //
 // Invariants:
-// - from the first commit on the directory holds at least one whole generation; an older one is removed only
-//   when a newer one is durable
-// - after open(), entries() is the state after some whole commit: the last one that returned no_error, or a
-//   later one whose failure was reported; or it is empty, if there has been none
+// - from the first commit on, the directory contains at least one complete generation; an older one is removed
+//   only when a newer one is durable
+// - after open(), entries() is the state after a complete commit: the last one that returned no_error, or a
+//   later one that was reported as failed; it is empty if there has been no commit
 #pragma once
 
 #include <cstddef>
@@ -18,36 +19,36 @@
 
 namespace cressledge::store {
 
-/// Bounds of the files that a store keeps.
+/// Limits on the files that a store keeps.
 struct Limits {
-    /// A log of this size is followed by a new generation.
+    /// Once the log has this size, the next commit starts a new generation.
     std::size_t max_log_bytes = 1U << 20U;
-    /// Generations that are kept, the newest included.
+    /// The number of generations to keep, including the newest.
     std::size_t max_generations = 3;
 };
 
-/// The entries of one directory, and the files that hold them.
+/// The store in one directory. Keeps all entries in memory.
 class Store {
 public:
     /// `files` must outlive the store.
     explicit Store(FileSystem& files, Limits limits = {}) : files_(files), limits_(limits) {}
 
-    /// Takes the lock and reads what is there. An error: nothing can be stored here.
+    /// Takes the lock and recovers the entries. After an error the store can't be used.
     ErrorNumber open();
 
-    /// Reads without the lock and changes nothing; for tools.
+    /// Recovers the entries without taking the lock or changing any file; for tools.
     ErrorNumber open_read_only();
 
     const Entries& entries() const { return snapshot_.entries; }
     std::uint64_t generation() const { return snapshot_.generation; }
-    /// Records of the log that were read.
+    /// The number of log records that recovery applied.
     std::size_t replayed_records() const { return replayed_records_; }
-    /// Files that were refused in whole or in part, each with the reason.
+    /// The files that recovery rejected, entirely or from some record on, as "NAME: REASON".
     const std::vector<std::string>& skipped_files() const { return skipped_files_; }
 
-    /// All or nothing, and durable when it returns no_error. Otherwise entries() is as it was, and the next
-    /// commit starts a new generation, as nobody can tell what the failed one left behind. EFBIG: the entries
-    /// are too large.
+    /// Applies the changes atomically; they are durable when it returns no_error. On an error entries() is
+    /// unchanged. After a failed write the next commit starts a new generation, as the contents of the log are
+    /// unknown. Returns EFBIG if the entries or the changes are too large.
     ErrorNumber commit(const Changes& changes);
 
     /// Erases all entries.
@@ -57,27 +58,29 @@
 
 private:
     ErrorNumber recover();
-    /// The generations that have a snapshot, the newest first.
+    /// Returns the generations that have a snapshot, newest first.
     static std::vector<std::uint64_t> snapshot_generations(const std::vector<std::string>& names);
-    /// Returns false, and adds to the skipped files, if the snapshot is refused.
+    /// Returns false, and adds to the skipped files, if the snapshot is rejected.
     bool load_generation(std::uint64_t generation);
-    void replay_log_of(Snapshot& snapshot);
+    void apply_log(Snapshot& snapshot);
 
     ErrorNumber commit_as_generation(Entries entries);
     ErrorNumber commit_as_record(const Changes& changes, Entries entries);
     ErrorNumber start_generation(Entries entries);
     ErrorNumber write_snapshot(std::uint64_t generation, std::string_view bytes);
-    /// Without a log the generation is whole all the same, and the next commit starts another.
+    /// Creates the log of the current generation. If that fails, the generation is still complete, and the next
+    /// commit starts a new one.
     void start_log();
     ErrorNumber write_all(const std::string& name, std::string_view bytes);
-    /// Older generations, and what a crash has left. Failures cost room, not safety.
+    /// Removes generations beyond the limit and unfinished snapshots of a crash. Ignores failures, which only
+    /// waste disk space.
     void remove_old_files();
 
     FileSystem& files_;
     const Limits limits_;
-    /// With its log applied.
+    /// The current generation, with its log applied.
     Snapshot snapshot_;
-    /// Of any file seen, whole or not.
+    /// The highest generation in any file name, whether the file is valid or not.
     std::uint64_t newest_generation_ = 0;
     LogPosition log_position_;
     std::size_t log_bytes_ = 0;
--- a/tests/cressledge/background_writer_test.cpp
+++ b/tests/cressledge/background_writer_test.cpp
@@ -1,3 +1,4 @@
+// Tests the order and merging of asynchronous commits, flushing, and the lock between processes.
 #include "store/background_writer.hpp"
 
 #include <cerrno>
@@ -13,7 +14,8 @@
 using namespace cressledge::store;
 
 TEST_CASE(
-    "background writer: keeps the later of two values, flushes at the end, and locks other processes out") {
+    "background writer: commits the later of two values, flushes on destruction, and locks out other "
+    "processes") {
     TestLoop test_loop;
     TemporaryDirectory directory;
     PosixFileSystem files(directory.path);
@@ -22,7 +24,7 @@
     Store other_store(other_files);
     REQUIRE(store.open() == 0);
     CHECK(other_store.open() == EWOULDBLOCK);
-    // A failed commit counts as many.
+    // A failed commit adds 100, so that it can't be mistaken for successful ones.
     int commits = 0;
     {
         BackgroundWriter writer(test_loop.loop.uv(), store,
--- a/tests/cressledge/in_memory_file_system.hpp
+++ b/tests/cressledge/in_memory_file_system.hpp
@@ -1,6 +1,5 @@
-// A directory in memory that fails on demand and crashes as a disk does: what was not synced may be lost,
-// torn, or there in any order of its blocks, and a rename or removal lasts once the directory is synced, or
-// by chance.
+// An in-memory directory that injects failures and simulates crashes: unsynced data may be lost or torn, with any
+// subset of its blocks written, and an unsynced creation, rename or removal may or may not be durable.
 #pragma once
 
 #include <algorithm>
@@ -18,21 +17,22 @@
 
 namespace cressledge::testing {
 
+/// Fails or throws at a chosen call, and loses unsynced data on a crash.
 class InMemoryFileSystem final : public store::FileSystem {
 public:
     using ErrorNumber = store::ErrorNumber;
 
-    /// Thrown in place of a call: the process ends there.
+    /// Thrown instead of executing a call, to simulate a process killed there.
     struct Killed {};
 
-    /// Calls so far, the failed ones included.
+    /// The number of calls so far, including failed ones.
     int call_count = 0;
-    /// The number of the call that throws Killed; 0: none.
+    /// The number of the call that throws Killed; 0 for none.
     int kill_at_call = 0;
-    /// The number of the call that returns `error`; 0: none.
+    /// The number of the call that returns `error`; 0 for none.
     int fail_at_call = 0;
     ErrorNumber error = store::no_error;
-    /// Whether append() writes half of what it is given.
+    /// Whether append() writes only half of the bytes it is given.
     bool writes_are_short = false;
 
     ErrorNumber lock() override { return count_call(); }
@@ -68,7 +68,7 @@
         const ErrorNumber failure = count_call();
         if (failure == store::no_error && writes_are_short)
             bytes = bytes.substr(0, (bytes.size() + 1) / 2);
-        // Some of the bytes of a failed call may be there all the same.
+        // A failed call may still have written some of its bytes.
         if (failure != store::no_error)
             bytes = bytes.substr(0, bytes.size() / 3);
         inodes_.at(name)->contents.append(bytes);
@@ -113,8 +113,8 @@
         return store::no_error;
     }
 
-    /// Ends the process and starts another. With `lose_power` the disk keeps only what it must, and by chance
-    /// more.
+    /// Simulates the end of the process and a new start. With `lose_power` the disk keeps what was synced and a
+    /// random subset of the rest.
     void crash(std::mt19937& random, bool lose_power) {
         call_count = 0;
         kill_at_call = 0;
@@ -128,7 +128,7 @@
                 lose_contents(*inode, random);
     }
 
-    /// The contents of a file, for tests to look at and to change.
+    /// Returns the contents of a file, for tests to inspect and change.
     std::string& file(const std::string& name) { return inodes_.at(name)->contents; }
 
     std::vector<std::string> names() const {
@@ -145,12 +145,12 @@
     };
     struct DirectoryChange {
         std::string name;
-        /// Null: the name was removed.
+        /// Null if the name was removed.
         std::shared_ptr<Inode> inode;
     };
     using Inodes = std::map<std::string, std::shared_ptr<Inode>>;
 
-    /// Throws or returns an error if this call is to fail.
+    /// Counts a call. Throws or returns an error if this call must fail.
     ErrorNumber count_call() {
         ++call_count;
         if (call_count == kill_at_call)
@@ -158,7 +158,7 @@
         return call_count == fail_at_call ? error : store::no_error;
     }
 
-    /// Keeps the changes of the directory in their order, up to some point.
+    /// Keeps a random number of the oldest unsynced changes of the directory, in their order.
     void lose_directory_changes(std::mt19937& random) {
         inodes_ = durable_inodes_;
         const std::size_t kept_changes = random() % (unsynced_changes_.size() + 1);
@@ -173,7 +173,7 @@
         durable_inodes_ = inodes_;
     }
 
-    /// Keeps a part of the length of what was not synced, and of that any blocks; the others are zeros.
+    /// Keeps a random length of the unsynced bytes, and of those random blocks; the others become zeros.
     static void lose_contents(Inode& inode, std::mt19937& random) {
         constexpr std::size_t block_bytes = 64;
         std::string after = inode.durable_contents;
--- a/tests/cressledge/store_fixture.hpp
+++ b/tests/cressledge/store_fixture.hpp
@@ -1,4 +1,4 @@
-// States of a store that can be told apart, for tests.
+// Distinguishable states of a store, for tests.
 #pragma once
 
 #include <cstdlib>
@@ -15,7 +15,8 @@
 using store::Limits;
 using store::Store;
 
-/// The state after so many commits. Every entry says which, so that a mixture of two states would show.
+/// Returns the state after this many commits. Every entry contains the number, so that a mixture of two states is
+/// detected.
 inline Entries state_after(int commits) {
     Entries entries;
     for (int i = 0; i < 5 && commits > 0; ++i)
@@ -25,6 +26,7 @@
     return entries;
 }
 
+/// Returns changes that turn `before` into `after`; unlike a difference, they also contain unchanged entries.
 inline Changes changes_between(const Entries& before, const Entries& after) {
     Changes changes;
     for (const auto& [key, value] : before)
@@ -34,9 +36,10 @@
     return changes;
 }
 
+/// Returned by commits_of() for entries that no number of commits gives.
 constexpr int no_such_state = -1;
 
-/// The number of commits after which the entries were the store's state.
+/// Returns the number of commits after which a store has these entries, or no_such_state.
 inline int commits_of(const Entries& entries) {
     if (entries.empty())
         return 0;
@@ -47,17 +50,19 @@
     return commits > 0 && entries == state_after(commits) ? commits : no_such_state;
 }
 
+/// The progress of run_commits().
 struct CommitCounts {
-    /// The last commit that succeeded.
+    /// The number of the last commit that succeeded.
     int succeeded = 0;
-    /// The last commit that was tried.
+    /// The number of the last commit that was tried.
     int tried = 0;
 };
 
+/// Limits so small that a few commits fill a log.
 constexpr Limits small_limits{600, 2};
 
-/// Opens a store and commits one state after the other, from the one after `counts.tried` on. Counts as it
-/// goes, so that the counts are right even if a system call throws.
+/// Opens a store and commits the states from `counts.tried` + 1 to `to` in order. Updates the counts before and
+/// after each commit, so that they are right even if a system call throws.
 inline void run_commits(FileSystem& files, CommitCounts& counts, int to, Limits limits = small_limits) {
     Store store(files, limits);
     if (store.open() != 0)
@@ -69,6 +74,7 @@
     }
 }
 
+/// Commits the states from `from` + 1 to `to`, and returns the counts.
 inline CommitCounts run_commits(FileSystem& files, int from, int to, Limits limits = small_limits) {
     CommitCounts counts{from, from};
     run_commits(files, counts, to, limits);
--- a/tests/cressledge/store_test.cpp
+++ b/tests/cressledge/store_test.cpp
@@ -1,5 +1,4 @@
-// The store against a disk that fails, a lost power supply, a process that is killed, and files that were
-// changed.
+// Tests the store with disk errors, power loss, killed processes and corrupt files.
 #include "store/store.hpp"
 
 #include <sys/wait.h>
@@ -17,7 +16,7 @@
 using namespace cressledge::testing;
 using namespace cressledge::store;
 
-TEST_CASE("store: committed entries are there after a restart, and old generations are removed") {
+TEST_CASE("store: committed entries are recovered after a restart, and old generations are removed") {
     InMemoryFileSystem files;
     files.writes_are_short = true;
     CHECK(run_commits(files, 0, 40).succeeded == 40);
@@ -26,7 +25,7 @@
     CHECK(commits_of(store.entries()) == 40);
     CHECK(store.skipped_files().empty());
     CHECK(store.generation() > 3);
-    // Two generations with their logs, and one being made.
+    // Two generations with their logs, and an unfinished snapshot.
     CHECK(files.names().size() <= 5);
     CHECK(store.commit({{"large", std::string(max_uncompressed_bytes + 1, 'x')}}) == EFBIG);
     CHECK(store.reset() == 0);
@@ -34,59 +33,60 @@
 }
 
 TEST_CASE(
-    "store: killed between any two system calls it recovers the last whole state, also if the power was "
-    "lost") {
+    "store: after a kill between any two system calls, also with a power loss, the last complete state is "
+    "recovered") {
     InMemoryFileSystem uninterrupted;
     run_commits(uninterrupted, 0, 12);
     const int calls = uninterrupted.call_count;
     REQUIRE(calls > 40);
     for (const bool lose_power : {false, true})
-        for (int kill = 1; kill <= calls; ++kill)
+        for (int killed_call = 1; killed_call <= calls; ++killed_call)
             for (std::uint32_t seed = 1; seed <= (lose_power ? 8U : 1U); ++seed) {
-                INFO("kill " << kill << " seed " << seed << " power lost " << lose_power);
-                std::mt19937 random(seed * 1000 + static_cast<std::uint32_t>(kill));
+                INFO("killed call " << killed_call << " seed " << seed << " power_lost " << lose_power);
+                std::mt19937 random(seed * 1000 + static_cast<std::uint32_t>(killed_call));
                 InMemoryFileSystem files;
-                files.kill_at_call = kill;
+                files.kill_at_call = killed_call;
                 CommitCounts counts;
                 try {
                     run_commits(files, counts, 12);
                 } catch (const InMemoryFileSystem::Killed&) {}
                 files.crash(random, lose_power);
-                Store after(files);
-                REQUIRE(after.open() == 0);
-                const int found = commits_of(after.entries());
-                REQUIRE((found == counts.succeeded || found == counts.tried));
-                // And it goes on from there.
-                const CommitCounts more = run_commits(files, found, found + 4);
-                REQUIRE(more.succeeded == found + 4);
+                Store recovered(files);
+                REQUIRE(recovered.open() == 0);
+                const int recovered_commits = commits_of(recovered.entries());
+                REQUIRE((recovered_commits == counts.succeeded || recovered_commits == counts.tried));
+                // The recovered store accepts further commits.
+                const CommitCounts later_counts =
+                    run_commits(files, recovered_commits, recovered_commits + 4);
+                REQUIRE(later_counts.succeeded == recovered_commits + 4);
             }
 }
 
 TEST_CASE("store: a failed system call is reported, and the state is the one before or after the commit") {
     for (const int error : {ENOSPC, EIO})
-        for (int fail = 2; fail <= 120; ++fail) {
-            INFO("call " << fail << " error " << error);
-            std::mt19937 random(static_cast<std::uint32_t>(fail));
+        for (int failed_call = 2; failed_call <= 120; ++failed_call) {
+            INFO("call " << failed_call << " error " << error);
+            std::mt19937 random(static_cast<std::uint32_t>(failed_call));
             InMemoryFileSystem files;
-            files.fail_at_call = fail;
+            files.fail_at_call = failed_call;
             files.error = error;
             CommitCounts counts = run_commits(files, 0, 12);
-            // The store could not be opened, and is at the next start.
+            // The failure kept the store from being opened; the next start opens it.
             if (counts.tried == 0)
                 counts = run_commits(files, 0, 12);
-            // One failed at most, and the next took its place.
+            // At most one commit failed, and the next one succeeded.
             CHECK(counts.succeeded >= 11);
             files.crash(random, true);
             Store store(files);
             REQUIRE(store.open() == 0);
-            const int found = commits_of(store.entries());
-            REQUIRE((found == counts.succeeded || found == counts.tried));
+            const int recovered_commits = commits_of(store.entries());
+            REQUIRE((recovered_commits == counts.succeeded || recovered_commits == counts.tried));
         }
 }
 
-TEST_CASE("store: a truncated file or a flipped bit is refused, and an older whole state is recovered") {
+TEST_CASE("store: a truncated file or a flipped bit is detected, and an older complete state is recovered") {
     InMemoryFileSystem files;
-    // Each start makes a generation.
+    // The first commit after each start creates a generation.
     for (const int commits : {3, 6, 9})
         run_commits(files, commits - 3, commits, {1'200, 3});
     std::map<std::string, std::string> intact_files;
@@ -98,9 +98,9 @@
         INFO(changed_file);
         Store store(files);
         REQUIRE(store.open_read_only() == 0);
-        const int found = commits_of(store.entries());
-        REQUIRE(found >= 0);
-        ++(found == 9 ? newest_states : older_states);
+        const int recovered_commits = commits_of(store.entries());
+        REQUIRE(recovered_commits >= 0);
+        ++(recovered_commits == 9 ? newest_states : older_states);
     };
     for (const auto& [name, bytes] : intact_files) {
         for (std::size_t size = 0; size < bytes.size(); ++size) {
@@ -119,14 +119,14 @@
         files.file(name) = bytes;
     }
     CHECK(older_states > 1'000);
-    // Files of older generations do not matter.
+    // Damage to files of older generations doesn't affect recovery of the newest.
     CHECK(newest_states > 1'000);
 }
 
-TEST_CASE("store: a process killed at 200 seeded moments recovers its last whole state each time") {
+TEST_CASE("store: a process killed at 200 seeded moments recovers its last complete state each time") {
     TemporaryDirectory directory;
     const std::string path = directory.path + "/state";
-    int last = 0;
+    int last_commit = 0;
     for (std::uint32_t seed = 1; seed <= 200; ++seed) {
         std::mt19937 random(seed);
         int pipe_fds[2];
@@ -134,12 +134,12 @@
         const pid_t child = ::fork();
         REQUIRE(child >= 0);
         if (child == 0) {
-            // Commits, and reports each durable commit.
+            // Reports each durable commit to the parent.
             PosixFileSystem files(path);
             Store store(files, {2'000, 2});
             if (store.open() != 0)
                 _exit(1);
-            for (int n = last + 1;; ++n) {
+            for (int n = last_commit + 1;; ++n) {
                 if (store.commit(changes_between(store.entries(), state_after(n))) != 0)
                     _exit(2);
                 if (::write(pipe_fds[1], &n, sizeof n) != sizeof n)
@@ -147,17 +147,17 @@
             }
         }
         ::close(pipe_fds[1]);
-        int reported = last;
+        int reported_commit = last_commit;
         int n = 0;
-        // So many commits, and a moment of the next.
-        const int wait_for = last + 1 + static_cast<int>(random() % 6);
-        while (reported < wait_for && ::read(pipe_fds[0], &n, sizeof n) == sizeof n)
-            reported = n;
-        for (std::uint32_t spin = random() % 4'000; spin > 0; --spin)
+        // Kills the child at a random moment of a commit, after one to six reported commits.
+        const int last_awaited_commit = last_commit + 1 + static_cast<int>(random() % 6);
+        while (reported_commit < last_awaited_commit && ::read(pipe_fds[0], &n, sizeof n) == sizeof n)
+            reported_commit = n;
+        for (std::uint32_t delay_calls = random() % 4'000; delay_calls > 0; --delay_calls)
             (void)::getppid();
         ::kill(child, SIGKILL);
         while (::read(pipe_fds[0], &n, sizeof n) == sizeof n)
-            reported = n;
+            reported_commit = n;
         ::close(pipe_fds[0]);
         int status = 0;
         ::waitpid(child, &status, 0);
@@ -166,10 +166,10 @@
         Store store(files);
         REQUIRE(store.open_read_only() == 0);
         INFO("seed " << seed);
-        last = commits_of(store.entries());
-        REQUIRE((last == reported || last == reported + 1));
+        last_commit = commits_of(store.entries());
+        REQUIRE((last_commit == reported_commit || last_commit == reported_commit + 1));
     }
-    CHECK(last > 200);
+    CHECK(last_commit > 200);
     std::vector<std::string> names;
     PosixFileSystem files(path);
     files.list(names);
--- a/tests/cressledge/stored_format_test.cpp
+++ b/tests/cressledge/stored_format_test.cpp
@@ -1,4 +1,4 @@
-// The bytes on disk: mutated ones, and those of files written by an earlier version of the program
+// Tests of the formats on disk: mutated files, and files written by an earlier version of the program
 // (tests/fixtures/README.md).
 #include <filesystem>
 #include <fstream>
@@ -15,8 +15,8 @@
 #include "store_fixture.hpp"
 #include "support.hpp"
 
-// The entry of a coverage-guided fuzzer, as libFuzzer calls it: reads a file as snapshot and as log. The
-// corpus here is driven by a seeded mutator, so that CI gives the same verdict each time.
+// The entry point for libFuzzer: decodes the input as a snapshot and as a log. The test below drives it with a
+// seeded mutator, so that CI is deterministic.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::string_view bytes(reinterpret_cast<const char*>(data), size);
     cressledge::store::Snapshot snapshot;
@@ -35,7 +35,7 @@
 const std::string snapshot_name = "snap-0000000000000001";
 const std::string log_name = "log-0000000000000001";
 
-// The compiler may have been given a path relative to the build directory, where the program is.
+// __FILE__ may be relative to the build directory, which contains the program.
 std::filesystem::path fixtures() {
     const auto build_directory = std::filesystem::path(CRESSLEDGE_PROGRAM).parent_path();
     const auto this_file = build_directory / __FILE__;
@@ -48,7 +48,7 @@
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-/// Puts the files of a fixture into a file system in memory.
+/// Copies the files of a fixture into an in-memory file system.
 void load_fixture(const std::string& directory, InMemoryFileSystem& files) {
     for (const std::string& name : {snapshot_name, log_name}) {
         files.create(name);
@@ -96,14 +96,14 @@
     Snapshot newer;
     newer.entries = state_after(1);
     std::string bytes = encode_snapshot(newer).value();
-    // Another version, and a checksum of the header that does not agree.
+    // Changes the format version, so that the header checksum doesn't match.
     bytes[8] = 2;
     const std::optional<FormatError> error = decode_snapshot(bytes, newer);
     CHECK(error.has_value());
-    CHECK(to_string(error.value()) == std::string("its head is spoilt"));
+    CHECK(to_string(error.value()) == std::string("corrupt header"));
 }
 
-TEST_CASE("store: files of format version 1 written by an earlier version are read whole") {
+TEST_CASE("store: files of format version 1 written by an earlier version are read completely") {
     InMemoryFileSystem files;
     load_fixture("store_v1", files);
     Store store(files);
@@ -126,7 +126,7 @@
     CHECK(files.file(log_name) == read_fixture("store_v1", log_name));
 }
 
-// The state of the fixture learned_state_v2.
+// The state in the fixture learned_state_v2.
 constexpr learned_state::Timestamp first_save{1'764'576'000'000'000};
 constexpr learned_state::Timestamp second_save = first_save + learned_state::Duration(60'000'000);
 
@@ -148,7 +148,7 @@
     state.last_completion_at["trail-sheet"] = second_save;
     auto& estimates = state.controller_state;
     estimates.classes[0] = {"trail-sheet", 0.45, 0.65, 120.0, 0.0};
-    // No request of this class since the start: its entry stays as it was.
+    // No request of this class has completed since the start, so its entry is unchanged.
     estimates.classes[1].completions = 0.0;
     estimates.call_seconds = 0.125;
     estimates.call_count = 7.0;
