--- a/bench/kill.py
+++ b/bench/kill.py
@@ -25,7 +25,7 @@
 REQUEST_INTERVAL_S = 0.01
 CORES = 4
 WORK_BY_CLASS = {"trail-sheet": 0.01}
-COLD_START = 'learned_state: cold start reason="nothing has been kept"'
+COLD_START = 'learned_state: cold start reason="no saved state"'
 RESTORED = "learned_state: restored classes=1 upstreams=1 generation="
 
 
--- a/src/learned_state/confidence_policy.cpp
+++ b/src/learned_state/confidence_policy.cpp
@@ -6,8 +6,8 @@
 namespace cressledge::learned_state {
 namespace {
 
-/// Observations that give half of the confidence that any number of them gives.
-constexpr double half_confidence_evidence = 10.0;
+/// The number of observations at which the confidence reaches half of its limit.
+constexpr double half_confidence_observations = 10.0;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
     const double half_lives =
         std::max(0.0, static_cast<double>(age.count())) / static_cast<double>(half_life.count());
     const double observations = std::max(0.0, evidence);
-    return std::exp2(-half_lives) * observations / (observations + half_confidence_evidence);
+    return std::exp2(-half_lives) * observations / (observations + half_confidence_observations);
 }
 
 }  // namespace cressledge::learned_state
--- a/src/learned_state/learned_state.cpp
+++ b/src/learned_state/learned_state.cpp
@@ -14,8 +14,8 @@
 
 constexpr int significant_digits = 3;
 
-/// A change beyond the significant digits is not worth a write.
-double round_to_significant(double value) {
+/// Rounds so that an insignificant change of a value does not cause a write.
+double round_to_significant_digits(double value) {
     if (value == 0.0 || !std::isfinite(value))
         return value;
     const double exponent = std::floor(std::log10(std::fabs(value)));
@@ -27,11 +27,11 @@
     return std::round(ratio * 100.0) / 100.0;
 }
 
-double bounded(double observations) {
-    return round_to_significant(std::min(observations, max_observations));
+double round_observation_count(double observations) {
+    return round_to_significant_digits(std::min(observations, max_observations));
 }
 
-std::int64_t milliseconds(Timestamp time) {
+std::int64_t to_milliseconds(Timestamp time) {
     return time.count() / 1000;
 }
 
@@ -40,46 +40,48 @@
                             {field::node, identity.node},
                             {field::settings_fingerprint, identity.settings_fingerprint},
                             {field::cores, identity.cores},
-                            {field::saved_at, milliseconds(state.saved_at)}});
+                            {field::saved_at, to_milliseconds(state.saved_at)}});
 }
 
 std::string encode_class(const policy::Estimates::ClassEstimate& estimate, Timestamp last_completion_at) {
-    return encode_document({{field::price, round_to_significant(estimate.price_seconds)},
-                            {field::run_time, round_to_significant(estimate.run_seconds)},
-                            {field::completions, bounded(estimate.completions)},
-                            {field::observed_at, milliseconds(last_completion_at)}});
+    return encode_document({{field::price, round_to_significant_digits(estimate.price_seconds)},
+                            {field::run_time, round_to_significant_digits(estimate.run_seconds)},
+                            {field::completions, round_observation_count(estimate.completions)},
+                            {field::observed_at, to_milliseconds(last_completion_at)}});
 }
 
 std::string encode_band(const policy::Estimates::BandEstimate& estimate, Timestamp observed_at) {
-    return encode_document({{field::priority_weight, estimate.priority_weight},
-                            {field::quanta_per_period, round_to_significant(estimate.quanta_per_period)},
-                            {field::odds_of_rise, round_to_significant(estimate.trend_odds[0])},
-                            {field::odds_of_no_change, round_to_significant(estimate.trend_odds[1])},
-                            {field::odds_of_fall, round_to_significant(estimate.trend_odds[2])},
-                            {field::observed_at, milliseconds(observed_at)}});
+    return encode_document(
+        {{field::priority_weight, estimate.priority_weight},
+         {field::quanta_per_period, round_to_significant_digits(estimate.quanta_per_period)},
+         {field::odds_of_rise, round_to_significant_digits(estimate.trend_odds[0])},
+         {field::odds_of_no_change, round_to_significant_digits(estimate.trend_odds[1])},
+         {field::odds_of_fall, round_to_significant_digits(estimate.trend_odds[2])},
+         {field::observed_at, to_milliseconds(observed_at)}});
 }
 
 std::string encode_controller(const policy::Estimates& estimates, Timestamp observed_at) {
-    return encode_document({{field::observed_at, milliseconds(observed_at)},
-                            {field::capacity, round_to_significant(estimates.capacity_quanta_per_second)},
-                            {field::concurrency_limit, round_to_significant(estimates.concurrency_limit)},
-                            {field::call_time, round_to_significant(estimates.call_seconds)},
-                            {field::call_count, bounded(estimates.call_count)}});
+    return encode_document(
+        {{field::observed_at, to_milliseconds(observed_at)},
+         {field::capacity, round_to_significant_digits(estimates.capacity_quanta_per_second)},
+         {field::concurrency_limit, round_to_significant_digits(estimates.concurrency_limit)},
+         {field::call_time, round_to_significant_digits(estimates.call_seconds)},
+         {field::call_count, round_observation_count(estimates.call_count)}});
 }
 
 std::string encode_upstream(const UpstreamStats& stats) {
-    return encode_document({{field::mean_latency, round_to_significant(stats.mean_latency_seconds)},
+    return encode_document({{field::mean_latency, round_to_significant_digits(stats.mean_latency_seconds)},
                             {field::failure_ratio, round_to_percent(stats.failure_ratio)},
-                            {field::call_count, round_to_significant(stats.call_count)},
-                            {field::observed_at, milliseconds(stats.last_call_at)}});
+                            {field::call_count, round_to_significant_digits(stats.call_count)},
+                            {field::observed_at, to_milliseconds(stats.last_call_at)}});
 }
 
-Timestamp last_completion_of(const std::string& class_name, const LearnedState& state) {
+Timestamp find_last_completion(const std::string& class_name, const LearnedState& state) {
     const auto found = state.last_completion_at.find(class_name);
     return found == state.last_completion_at.end() ? state.saved_at : found->second;
 }
 
-/// Adds the entries of all classes. Returns the latest completion of any.
+/// Adds the entries of all classes. Returns the latest completion of all classes, or 0 if there is none.
 Timestamp add_class_entries(store::Entries& entries, const LearnedState& state,
                             const store::Entries& previous_entries) {
     Timestamp latest_completion{0};
@@ -91,7 +93,7 @@
                 entries[key] = previous->second;
             continue;
         }
-        const Timestamp last_completion_at = last_completion_of(estimate.name, state);
+        const Timestamp last_completion_at = find_last_completion(estimate.name, state);
         latest_completion = std::max(latest_completion, last_completion_at);
         entries[key] = encode_class(estimate, last_completion_at);
     }
--- a/src/learned_state/learned_state.hpp
+++ b/src/learned_state/learned_state.hpp
@@ -1,5 +1,5 @@
-// The estimates that survive a restart, and their form in a store. No I/O: entries of a store come in and go
-// out, and time is an argument. docs/learning.md has the reasons.
+// The estimates that survive a restart, and their encoding as entries of a store. Does no I/O and reads no
+// clock. docs/learning.md has the reasons for the format.
 #pragma once
 
 #include <map>
@@ -11,38 +11,42 @@
 
 namespace cressledge::learned_state {
 
-/// The version that is written. Version 1 had no run time of a class and one time for all entries; it is
-/// migrated.
+/// The schema version that is written. Version 1, which is migrated, had no run time per class and a single
+/// time for all entries.
 constexpr int schema_version = 2;
 
-/// Whose state it is; state of another is refused.
+/// Identifies the process that saved a state; state with another identity is rejected.
 struct Identity {
-    /// Name of this process among the others of its site.
+    /// The name of this process, unique in its site.
     std::string node;
-    /// The request classes with their rules, and the kind of the dependency.
+    /// The request classes with idempotency, latency objective and answer deadline, and the kind of the
+    /// dependency.
     std::string settings_fingerprint;
     int cores = 0;
 };
+
+/// Returns the identity of a process with this name and these settings.
 Identity identity_of(const std::string& node, const policy::Settings& settings);
 
-/// The estimates of one process at a time, as they are saved and restored.
+/// The estimates of one process at a point in time, as saved and restored.
 struct LearnedState {
     Timestamp saved_at{0};
     policy::Estimates controller_state;
-    /// By request class.
+    /// The time of the last completion, by request class.
     std::map<std::string, Timestamp> last_completion_at;
     UpstreamStatsByName upstreams;
 };
 
-/// The state as entries of a store. A class without a completion since the start keeps its entry of
-/// `previous_entries`, and with it its age.
+/// Encodes the state as entries of a store. A class without a completion since the start of the process keeps
+/// its entry in `previous_entries`, and so its age.
 store::Entries to_entries(const LearnedState& state, const Identity& identity,
                           const store::Entries& previous_entries);
 
-/// The changes after which a store with the entries `before` has the entries `after`.
+/// Returns the changes that turn the entries `before` into the entries `after`.
 store::Changes difference(const store::Entries& before, const store::Entries& after);
 
-/// All entries as JSON text, for an operator to read. An entry that can't be decoded says so.
+/// Returns all entries as JSON text for an operator. The value of an entry that can't be decoded is the text
+/// "cannot be read".
 std::string to_json(const store::Entries& entries);
 
 }  // namespace cressledge::learned_state
--- a/src/learned_state/learned_state_saver.cpp
+++ b/src/learned_state/learned_state_saver.cpp
@@ -27,10 +27,10 @@
 
 RestoreResult LearnedStateSaver::load(Timestamp now) {
     if (const store::ErrorNumber error = store_.open(); error != store::no_error) {
-        base::log_error("learned_state: saving disabled directory={} error=\"{}\"", settings_.directory,
+        base::log_error("learned_state: saving disabled directory=\"{}\" error=\"{}\"", settings_.directory,
                         error == EWOULDBLOCK ? "locked by another process" : std::strerror(error));
         RestoreResult nothing;
-        nothing.rejection = {RejectionCause::no_directory, 0, {}};
+        nothing.rejection = {RejectionCause::store_unavailable, 0, {}};
         return nothing;
     }
     for (const std::string& skipped_file : store_.skipped_files())
@@ -83,7 +83,7 @@
     policy::Estimates estimates = request_manager_.estimates();
     if (!planner_.update(now, estimates))
         return;
-    writer_->commit(planner_.changes_for(now, std::move(estimates), collect_upstream_stats_()));
+    writer_->commit(planner_.plan_save(now, std::move(estimates), collect_upstream_stats_()));
 }
 
 void LearnedStateSaver::flush() {
--- a/src/learned_state/learned_state_saver.hpp
+++ b/src/learned_state/learned_state_saver.hpp
@@ -1,6 +1,5 @@
-// Saves the learned state of a running process from time to time and loads it at the start. What is saved and what
-// is trusted is decided by SavePlanner and restore(); the store's files and the thread that writes them are those of its
-// owner.
+// Loads the learned state of a process at its start and saves it at an interval. SavePlanner decides what is saved,
+// restore() how far it is trusted. The owner supplies the store and the writer's thread.
 #pragma once
 
 #include <cstdint>
@@ -21,40 +20,40 @@
 /// Loads once, then saves at an interval. Owns the writer and the timer of the next save.
 class LearnedStateSaver {
 public:
-    /// Whose state is saved, how often, and how far a saved one is trusted.
+    /// The identity of the process, the save interval, and the confidence in saved state.
     struct Settings {
-        /// Of the store, for the log.
+        /// The store's directory, for log lines.
         std::string directory;
         Identity identity;
         Duration save_interval{30'000'000};
         ConfidencePolicy confidence_policy;
     };
 
-    /// The references must outlive the saver, and nobody else may use `store`, which it opens. `make_writer` is called
-    /// once, if that succeeds. `collect_upstream_stats` is called before each save.
+    /// The references must outlive the saver. load() opens `store`, which no other code may use, and calls `make_writer`
+    /// once if opening succeeds. `collect_upstream_stats` is called before each save.
     LearnedStateSaver(store::Store& store, store::AsyncWriterFactory make_writer, base::TimerQueue& timers,
                       request::RequestManager& request_manager, Settings settings,
                       std::function<UpstreamStatsByName()> collect_upstream_stats);
     LearnedStateSaver(const LearnedStateSaver&) = delete;
     LearnedStateSaver& operator=(const LearnedStateSaver&) = delete;
 
-    /// Opens the store and decodes what is there; blocks, so it is for the start. The caller puts the result in
-    /// force. Where the store cannot be opened nothing is ever saved, and the process goes on.
+    /// Opens the store and decodes its entries. Blocks, so it must only be called at the start. The caller applies
+    /// the result. If the store cannot be opened, saving is disabled and the process runs without it.
     RestoreResult load(Timestamp now);
 
-    /// Saves every `save_interval` from now on.
+    /// Starts to save every `save_interval`. Does nothing if saving is disabled.
     void start_saving();
 
-    /// Saves a last time and blocks until that is durable or has failed; for the end, when no client waits
-    /// any more.
+    /// Saves once more and blocks until the save is durable or has failed. For shutdown, when no client is
+    /// waiting.
     void flush();
 
-    /// Logs the store's generation, and the commits and bytes written; nothing where nothing can be saved.
+    /// Logs the store's generation, the saves and the bytes written. Logs nothing if saving is disabled.
     void log_summary() const;
 
-    /// Bytes written to the store's files.
+    /// The number of bytes written to the store's files.
     std::uint64_t bytes_written() const { return store_.bytes_written(); }
-    /// Finished saves, failed ones included.
+    /// The number of finished saves, including those that failed.
     std::uint64_t commits() const { return writer_ ? writer_->commits() : 0; }
 
 private:
@@ -71,8 +70,9 @@
     SavePlanner planner_;
     std::uint64_t failed_saves_ = 0;
     base::LogRateLimiter log_limiter_;
-    /// Null if nothing can be saved. Its end may wait for a commit, and call on_commit() and timers meanwhile: what
-    /// on_commit() uses stands above, and the next save, to be cancelled before, below.
+    /// Null if saving is disabled. Its destructor may wait for a commit and run on_commit() and timers meanwhile, so it is
+    /// declared after the members that on_commit() uses, and before next_save_, whose destructor cancels the timer
+    /// first.
     std::unique_ptr<store::AsyncWriter> writer_;
     base::TimerHandle next_save_;
 };
--- a/src/learned_state/restore.cpp
+++ b/src/learned_state/restore.cpp
@@ -13,13 +13,13 @@
 
 using nlohmann::json;
 
-/// Version 1 had no `observed_at` and no `run_time`.
+/// Entries of schema version 1 have no `observed_at` and no `run_time`.
 constexpr double first_version_with_entry_times = 2.0;
 
 constexpr Range version_range{1.0, 1e6};
 constexpr Range cores_range{1.0, 1e6};
 constexpr Range time_range{0.0, 1e15};
-/// Of what takes time; a price or run time of 0 is no estimate.
+/// The maximum of all durations. Prices and run times must be positive, as 0 means that there is no estimate.
 constexpr double max_seconds = 3600.0;
 constexpr Range positive_seconds_range{1e-6, max_seconds};
 constexpr Range seconds_range{0.0, max_seconds};
@@ -31,17 +31,17 @@
 constexpr Range concurrency_limit_range{0.0, 1e6};
 constexpr Range ratio_range{0.0, 1.0};
 constexpr std::size_t max_upstreams = 4096;
-/// An entry may be this much younger than the state, as both times are rounded.
+/// An entry's time may be this much later than that of the state, as both are rounded.
 constexpr double entry_time_slack_ms = 1000.0;
-/// So many observations that only age lessens the confidence.
-constexpr double ample_evidence = 1e9;
+/// A number of observations at which the confidence depends on age alone.
+constexpr double saturating_evidence = 1e9;
 constexpr std::int64_t microseconds_per_hour = 3'600'000'000;
 
 Timestamp from_milliseconds(double milliseconds) {
     return Timestamp(static_cast<std::int64_t>(milliseconds) * 1000);
 }
 
-/// The document that says whose state it is.
+/// The header document, which identifies the process that saved the state.
 struct Header {
     double schema_version = 0.0;
     double cores = 0.0;
@@ -68,7 +68,7 @@
     return header;
 }
 
-/// Why state of this header is not this process's own; nothing if it is.
+/// Returns an error unless the header's schema version is supported and its identity is that of this process.
 std::optional<RestoreRejection> check_identity(const Header& header, const Identity& identity) {
     if (header.schema_version > schema_version)
         return RestoreRejection{RejectionCause::newer_schema, static_cast<int>(header.schema_version), {}};
@@ -82,7 +82,7 @@
     return std::nullopt;
 }
 
-/// Why state of this age is not used; nothing if it is.
+/// Returns an error if state of this age must not be used.
 std::optional<RestoreRejection> check_age(Duration age, const ConfidencePolicy& confidence_policy) {
     if (age < -max_clock_skew)
         return RestoreRejection{RejectionCause::from_the_future, 0, {}};
@@ -91,15 +91,15 @@
     return std::nullopt;
 }
 
-/// Decodes the documents of one store, one after the other, into a LearnedState.
+/// Decodes the documents of a store one by one into a LearnedState.
 class StateDecoder {
 public:
     StateDecoder(const Header& header, Timestamp now, const ConfidencePolicy& confidence_policy,
                  LearnedState& state)
         : header_(header), now_(now), confidence_policy_(confidence_policy), state_(state) {}
 
-    /// Returns false if the document is not what it should be; the estimates it is about are unchanged then,
-    /// or have no confidence.
+    /// Returns false if the document is malformed or a field is out of range; its estimates are then unchanged or
+    /// have zero confidence.
     bool decode(const DocumentKey& key, const std::string& bytes) {
         const auto document = decode_document(bytes);
         if (!document)
@@ -134,7 +134,7 @@
         if (!read_number(document, field::price, positive_seconds_range, estimate.price_seconds) ||
             !read_number(document, field::completions, observations_range, estimate.completions))
             return false;
-        // Without a run time: a run takes at least its price.
+        // The default if there is no run time: a run takes at least its price.
         estimate.run_seconds = estimate.price_seconds;
         if (has_entry_times() &&
             !read_number(document, field::run_time, positive_seconds_range, estimate.run_seconds))
@@ -167,7 +167,7 @@
             !read_number(document, field::call_time, seconds_range, estimates.call_seconds) ||
             !read_number(document, field::call_count, observations_range, estimates.call_count))
             return false;
-        // The entries come in the order of their keys: all classes have been decoded.
+        // Entries are decoded in key order, so all classes have been decoded.
         double completions = 0.0;
         for (const auto& estimate : estimates.classes)
             completions += estimate.completions;
@@ -183,7 +183,7 @@
             !read_number(document, field::call_count, observations_range, stats.call_count) ||
             state_.upstreams.size() >= max_upstreams)
             return false;
-        // Fewer calls than were made, by the confidence in them: new calls outweigh them the sooner.
+        // Scales the call count by the confidence, so that new calls outweigh the restored ones sooner.
         const double effective_calls = std::min(stats.call_count, 1.0 / upstream_smoothing_gain);
         stats.call_count = effective_calls * confidence(observed_at, stats.call_count);
         stats.last_call_at = observed_at;
@@ -221,7 +221,7 @@
     const Duration age = now - result.state.saved_at;
     if (auto rejection = check_age(age, confidence_policy))
         return reject(result, std::move(*rejection));
-    result.age_confidence = confidence_policy.confidence(age, ample_evidence);
+    result.age_confidence = confidence_policy.confidence(age, saturating_evidence);
     StateDecoder decoder(*header, now, confidence_policy, result.state);
     for (const auto& [key, bytes] : entries) {
         const DocumentKey document_key = parse_key(key);
--- a/src/learned_state/restore.hpp
+++ b/src/learned_state/restore.hpp
@@ -1,4 +1,4 @@
-// Reads saved state back: what is refused, and how far the rest is trusted.
+// Restores saved state: rejects invalid or foreign state and computes the confidence in each estimate.
 #pragma once
 
 #include <vector>
@@ -10,21 +10,22 @@
 
 namespace cressledge::learned_state {
 
-/// What restore() made of the entries of a store.
+/// The result of restore().
 struct RestoreResult {
     bool restored = false;
-    /// If nothing was restored: why.
+    /// Why nothing was restored; only valid if `restored` is false.
     RestoreRejection rejection;
-    /// Entries that were not restored although the others were.
+    /// The entries that could not be restored, while the others were.
     std::vector<SkippedEntry> skipped_entries;
-    /// Each estimate has its confidence.
+    /// The restored state; each estimate carries its confidence.
     LearnedState state;
-    /// By age alone.
+    /// The confidence by the age of the state alone, from 0 to 1.
     double age_confidence = 0.0;
     int stored_schema_version = schema_version;
 };
 
-/// Decodes the entries of a store. Never throws; refuses whatever is not this process's own or not plausible.
+/// Decodes the entries of a store. Never throws. Rejects state of another identity, in the future or too old, and
+/// skips malformed entries.
 RestoreResult restore(const store::Entries& entries, const Identity& identity, Timestamp now,
                       const ConfidencePolicy& confidence_policy);
 
--- a/src/learned_state/restore_error.cpp
+++ b/src/learned_state/restore_error.cpp
@@ -4,22 +4,22 @@
 
 std::string to_string(const RestoreRejection& rejection) {
     switch (rejection.cause) {
-        case RejectionCause::no_directory:
-            return "no folder";
+        case RejectionCause::store_unavailable:
+            return "store cannot be opened";
         case RejectionCause::nothing_saved:
-            return "nothing has been kept";
+            return "no saved state";
         case RejectionCause::unreadable_header:
-            return "its head cannot be read";
+            return "header entry cannot be decoded";
         case RejectionCause::newer_schema:
-            return "a newer version's: schema " + std::to_string(rejection.stored_value);
+            return "schema version newer than supported: " + std::to_string(rejection.stored_value);
         case RejectionCause::other_node:
-            return "another node's: " + rejection.other_node;
+            return "saved by another node: " + rejection.other_node;
         case RejectionCause::other_settings:
-            return "another site's: its classes or targets differ";
+            return "saved with other request classes or latency objectives";
         case RejectionCause::other_core_count:
-            return "learned with " + std::to_string(rejection.stored_value) + " cores";
+            return "saved with another number of cores: " + std::to_string(rejection.stored_value);
         case RejectionCause::from_the_future:
-            return "from the future";
+            return "saved in the future";
         case RejectionCause::too_old:
             return "too old: " + std::to_string(rejection.stored_value) + " hours";
     }
@@ -27,7 +27,7 @@
 }
 
 std::string to_string(const SkippedEntry& entry) {
-    return entry.key + ": not what it should be";
+    return entry.key + ": malformed or out of range";
 }
 
 }  // namespace cressledge::learned_state
--- a/src/learned_state/restore_error.hpp
+++ b/src/learned_state/restore_error.hpp
@@ -1,4 +1,4 @@
-// The typed reasons why saved learned state, or one of its entries, is not restored.
+// The reasons why saved learned state, or one of its entries, is not restored.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,26 @@
 /// Why no saved state at all was restored.
 enum class RejectionCause {
     /// The store's directory could not be opened or locked.
-    no_directory,
+    store_unavailable,
     /// The store holds no entries.
     nothing_saved,
-    /// The header entry is missing, is no CBOR object, or lacks a field.
+    /// The header entry is missing, is not a CBOR object, or a field is missing or out of range.
     unreadable_header,
-    /// The state was written by a newer schema version than this process knows.
+    /// The schema version of the state is newer than this process supports.
     newer_schema,
     /// The state was saved by another node.
     other_node,
-    /// The state was saved with other request classes or latency objectives.
+    /// The state was saved with other request classes, rules of a class or kind of dependency.
     other_settings,
     /// The state was learned with another number of cores.
     other_core_count,
-    /// The state was saved further in the future than the clocks may differ.
+    /// The state was saved more than max_clock_skew in the future.
     from_the_future,
     /// The state is older than the confidence policy's maximum age.
     too_old,
 };
 
-/// Why no saved state was restored, with what shows it.
+/// Why no saved state was restored, and the stored value that caused it.
 struct RestoreRejection {
     RejectionCause cause = RejectionCause::nothing_saved;
     /// The stored schema version for `newer_schema`, the stored core count for `other_core_count`, the age
@@ -38,11 +38,11 @@
     std::string other_node;
 };
 
-/// The reason as the log line "learned_state: cold start" writes it, for example "another node's: n3".
+/// Returns the reason as in the log line "learned_state: cold start", for example "saved by another node: n3".
 std::string to_string(const RestoreRejection& rejection);
 
-/// An entry that was not restored although the others were: it is no CBOR object, its kind is unknown, or a
-/// field is missing or out of range.
+/// An entry that was not restored while others were: it is not a CBOR object, its type is unknown, a field is
+/// missing or out of range, or there are too many entries of its type.
 struct SkippedEntry {
     /// The entry's key in the store.
     std::string key;
@@ -50,7 +50,7 @@
     bool operator==(const SkippedEntry&) const = default;
 };
 
-/// The entry as the log line "learned_state: entry skipped" writes it: "KEY: not what it should be".
+/// Returns the text for the log line "learned_state: entry skipped": "KEY: malformed or out of range".
 std::string to_string(const SkippedEntry& entry);
 
 }  // namespace cressledge::learned_state
--- a/src/learned_state/save_planner.cpp
+++ b/src/learned_state/save_planner.cpp
@@ -5,8 +5,8 @@
 namespace cressledge::learned_state {
 namespace {
 
-/// So many observations that only age lessens the confidence.
-constexpr double ample_evidence = 1e9;
+/// A number of observations at which the confidence depends on age alone.
+constexpr double saturating_evidence = 1e9;
 
 }  // namespace
 
@@ -18,7 +18,7 @@
     last_completion_at_ = state.last_completion_at;
     for (const auto& estimate : state.controller_state.classes) {
         const Duration age = now - state.last_completion_at.at(estimate.name);
-        const double age_confidence = confidence_policy_.confidence(age, ample_evidence);
+        const double age_confidence = confidence_policy_.confidence(age, saturating_evidence);
         restored_completions_[estimate.name] = estimate.completions * age_confidence;
     }
 }
@@ -38,8 +38,8 @@
     return has_new_completions;
 }
 
-store::Changes SavePlanner::changes_for(Timestamp now, policy::Estimates estimates,
-                                        UpstreamStatsByName upstreams) {
+store::Changes SavePlanner::plan_save(Timestamp now, policy::Estimates estimates,
+                                      UpstreamStatsByName upstreams) {
     LearnedState state;
     state.saved_at = now;
     state.controller_state = std::move(estimates);
--- a/src/learned_state/state_document.hpp
+++ b/src/learned_state/state_document.hpp
@@ -1,5 +1,5 @@
-// The documents in which learned state is stored: CBOR (RFC 8949) objects under keys of the form KIND or
-// KIND/NAME. Only the encoder and the decoder include this. The words here are on disks: they never change.
+// The documents in which learned state is stored: CBOR (RFC 8949) objects under keys of the form TYPE or
+// TYPE/NAME. Only the encoder and the decoder include this. The names here are stored on disk and must not change.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,7 +10,7 @@
 
 namespace cressledge::learned_state {
 
-/// Types of entries, the first part of a key.
+/// The types of entries: the first component of a key.
 namespace entry_type {
 constexpr const char* header = "about";
 constexpr const char* request_class = "class";
@@ -19,7 +19,7 @@
 constexpr const char* upstream = "server";
 }  // namespace entry_type
 
-/// Fields of documents. Times are Unix milliseconds; durations are seconds.
+/// The fields of documents. Times are Unix times in milliseconds; durations are in seconds.
 namespace field {
 constexpr const char* schema = "schema";
 constexpr const char* node = "node";
@@ -43,28 +43,32 @@
 constexpr const char* failure_ratio = "failed";
 }  // namespace field
 
-/// The two parts of a key.
+/// The components of a key; the name is empty if the key has none.
 struct DocumentKey {
     std::string type;
     std::string name;
 };
+
+/// Splits a key at its first slash.
 DocumentKey parse_key(const std::string& key);
+/// Returns TYPE/NAME.
 std::string make_key(const char* type, const std::string& name);
 
+/// Encodes a document as CBOR.
 std::string encode_document(const nlohmann::json& document);
-/// Nothing if the bytes are no CBOR object.
+/// Returns std::nullopt if the bytes are not a CBOR object.
 std::optional<nlohmann::json> decode_document(const std::string& bytes);
 
-/// Inclusive.
+/// A range of numbers; both bounds are inclusive.
 struct Range {
     double min;
     double max;
 };
 
-/// Reads a number into `value`. Returns false, with `value` unchanged, if it is missing, no number, or out of
-/// range: guards against NaN, text, and what no server ever was.
+/// Reads a number into `value`. Returns false, with `value` unchanged, if the field is missing, not a finite
+/// number, or out of range.
 bool read_number(const nlohmann::json& document, const char* name, Range range, double& value);
-/// An empty text if it is missing or no text.
+/// Returns an empty string if the field is missing or not a string.
 std::string read_text(const nlohmann::json& document, const char* name);
 
 }  // namespace cressledge::learned_state
--- a/tests/cressledge/learned_state_saver_test.cpp
+++ b/tests/cressledge/learned_state_saver_test.cpp
@@ -1,4 +1,4 @@
-// Learned state over a restart of the whole gateway.
+// Tests that learned state survives a restart of a gateway.
 #include "learned_state/learned_state_saver.hpp"
 
 #include <unistd.h>
@@ -21,7 +21,8 @@
 }
 
 TEST_CASE(
-    "learned state saver: a gateway restarts with its estimates, and serves without a directory as well") {
+    "learned state saver: a restarted gateway restores its estimates, and one that cannot lock the directory "
+    "still serves") {
     TemporaryDirectory directory;
     TestLoop test_loop;
     ListeningPeer server(test_loop.loop);
@@ -36,7 +37,7 @@
     double learned_price = 0.0;
     {
         UpstreamGateway gateway(test_loop.loop, test_loop.timers, test_loop.loop, config, gateway_seed);
-        CHECK(has_logged("learned_state: cold start reason=\"nothing has been kept\""));
+        CHECK(has_logged("learned_state: cold start reason=\"no saved state\""));
         for (int i = 0; i < 3; ++i) {
             auto client = connect_peer(test_loop, gateway.http_port());
             client->send("POST /v1/trail-sheet HTTP/1.1\r\nContent-Length: 1\r\n\r\nx");
@@ -46,7 +47,7 @@
             test_loop.run_until([&] { return client->has_received("ok"); });
         }
         learned_price = gateway.request_manager().estimates().classes[0].price_seconds;
-        // Its directory is locked: it serves all the same.
+        // The directory is locked by the first gateway; the second starts without it.
         UpstreamGateway second(test_loop.loop, test_loop.timers, test_loop.loop, config, gateway_seed);
         CHECK(has_logged("locked by another process"));
         gateway.save_learned_state();
@@ -58,7 +59,7 @@
     const double cold_start_guess = 0.17 * 2.9;
     const double restored_price = restarted.request_manager().estimates().classes[0].price_seconds;
     CHECK(restored_price < cold_start_guess);
-    // Three completions give a confidence of three thirteenths.
+    // Three completions give a confidence of 3/13, so the estimate lies between the guess and the learned price.
     CHECK(restored_price > learned_price);
     for (const char* name : {"lock", "snap-0000000000000001", "log-0000000000000001"})
         std::remove((config.learned_state.directory + '/' + name).c_str());
--- a/tests/cressledge/learned_state_test.cpp
+++ b/tests/cressledge/learned_state_test.cpp
@@ -1,4 +1,4 @@
-// Which saved state is restored, which is refused, and with which confidence.
+// Tests which saved state is restored, with which confidence, and which is rejected.
 #include "learned_state/learned_state.hpp"
 
 #include <cmath>
@@ -56,7 +56,7 @@
 }
 
 TEST_CASE(
-    "confidence policy: halves by age, grows with the observations, and is zero beyond the largest age") {
+    "confidence policy: halves with age, grows with the observations, and is zero beyond the maximum age") {
     const ConfidencePolicy policy;
     for (const double age : {0.0, 12.0, 24.0, 72.0, 240.0, 336.0})
         for (const double evidence : {1.0, 10.0, 1000.0})
@@ -71,43 +71,45 @@
     for (const auto& estimate : result.state.controller_state.classes)
         CHECK(estimate.confidence == Approx(estimate.name == "trail-sheet" ? 0.5 * 0.9 : 0.5 * 0.5));
     CHECK(result.state.upstreams.at("tiles-07").call_count == Approx(20.0 * 0.5 * 0.8));
-    // Two weeks and an hour, and three weeks: nothing is restored.
+    // Nothing is restored after two weeks and an hour, or after three weeks.
     for (const double age : {337.0, 504.0})
         CHECK_FALSE(restore(sample_entries(), own_identity, saved_at + hours(age), policy).restored);
-    // At ten days an estimate moves the guess by a thousandth of the way.
+    // After ten days the confidence in an estimate is below 0.001.
     const auto old_result = restore(sample_entries(), own_identity, saved_at + hours(240), policy);
     CHECK(old_result.state.controller_state.classes[0].confidence < 0.001);
 }
 
 TEST_CASE(
-    "restore: refuses state of another process, from the future, too old or malformed, with the reason") {
+    "restore: rejects state that is of another process, in the future, too old or malformed, with the "
+    "reason") {
     const ConfidencePolicy policy;
     const auto reason = [&](const Entries& entries, const Identity& identity = own_identity,
                             Timestamp now = saved_at) {
         const auto result = restore(entries, identity, now, policy);
         return result.restored ? std::string("restored") : to_string(result.rejection);
     };
-    CHECK(reason({}) == "nothing has been kept");
-    CHECK(reason(sample_entries(), identity_of("n4", test_settings())) == "another node's: n3");
+    CHECK(reason({}) == "no saved state");
+    CHECK(reason(sample_entries(), identity_of("n4", test_settings())) == "saved by another node: n3");
     CHECK(restore(sample_entries(), identity_of("n4", test_settings()), saved_at, policy).rejection.cause ==
           RejectionCause::other_node);
     auto other_settings = test_settings();
     other_settings.classes[0].latency_objective = Duration(1);
     CHECK(reason(sample_entries(), identity_of("n3", other_settings)) ==
-          "another site's: its classes or targets differ");
+          "saved with other request classes or latency objectives");
     other_settings = test_settings();
     other_settings.cores = 8;
-    CHECK(reason(sample_entries(), identity_of("n3", other_settings)) == "learned with 4 cores");
-    CHECK(reason(sample_entries(), own_identity, saved_at - hours(1)) == "from the future");
-    // Clocks differ by a little.
+    CHECK(reason(sample_entries(), identity_of("n3", other_settings)) ==
+          "saved with another number of cores: 4");
+    CHECK(reason(sample_entries(), own_identity, saved_at - hours(1)) == "saved in the future");
+    // Within the tolerated clock skew.
     CHECK(reason(sample_entries(), own_identity, saved_at - hours(0.05)) == "restored");
     CHECK(reason(sample_entries(), own_identity, saved_at + hours(400)) == "too old: 400 hours");
     auto entries = sample_entries();
     set_field(entries, "about", "schema", 3);
-    CHECK(reason(entries) == "a newer version's: schema 3");
+    CHECK(reason(entries) == "schema version newer than supported: 3");
     entries = sample_entries();
     entries["about"] = "\xff not CBOR";
-    CHECK(reason(entries) == "its head cannot be read");
+    CHECK(reason(entries) == "header entry cannot be decoded");
     struct InvalidField {
         const char* name;
         json value;
@@ -121,7 +123,7 @@
         const auto result = restore(entries, own_identity, saved_at, policy);
         CHECK(result.restored);
         CHECK(result.skipped_entries == std::vector<SkippedEntry>{{"class/trail-sheet"}});
-        CHECK(to_string(result.skipped_entries.at(0)) == "class/trail-sheet: not what it should be");
+        CHECK(to_string(result.skipped_entries.at(0)) == "class/trail-sheet: malformed or out of range");
         CHECK(result.state.controller_state.classes.size() == 1);
     }
     entries = sample_entries();
@@ -148,7 +150,7 @@
     LearnedState later = sample_state();
     later.saved_at = saved_at + hours(48);
     later.last_completion_at["trail-sheet"] = later.saved_at;
-    // A class without a request since the start.
+    // No request of this class has completed since the start.
     later.controller_state.classes[1].completions = 0.0;
     const Entries later_entries = to_entries(later, own_identity, sample_entries());
     const auto result = restore(later_entries, own_identity, later.saved_at, ConfidencePolicy{});
