--- a/tools/fake_upstream/fleet.cpp
+++ b/tools/fake_upstream/fleet.cpp
@@ -10,14 +10,14 @@
 
 }  // namespace
 
-/// A connection to one server; it has at most one call.
+/// A connection that one server has accepted; it has at most one call in progress.
 class Fleet::Connection final : public net::Stream::Owner {
 public:
     Connection(Fleet& fleet, std::size_t server_index) : server(server_index), fleet_(fleet) {}
     ~Connection() override { close_stream(); }
     void on_bytes(std::string_view bytes) override {
         if (call != 0)
-            return fleet_.close(id);  // pipelined: no peer of this tool does so
+            return fleet_.close(id);  // pipelined request: not supported
         switch (parser_.parse(bytes)) {
             case tools::HttpMessageParser::Result::incomplete:
                 return;
@@ -56,7 +56,7 @@
     const std::size_t server;
     base::SlotId id = 0;
     net::Stream* stream = nullptr;
-    /// The call that has no answer yet; 0: none.
+    /// The call that has not been answered yet; 0 for none.
     CallId call = 0;
 
 private:
@@ -78,7 +78,7 @@
 Fleet::~Fleet() = default;
 
 void Fleet::listen(std::size_t server) {
-    // After a restart it listens at the port that the kernel chose the first time.
+    // After a restart the server listens on the port that the kernel chose at the first start.
     const std::string text = ports_[server] == 0 ? spec_.addresses.at(server) : address(server);
     listeners_[server] = std::make_unique<net::Listener>(loop_.uv(), *net::Address::parse(text),
                                                          [this, server] { accept(server); });
@@ -183,7 +183,7 @@
 }
 
 void Fleet::take_due_samples() {
-    // Every sample that was due is taken, late or not: a figure over time counts moments, not turns of the loop.
+    // Takes every sample that is due, even if late: the averages are over time, not over iterations of the event loop.
     for (const Timestamp now = loop_.unix_now(); next_sample_at_ <= now; next_sample_at_ += sample_interval)
         monitor_.sample(models_);
     sample_timer_ = timers_.schedule(next_sample_at_, [this] { take_due_samples(); });
--- a/tools/fake_upstream/fleet.hpp
+++ b/tools/fake_upstream/fleet.hpp
@@ -1,5 +1,5 @@
-/// Fake upstream servers: many HTTP/1.1 servers in one process, each a ServerModel on a listening socket of its own, that
-/// report their load (load_balancing::format_load_report) in their answers. They slow down, fail and restart on command.
+/// Fake upstream servers: many HTTP/1.1 servers in one process, each a ServerModel with its own listening socket. Their
+/// responses carry load reports (load_balancing::format_load_report). They slow down, fail and restart on command.
 #pragma once
 
 #include <map>
@@ -16,12 +16,12 @@
 
 namespace cressledge::fake_upstream {
 
-/// The servers of a fleet.
+/// Configuration of a fleet.
 struct FleetSpec {
     std::vector<ServerProfile> servers;
-    /// Of each server, with a port; port 0: the kernel chooses.
+    /// Address of each server with its port; with port 0 the kernel chooses one.
     std::vector<std::string> addresses;
-    /// Request classes of which no body may arrive twice.
+    /// Request classes whose request bodies must not arrive twice.
     std::set<std::string> at_most_once_classes;
     std::uint64_t seed = 1;
 };
@@ -35,7 +35,7 @@
     Fleet(const Fleet&) = delete;
     Fleet& operator=(const Fleet&) = delete;
 
-    /// How many servers there are.
+    /// Number of servers.
     std::size_t size() const { return models_.size(); }
     /// The address of a server with the port it is bound to.
     std::string address(std::size_t server) const;
@@ -43,26 +43,26 @@
     void set_slowdown(std::size_t server, double factor) { models_.at(server).set_slowdown(factor); }
     /// See ServerModel::set_failing.
     void set_failing(std::size_t server, bool failing) { models_.at(server).set_failing(failing); }
-    /// Breaks the connections of a server and stops listening; it listens again, cold, after `downtime`.
+    /// Closes the connections and the listener of a server, which restarts cold after `downtime`.
     void restart(std::size_t server, Duration downtime);
-    /// Starts the sampling of the imbalance anew, or stops it.
+    /// Discards the samples of the load imbalance and starts sampling, or stops it.
     void set_monitoring(bool enabled);
 
-    /// What has happened since the start.
+    /// Counts of calls, their results and protocol errors.
     struct Counters {
         std::uint64_t calls = 0, answers = 0, errors = 0, probes = 0;
-        /// Calls whose connection ended before their answer.
+        /// Calls whose connection was closed before their response.
         std::uint64_t abandoned = 0;
-        /// Requests that are malformed or sent out of turn.
+        /// Requests that are malformed or followed by trailing bytes.
         std::uint64_t malformed = 0;
-        /// Bodies of a class of `at_most_once_classes` that arrived again.
+        /// Requests of `at_most_once_classes` whose body had arrived before.
         std::uint64_t duplicates = 0;
     };
     /// Counts since the start.
     const Counters& counters() const { return counters_; }
-    /// Calls that each server has received.
+    /// Number of calls that each server has received.
     const std::vector<std::uint64_t>& calls_by_server() const { return calls_by_server_; }
-    /// The imbalance since monitoring was enabled last.
+    /// Load imbalance since monitoring was last enabled.
     LoadImbalance load_imbalance() const { return monitor_.result(); }
 
 private:
@@ -85,7 +85,7 @@
     std::vector<int> ports_;
     base::SlotMap<Connection> connections_;
     tools::DeferredEraser<Connection> closed_connections_{timers_, connections_};
-    /// The connection that waits for each call.
+    /// The connection on which each call arrived.
     std::map<CallId, base::SlotId> connection_by_call_;
     std::map<CallId, base::TimerHandle> finish_timers_;
     std::map<std::size_t, base::TimerHandle> restart_timers_;
--- a/tools/fake_upstream/load_imbalance.hpp
+++ b/tools/fake_upstream/load_imbalance.hpp
@@ -1,5 +1,5 @@
-/// How unevenly load lies on a set of servers, sampled at a fixed interval. No I/O: the same figures for emulated servers
-/// and for those on sockets.
+/// Measures how unevenly load is distributed over a set of servers, sampled at a fixed interval. Does no I/O, so that the
+/// figures are computed alike for emulated servers and for servers on sockets.
 #pragma once
 
 #include <cstddef>
@@ -11,43 +11,43 @@
 
 /// Time between two samples.
 constexpr Duration sample_interval{10'000};
-/// Samples that one LoadImbalance::Interval averages.
+/// Number of samples that one LoadImbalance::Interval averages.
 constexpr std::size_t samples_per_interval = 25;
 
-/// The imbalance over a time of observation. A server's utilization is its calls in flight over its slots; the peak to
-/// mean ratio is the utilization of the busiest server over that of all servers together.
+/// The load imbalance over a period of observation. A server's utilization is its calls in flight divided by its slots;
+/// the peak-to-mean ratio is the utilization of the busiest server divided by that of all servers together.
 struct LoadImbalance {
-    /// Quantile 0.99, maximum and mean over time of the peak to mean ratio.
+    /// 0.99 quantile, maximum and mean over time of the peak-to-mean ratio.
     double peak_to_mean_p99 = 0.0;
     double peak_to_mean_max = 0.0;
     double peak_to_mean_average = 0.0;
     /// Coefficient of variation of the utilizations (standard deviation over mean), averaged over time.
     double variation = 0.0;
-    /// Fraction of all server time that a server was idle while calls waited at another.
+    /// Fraction of all server time in which a server was idle while calls waited at another one.
     double idle_fraction = 0.0;
     std::size_t samples = 0;
 
     /// Averages over `samples_per_interval` samples.
     struct Interval {
-        /// Start, in seconds from the first sample.
+        /// Start of the interval, in seconds from the first sample.
         double start_s = 0.0;
         double peak_to_mean = 0.0;
         double mean_utilization = 0.0;
-        /// Of each server.
+        /// Mean utilization of each server.
         std::vector<float> utilizations;
     };
     std::vector<Interval> intervals;
 
-    /// The longest time without interruption, in seconds, for which the peak to mean ratio was above `bound`.
+    /// Longest uninterrupted time, in seconds, for which the peak-to-mean ratio was above `bound`.
     double longest_time_above_s(double bound) const;
 };
 
 /// Collects samples of a set of servers.
 class LoadImbalanceMonitor {
 public:
-    /// To be called every `sample_interval`, always with the same number of servers.
+    /// Takes one sample. Must be called every `sample_interval`, always with the same number of servers.
     void sample(const std::vector<ServerModel>& servers);
-    /// The imbalance over all samples so far. An interval that is not complete is left out.
+    /// Load imbalance over all samples so far, without the last interval if it is incomplete.
     LoadImbalance result() const;
 
 private:
--- a/tools/load_generator/driver.cpp
+++ b/tools/load_generator/driver.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-/// A connection to one target; it has at most one request.
+/// A connection to one target; it has at most one request in flight.
 class Driver::Connection final : public net::Stream::Owner {
 public:
     Connection(Driver& driver, net::Address address) : target(address), driver_(driver) {}
@@ -75,11 +75,11 @@
     base::SlotId id = 0;
     net::Stream* stream = nullptr;
     base::TimerHandle idle_timer;
-    /// Of the request in flight.
+    /// The request in flight: whether there is one, its class, its target and the time at which it was due.
     bool has_request = false;
     std::size_t class_index = 0, target_index = 0;
     Timestamp due_at{0};
-    /// Whether another request may follow the one that has just ended.
+    /// Whether the connection can carry another request after the last one.
     bool is_reusable = false;
 
 private:
@@ -133,7 +133,7 @@
 }
 
 Driver::Connection* Driver::idle_or_new_connection(const net::Address& target) {
-    // The connection used last is the least likely to have been closed.
+    // The most recently used connection is the least likely to have been closed by the target.
     if (auto& idle = idle_connections_[address_key(target)]; !idle.empty()) {
         Connection* connection = connections_.find(idle.back());
         idle.pop_back();
--- a/tools/load_generator/driver.hpp
+++ b/tools/load_generator/driver.hpp
@@ -1,6 +1,6 @@
-/// Drives requests over HTTP/1.1 to the frontends of many processes, as an open loop, and counts their outcomes. The
-/// latency of a request counts from the moment it was due, not from when it was sent. Its connections are bounded: a
-/// request for which there is none is counted as unsent.
+/// Open-loop load driver: sends HTTP/1.1 requests to the frontends of many processes and counts their outcomes. The latency
+/// of a request is measured from the time at which it was due, not from the time at which it was sent. The number of
+/// connections is bounded; a request for which none is available is counted as unsent.
 #pragma once
 
 #include <functional>
@@ -18,41 +18,41 @@
 
 namespace cressledge::load_generator {
 
-/// Sends requests while it is started, each to a target drawn by chance.
+/// Sends requests between start() and stop(), each to a random target.
 class Driver {
 public:
-    /// `max_connections`: to all targets together.
+    /// `max_connections`: upper bound on the connections to all targets together.
     Driver(net::Loop& loop, base::TimerQueue& timers, ArrivalProcess arrivals,
            std::size_t max_connections = 8192);
     ~Driver();
     Driver(const Driver&) = delete;
     Driver& operator=(const Driver&) = delete;
 
-    /// The targets of later requests; none: requests are not sent.
+    /// Sets the targets of later requests. Without targets, no requests are sent.
     void set_targets(std::vector<net::Address> targets) { targets_ = std::move(targets); }
-    /// Sends requests from now on.
+    /// Starts to send requests.
     void start();
-    /// Sends no new requests; those in flight go on.
+    /// Stops sending requests; those in flight continue.
     void stop();
-    /// Requests a second.
+    /// Sets the requests per second.
     void set_rate_s(double rate_s) { arrivals_.set_rate_s(rate_s); }
-    /// Requests a second.
+    /// Requests per second.
     double rate_s() const { return arrivals_.rate_s(); }
-    /// Clears all counts. Requests that are in flight now are not counted when they end.
+    /// Resets all counts. Requests in flight at this time are not counted when they end.
     void reset_counts();
-    /// Requests without an outcome yet.
+    /// Number of requests without an outcome yet.
     std::size_t in_flight() const { return in_flight_; }
-    /// Requests sent since the counts were reset.
+    /// Number of requests sent since the counts were reset.
     std::uint64_t sent() const { return sent_; }
-    /// Requests that were due when `max_connections` were in use.
+    /// Number of requests not sent because `max_connections` were in use when they were due.
     std::uint64_t unsent() const { return unsent_; }
     /// The classes of the mix, by index.
     const std::vector<RequestClass>& classes() const { return arrivals_.classes(); }
-    /// By class.
+    /// Statistics by class index.
     const std::vector<OutcomeStats>& stats_by_class() const { return stats_; }
-    /// Of all classes.
+    /// Statistics of all classes together.
     OutcomeStats total_stats() const;
-    /// Called for each request that has ended and is counted.
+    /// Called for each counted request when it ends.
     std::function<void(std::size_t class_index, std::size_t target_index, Outcome outcome, Duration latency)>
         on_request_finished;
 
@@ -71,7 +71,7 @@
     std::vector<net::Address> targets_;
     base::SlotMap<Connection> connections_;
     tools::DeferredEraser<Connection> closed_connections_{timers_, connections_};
-    /// By target; the one used last comes last.
+    /// Idle connections by target address, the most recently used last.
     std::unordered_map<std::uint64_t, std::vector<base::SlotId>> idle_connections_;
     std::vector<OutcomeStats> stats_;
     base::TimerHandle arrival_timer_;
--- a/tools/load_generator/outcome_stats.cpp
+++ b/tools/load_generator/outcome_stats.cpp
@@ -6,7 +6,7 @@
 namespace cressledge::load_generator {
 namespace {
 
-/// By Outcome.
+/// Keys in reports, indexed by Outcome.
 constexpr std::array<const char*, 5> report_keys = {"ok", "refused", "failed", "out_of_time", "lost"};
 
 }  // namespace
--- a/tools/load_generator/outcome_stats.hpp
+++ b/tools/load_generator/outcome_stats.hpp
@@ -1,5 +1,5 @@
-/// Outcomes of requests: counts and latencies. Latencies are kept in histograms (Boost.Histogram) with bins that grow by 2%
-/// each, from 0.1 ms to 100 s, so that a quantile is within 2% of the true one whatever its size.
+/// Outcomes of requests: counts and latencies. Latencies are stored in histograms (Boost.Histogram) whose bins grow by 2%
+/// each, from 0.1 ms to 100 s, so that the relative error of a quantile is at most 2%.
 #pragma once
 
 #include <array>
@@ -12,23 +12,23 @@
 
 namespace cressledge::load_generator {
 
-/// How a request ended. `connection_lost`: the connection ended without an answer.
+/// How a request ended. `connection_lost`: the connection ended without a response.
 enum class Outcome { ok, rejected, failed, timed_out, connection_lost };
 
-/// Statistics of the requests of one class, or of several.
+/// Statistics of the requests of one or more classes.
 class OutcomeStats {
 public:
-    /// Counts a request.
+    /// Adds one request; `latency` is used for the outcome `ok` only.
     void add(Outcome outcome, base::Duration latency);
-    /// Adds the requests of other statistics.
+    /// Adds the requests of `other`.
     void add(const OutcomeStats& other);
-    /// Requests with that outcome.
+    /// Number of requests with `outcome`.
     std::uint64_t count(Outcome outcome) const { return counts_[static_cast<std::size_t>(outcome)]; }
-    /// Requests with any outcome.
+    /// Number of requests with any outcome.
     std::uint64_t total() const;
-    /// The quantile `q` (0 to 1) of the latencies of requests with the outcome `ok`, in ms; 0 if there was none.
+    /// The quantile `q` (0 to 1) of the latencies of requests with the outcome `ok`, in ms; 0 if there are none.
     double quantile_ms(double q) const;
-    /// Counts and quantiles, as reports hold them.
+    /// Counts and quantiles in the form used in reports.
     nlohmann::ordered_json to_json() const;
 
 private:
