--- a/tests/cressledge/system_call_faults.cpp
+++ b/tests/cressledge/system_call_faults.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-cressledge::testing::Faults* in_force = nullptr;
+cressledge::testing::Faults* active_faults = nullptr;
 
-bool strikes(cressledge::testing::Call call) {
-    return in_force != nullptr && in_force->strikes(call);
+bool should_fail(cressledge::testing::Call call) {
+    return active_faults != nullptr && active_faults->should_fail(call);
 }
 
 template <class F>
-F next(const char* name) {
-    // The library's own, whichever stands behind this one (under sanitizers theirs).
+F next_definition(const char* name) {
+    // The definition that this one replaces: the C library's, or the sanitizer's interceptor.
     return reinterpret_cast<F>(dlsym(RTLD_NEXT, name));
 }
 
@@ -26,49 +26,49 @@
 extern "C" {
 
 int accept4(int fd, sockaddr* address, socklen_t* length, int flags) {
-    static const auto real = next<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-    return strikes(cressledge::testing::Call::accept) ? -1 : real(fd, address, length, flags);
+    static const auto real = next_definition<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
+    return should_fail(cressledge::testing::Call::accept) ? -1 : real(fd, address, length, flags);
 }
 int socket(int domain, int type, int protocol) {
-    static const auto real = next<int (*)(int, int, int)>("socket");
-    return strikes(cressledge::testing::Call::socket) ? -1 : real(domain, type, protocol);
+    static const auto real = next_definition<int (*)(int, int, int)>("socket");
+    return should_fail(cressledge::testing::Call::socket) ? -1 : real(domain, type, protocol);
 }
 FILE* fopen64(const char* path, const char* mode) {
-    static const auto real = next<FILE* (*)(const char*, const char*)>("fopen64");
-    return strikes(cressledge::testing::Call::open) ? nullptr : real(path, mode);
+    static const auto real = next_definition<FILE* (*)(const char*, const char*)>("fopen64");
+    return should_fail(cressledge::testing::Call::open) ? nullptr : real(path, mode);
 }
 FILE* fopen(const char* path, const char* mode) {
-    static const auto real = next<FILE* (*)(const char*, const char*)>("fopen");
-    return strikes(cressledge::testing::Call::open) ? nullptr : real(path, mode);
+    static const auto real = next_definition<FILE* (*)(const char*, const char*)>("fopen");
+    return should_fail(cressledge::testing::Call::open) ? nullptr : real(path, mode);
 }
 }
 
 namespace cressledge::testing {
 
 Faults::Faults(std::uint32_t seed) : random_(seed) {
-    if (in_force != nullptr)
-        throw std::logic_error("faults are in force already");
-    in_force = this;
+    if (active_faults != nullptr)
+        throw std::logic_error("another Faults object is already active");
+    active_faults = this;
 }
 Faults::~Faults() {
-    in_force = nullptr;
+    active_faults = nullptr;
 }
 
 void Faults::fail(Call call, int error, int times, std::uint32_t one_in) {
-    Plan& p = plans_[static_cast<int>(call)];
-    p = {error, times, p.failed, one_in};
+    Plan& plan = plans_[static_cast<int>(call)];
+    plan = {error, times, plan.failed, one_in};
 }
 int Faults::failed(Call call) const {
     return plans_[static_cast<int>(call)].failed;
 }
 
-bool Faults::strikes(Call call) {
-    Plan& p = plans_[static_cast<int>(call)];
-    if (p.times == 0 || random_() % p.one_in != 0)
+bool Faults::should_fail(Call call) {
+    Plan& plan = plans_[static_cast<int>(call)];
+    if (plan.times == 0 || random_() % plan.one_in != 0)
         return false;
-    --p.times;
-    ++p.failed;
-    errno = p.error;
+    --plan.times;
+    ++plan.failed;
+    errno = plan.error;
     return true;
 }
 
--- a/tests/cressledge/system_call_faults.hpp
+++ b/tests/cressledge/system_call_faults.hpp
@@ -1,5 +1,5 @@
-/// Fault injection in system calls: while a Faults lives, the calls below fail as it says, in the program and in the
-/// libraries it is linked with. One at a time.
+/// Fault injection into system calls: while a Faults object exists, the calls below fail as it prescribes, in the test
+/// program and in the libraries it is linked with. Only one object may exist at a time.
 #pragma once
 
 #include <cstdint>
@@ -7,22 +7,25 @@
 
 namespace cressledge::testing {
 
+/// The system calls that can fail: accept4(), socket(), and fopen() with fopen64().
 enum class Call { accept, socket, open };
 
+/// The faults in effect, drawn from a seed.
 class Faults {
 public:
+    /// Throws std::logic_error if another object exists.
     explicit Faults(std::uint32_t seed = 1);
     ~Faults();
     Faults(const Faults&) = delete;
     Faults& operator=(const Faults&) = delete;
 
-    /// The next `times` calls that are struck fail with the errno `error`; on average one of `one_in` calls is struck.
+    /// Makes calls fail with the errno `error`, each with a probability of 1 in `one_in`, until `times` have failed.
     void fail(Call call, int error, int times, std::uint32_t one_in = 1);
-    /// How many calls have failed.
+    /// Number of calls that have failed.
     int failed(Call call) const;
 
-    /// Whether this call fails, with errno set. For the replaced system calls.
-    bool strikes(Call call);
+    /// Whether this call must fail; if so, sets errno. For the replaced system calls.
+    bool should_fail(Call call);
 
 private:
     struct Plan {
--- a/tools/fault_injection/faulty_link.cpp
+++ b/tools/fault_injection/faulty_link.cpp
@@ -4,7 +4,7 @@
 
 namespace cressledge::fault_injection {
 
-/// A caller's connection and the one to the target.
+/// A caller's connection and the corresponding connection to the target.
 class FaultyLink::ProxiedConnection {
 public:
     struct Endpoint final : net::Stream::Owner {
@@ -84,7 +84,7 @@
     is_cut_ = cut;
     if (cut)
         return;
-    // A caller whose connection hung retries.
+    // Closed, so that callers whose connections hang can retry.
     for (const base::SlotId id : connections_.ids())
         connections_.find(id)->close();
 }
--- a/tools/fault_injection/faulty_link.hpp
+++ b/tools/fault_injection/faulty_link.hpp
@@ -1,5 +1,5 @@
-/// A proxy between callers and one listening address on loopback, with faults: it can be cut, so that connections hang
-/// and nothing passes, or lossy: a fraction of the connections, by a seed, is closed before anything passes.
+/// A proxy between callers and one listening address on loopback that injects faults. A cut link forwards nothing and its
+/// connections hang; a lossy link closes a random fraction of new connections before it forwards anything.
 #pragma once
 
 #include <memory>
@@ -13,18 +13,18 @@
 
 namespace cressledge::fault_injection {
 
-/// Listens on loopback at a port of its own and forwards each connection to `target`.
+/// Listens on its own loopback port and forwards each connection to `target`.
 class FaultyLink {
 public:
-    /// Throws std::runtime_error where it cannot listen.
+    /// Throws std::runtime_error if it cannot listen.
     FaultyLink(net::Loop& loop, base::TimerQueue& timers, const net::Address& target, std::uint64_t seed);
     ~FaultyLink();
 
-    /// The address at which callers reach the target through this link.
+    /// The address that callers use to reach the target through this link.
     std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
-    /// Cuts the link, or restores it; connections that hang are closed when it is restored.
+    /// Cuts or restores the link. All its connections are closed when it is restored.
     void set_cut(bool cut);
-    /// The fraction of new connections that are closed, 0 to 1.
+    /// Sets the fraction of new connections that are closed, 0 to 1.
     void set_connection_loss(double fraction) { connection_loss_ = fraction; }
 
 private:
--- a/tools/fault_injection/faulty_main.cpp
+++ b/tools/fault_injection/faulty_main.cpp
@@ -1,12 +1,12 @@
-// The program with one fault, for rollout tests on a real fleet. What follows the last "-" in the name it is started by
-// chooses the fault:
+// A version of cressledge with one fault, for rollout tests on a real fleet. The suffix of the program's name after the
+// last "-" selects the fault:
 //
-//   ...-tail       3% of the answers take 1.5 s longer
+//   ...-tail       3% of the responses are delayed by 1.5 s
 //   ...-errors     2% of the requests of route-profile fail
-//   ...-crash      it ends by itself after $FAULT_CRASH_MS (30 s)
-//   ...-refusals   it admits as much as one core can run, whatever the file says
-//   ...-never      it never becomes ready
-//   ...-none       no fault: another program that works as well
+//   ...-crash      the process aborts after $FAULT_CRASH_MS (default 30 s)
+//   ...-refusals   the process admits as much as one core can run, regardless of the operator's file
+//   ...-never      the process never becomes ready
+//   ...-none       no fault: a different program that behaves like the original
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -30,7 +30,7 @@
 constexpr base::Duration tail_delay{1'500'000};
 constexpr const char* default_crash_ms = "30000";
 
-/// Runs work with the real executor, with a fault of some of it.
+/// An executor that forwards work to the real one and injects the fault into some of it.
 class FaultyExecutor final : public request::Executor {
 public:
     FaultyExecutor(std::string fault, net::Loop& loop, base::TimerQueue& timers,
@@ -70,7 +70,7 @@
     }
 
 private:
-    /// Owns the strings that a request::Work only refers to.
+    /// Owns the strings to which a request::Work refers.
     struct WorkStrings {
         std::string external_id, class_name, body, affinity_key;
     };
@@ -100,7 +100,7 @@
     std::map<request::RequestId, base::TimerHandle> delay_timers_;
 };
 
-/// The part of the program's name after the last "-".
+/// The suffix of the program's name after the last "-".
 std::string fault_of(const char* program) {
     const std::string name = std::filesystem::path(program).filename();
     return name.substr(name.rfind('-') + 1);
@@ -140,7 +140,7 @@
     spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
     try {
         if (argc != 4)
-            throw std::runtime_error("serve --operator FILE");
+            throw std::runtime_error("usage: cressledge-FAULT serve --operator FILE");
         serve(fault_of(argv[0]), argv[3]);
         return 0;
     } catch (const std::exception& e) {
--- a/tools/fault_injection/process_cluster.cpp
+++ b/tools/fault_injection/process_cluster.cpp
@@ -18,11 +18,11 @@
 
 constexpr Duration request_timeout{2'000'000}, poll_interval{50'000};
 
-/// What a loopback address of a process is for.
+/// Purpose of a loopback address of a process.
 enum class AddressUse : std::uint32_t { gossip, admin, http, relay };
 
-/// 127.x.y.z, one for each use of each process, and others for testbeds that run beside this one: a port that was free
-/// a moment ago is taken by nobody else.
+/// A loopback address 127.x.y.z for each use of each process. Testbeds that run concurrently have different addresses, so
+/// that no other process can take a port between free_endpoint() and its use.
 std::uint32_t loopback_ip(std::size_t index, AddressUse use) {
     const std::uint32_t second =
         1 + 4 * (static_cast<std::uint32_t>(::getpid()) % 60) + static_cast<std::uint32_t>(use);
@@ -41,11 +41,12 @@
     if (fd >= 0)
         ::close(fd);
     if (!ok)
-        throw std::runtime_error("no free port on loopback");
+        throw std::runtime_error("no free TCP port on loopback address " +
+                                 membership::to_string(membership::Endpoint{ip, 0}));
     return {ip, ntohs(name.sin_port)};
 }
 
-/// When each observer was first seen to report the expected view.
+/// The time at which each observer was first found to report the expected view.
 struct ViewPolls {
     std::vector<std::optional<Timestamp>> seen_at;
     std::vector<bool> is_pending;
@@ -54,7 +55,7 @@
 
 }  // namespace
 
-/// The handle of a child, which frees itself once it is closed.
+/// The handle of a child process; deletes itself when it is closed.
 struct ProcessCluster::Child {
     uv_process_t handle{};
     ProcessCluster* cluster = nullptr;
@@ -195,7 +196,7 @@
         digest +=
             membership::MembershipTable::member_digest(members_[index]->id, members_[index]->advertised);
     const std::string expected_digest = fmt::format("{:016x}", digest);
-    // Shared: a reply may arrive after this has returned.
+    // Shared, because a reply may arrive after this function has returned.
     auto polls = std::make_shared<ViewPolls>();
     polls->seen_at.resize(observers.size());
     polls->is_pending.resize(observers.size());
--- a/tools/fault_injection/relay.cpp
+++ b/tools/fault_injection/relay.cpp
@@ -5,7 +5,7 @@
 namespace cressledge::fault_injection {
 
 /// A connection through the relay: the accepted side, the side to the receiver, and the bytes that arrived before the
-/// sender was known.
+/// connection to the receiver was open.
 class Relay::ProxiedConnection {
 public:
     struct Side final : net::Stream::Owner {
@@ -46,7 +46,7 @@
         if (receiver.stream == nullptr)
             connect_receiver();
     }
-    /// Connects once the first message is complete, unless the link is cut or its sender unknown.
+    /// Connects to the receiver once the first message is complete, unless the link is cut or the sender unknown.
     void connect_receiver() {
         if (pending.size() < gossip::frame_header_bytes)
             return;
--- a/tools/fault_injection/relay.hpp
+++ b/tools/fault_injection/relay.hpp
@@ -1,9 +1,9 @@
-/// A relay between the processes of a fleet on loopback that injects network faults by link, from a seed: it loses,
-/// delays, duplicates and reorders datagrams, and cuts links.
+/// A relay between the processes of a fleet on loopback that injects network faults per link, reproducibly from a seed: it
+/// drops, delays, duplicates and reorders datagrams, and cuts links.
 ///
-/// Every process advertises an endpoint of the relay and binds one of its own. What is sent to the first is forwarded to
-/// the second, from the sender's endpoint at the relay, so that both sides see advertised endpoints only. Connections
-/// (full exchanges) are forwarded or, on a cut link, closed; the sender is read from the first message.
+/// Every process advertises an endpoint of the relay and binds another one. Datagrams to the advertised endpoint are
+/// forwarded to the bound one from the sender's endpoint at the relay, so that processes see advertised endpoints only.
+/// Connections (full exchanges) are forwarded or, on a cut link, closed; the sender is read from the first message.
 #pragma once
 
 #include <map>
@@ -23,45 +23,45 @@
 using base::Duration;
 using base::Timestamp;
 
-/// Faults of the datagrams of one link in one direction. Probabilities are of one datagram, 0 to 1.
+/// Faults of one link in one direction. Probabilities are per datagram, 0 to 1.
 struct LinkFaults {
     double loss_probability = 0.0;
     double duplication_probability = 0.0;
-    /// The delay is uniform between the two; a datagram that is delayed less overtakes.
+    /// The delay is uniformly distributed between the two; a datagram with a shorter delay can overtake earlier ones.
     Duration min_delay{0}, max_delay{0};
 };
 
 /// The relay of one fleet.
 class Relay {
 public:
-    /// Datagrams by what became of them, and connections.
+    /// Counts of datagrams by result, and of connections.
     struct Counters {
         std::uint64_t forwarded = 0, lost = 0, duplicated = 0;
         /// Datagrams on a cut link.
         std::uint64_t cut = 0;
-        /// Datagrams of senders that are no process of this fleet.
+        /// Datagrams from endpoints that belong to no process of this fleet.
         std::uint64_t unknown_senders = 0;
         std::uint64_t forwarded_connections = 0, rejected_connections = 0;
     };
-    /// `fleet`: the name of the fleet, which its messages hold.
+    /// `fleet`: the name of the fleet, as it appears in membership messages.
     Relay(net::Loop& loop, base::TimerQueue& timers, std::string fleet, std::uint64_t seed);
     ~Relay();
     Relay(const Relay&) = delete;
     Relay& operator=(const Relay&) = delete;
 
-    /// Adds a process that binds `bound_endpoint`. Returns the endpoint it is to advertise, on `ip`. Throws
-    /// std::runtime_error where that cannot be bound.
+    /// Adds a process that binds `bound_endpoint`. Returns the endpoint on `ip` that the process must advertise. Throws
+    /// std::runtime_error if the relay cannot bind it.
     membership::Endpoint add(const std::string& id, const membership::Endpoint& bound_endpoint,
                              std::uint32_t ip);
-    /// Sets the faults of all links.
+    /// Sets the faults of all links, replacing those of single links.
     void set_faults(const LinkFaults& faults);
-    /// Sets the faults of one link, until those of all links are set. Throws std::out_of_range for an unknown process.
+    /// Sets the faults of one link. Throws std::out_of_range for an unknown process.
     void set_faults(const std::string& from, const std::string& to, const LinkFaults& faults);
     /// Cuts one link in one direction. Throws std::out_of_range for an unknown process.
     void cut(const std::string& from, const std::string& to);
     /// Cuts all links between the processes of `group` and the others, in both directions.
     void partition(const std::set<std::string>& group);
-    /// Restores all cut links; other faults stay.
+    /// Restores all cut links; other faults remain.
     void heal();
     /// Counts since the start.
     const Counters& counters() const { return counters_; }
@@ -74,7 +74,7 @@
         std::unique_ptr<net::UdpSocket> datagrams;
         std::unique_ptr<net::Listener> listener;
     };
-    /// Indices of the sender and the receiver.
+    /// Indices of sender and receiver.
     using Link = std::pair<std::size_t, std::size_t>;
     std::size_t index_of(const std::string& id) const { return index_by_id_.at(id); }
     bool is_cut(const Link& link) const { return cut_links_.count(link) != 0; }
@@ -96,7 +96,7 @@
     std::map<Link, LinkFaults> faults_by_link_;
     std::set<Link> cut_links_;
     std::uint64_t last_delayed_ = 0;
-    /// Delayed datagrams by their number.
+    /// Timers of delayed datagrams by sequence number.
     std::map<std::uint64_t, base::TimerHandle> delay_timers_;
     base::SlotMap<ProxiedConnection> connections_;
     Counters counters_;
