--- a/tools/common/deferred_eraser.hpp
+++ b/tools/common/deferred_eraser.hpp
@@ -1,5 +1,5 @@
-/// Erases values of a slot map on the next turn of the event loop. For connections that end in a callback of their own:
-/// their code is on the stack until it returns.
+/// Erases values of a slot map in the next iteration of the event loop. Used for connections that are closed from one of
+/// their own callbacks, whose code is still on the stack.
 #pragma once
 
 #include <utility>
@@ -10,16 +10,16 @@
 
 namespace cressledge::tools {
 
-/// Erases values of `values`; must be destroyed before it. Values that still wait are left to the map.
+/// Erases values of a slot map, which must outlive it. Values not erased when it is destroyed stay in the map.
 template <class T>
 class DeferredEraser {
 public:
-    /// `timers` and `values` must outlive it.
+    /// `timers` and `values` must outlive this object.
     DeferredEraser(base::TimerQueue& timers, base::SlotMap<T>& values) : timers_(timers), values_(values) {}
     DeferredEraser(const DeferredEraser&) = delete;
     DeferredEraser& operator=(const DeferredEraser&) = delete;
 
-    /// Erases the value of that id on the next turn. The same id may be given twice.
+    /// Erases the value with that id in the next iteration. The same id may be passed more than once.
     void erase(base::SlotId id) {
         ids_.push_back(id);
         if (timer_.is_scheduled())
--- a/tools/common/http_message_parser.hpp
+++ b/tools/common/http_message_parser.hpp
@@ -1,5 +1,5 @@
 /// A parser of HTTP/1.1 messages on one connection, for the fake upstreams (requests) and the load generator (responses).
-/// It stops behind each message: the peers of these tools never pipeline.
+/// It stops after each message; pipelining is not supported.
 #pragma once
 
 #include <http_parser.h>
@@ -10,30 +10,29 @@
 
 namespace cressledge::tools {
 
-/// Parses one message after another. Neither copied nor moved: http_parser keeps a pointer to it.
+/// Parses one message after another. Not copyable or movable, because http_parser stores a pointer to it.
 class HttpMessageParser {
 public:
     enum class Result { incomplete, complete, malformed };
 
-    /// Parses requests (HTTP_REQUEST), of which it keeps URL and body, or responses (HTTP_RESPONSE), of which it keeps
-    /// neither.
+    /// `type`: requests (HTTP_REQUEST), whose URL and body are stored, or responses (HTTP_RESPONSE), of which neither is.
     explicit HttpMessageParser(http_parser_type type);
     HttpMessageParser(const HttpMessageParser&) = delete;
     HttpMessageParser& operator=(const HttpMessageParser&) = delete;
 
-    /// Parses `bytes` up to the end of a message. After `complete` the next call begins the next message; after
-    /// `malformed`, which includes a URL or body that is too long, the connection is to be closed.
+    /// Parses `bytes` up to the end of a message. After `complete` the next call starts a new message. After `malformed`,
+    /// which includes a URL over 512 bytes or a body over 64 KiB, the connection must be closed.
     Result parse(std::string_view bytes);
-    /// Whether the last call of parse() left bytes behind the message it completed.
+    /// Whether the last call of parse() did not consume all bytes.
     bool has_trailing_bytes() const { return has_trailing_bytes_; }
 
-    /// Of the last request.
+    /// URL of the last request.
     const std::string& url() const { return url_; }
-    /// Of the last request.
+    /// Body of the last request.
     const std::string& body() const { return body_; }
-    /// Of the last response.
+    /// Status code of the last response.
     unsigned status() const { return parser_.status_code; }
-    /// Whether the connection may be used again after the last complete message.
+    /// Whether the connection can be reused after the last complete message.
     bool keeps_alive() const { return keeps_alive_; }
 
 private:
--- a/tools/emulator/call_table.hpp
+++ b/tools/emulator/call_table.hpp
@@ -1,4 +1,4 @@
-/// The calls of an emulated run, by ids that never name another call later.
+/// The calls of an emulated run, addressed by ids that are never reused.
 #pragma once
 
 #include <cstdint>
@@ -9,30 +9,30 @@
 
 namespace cressledge::emulator {
 
-/// A call, or the probes that are sent beside one.
+/// A call, or a set of probes sent independently of a call's server choice.
 struct Call {
     std::uint32_t version = 1;
     std::uint32_t process = 0, server = 0;
     /// Incarnation of the process that made the call.
     std::uint32_t incarnation = 0;
-    /// Microseconds.
+    /// Microseconds since the start of the run.
     std::int64_t created_at = 0, sent_at = 0;
     bool is_probe_only = false;
-    /// Whether a server has received the call and not finished it.
+    /// Whether the call is at a server, waiting or in service.
     bool is_at_server = false;
-    /// Servers that refused a connection.
+    /// Servers that refused a connection for this call.
     std::vector<upstream_health::HostId> tried_servers;
-    /// Answers to the probes of this call.
+    /// Answers to this call's probes.
     std::vector<load_balancing::ProbeAnswer> probe_answers;
 };
 
-/// A slot map of calls that keeps its slots for reuse. An id holds the slot's version in its upper 32 bits and the index
-/// in its lower ones. Unlike base::SlotMap it stores the calls themselves: there are millions in a run.
+/// A slot map of calls that reuses its slots. The upper 32 bits of an id are the slot's version, the lower 32 bits its
+/// index. Unlike base::SlotMap it stores the values in place, because a run has millions of calls.
 class CallTable {
 public:
     using CallId = fake_upstream::CallId;
 
-    /// Adds a call; references to calls become invalid.
+    /// Adds a call and returns its id. Invalidates references to calls.
     CallId create() {
         if (free_indices_.empty()) {
             free_indices_.push_back(static_cast<std::uint32_t>(calls_.size()));
@@ -45,11 +45,11 @@
         calls_[index].version = version;
         return make_id(index);
     }
-    /// The call of an id that has not been erased.
+    /// The call with an id that has not been erased.
     Call& at(CallId id) { return calls_[static_cast<std::uint32_t>(id)]; }
-    /// Null where the call has been erased.
+    /// The call with that id; null if it has been erased.
     Call* find(CallId id) { return at(id).version == id >> 32U ? &at(id) : nullptr; }
-    /// Removes a call that has not been erased; its id finds nothing any more.
+    /// Removes a call that has not been erased. Afterwards find() returns null for its id.
     void erase(CallId id) {
         ++at(id).version;
         at(id).is_at_server = false;
--- a/tools/emulator/emulated_servers.hpp
+++ b/tools/emulator/emulated_servers.hpp
@@ -1,4 +1,4 @@
-/// The servers of an emulated run, and the baseline rules that choose among them without a balancer.
+/// The servers of an emulated run, and the baseline policies that choose among them without a balancer.
 #pragma once
 
 #include <vector>
@@ -8,41 +8,41 @@
 
 namespace cressledge::emulator {
 
-/// Servers by index, which is also their HostId in every process.
+/// The emulated servers. The index of a server is also its HostId in every process.
 class EmulatedServers {
 public:
-    /// The servers of a scenario, idle and warm.
+    /// Creates the servers of a scenario, idle and at full speed.
     explicit EmulatedServers(const LoadSpreadScenario& scenario);
 
-    /// How many servers there are.
+    /// Number of servers.
     std::size_t size() const { return models_.size(); }
-    /// As the inventory of every process lists them.
+    /// The servers as listed in the inventory of every process.
     const std::vector<upstream_health::HostSpec>& specs() const { return specs_; }
-    /// The names in the inventory.
+    /// Names of the servers in the inventory.
     std::vector<std::string> names() const;
-    /// Calls that all servers serve at once.
+    /// Sum of the slots of all servers.
     double total_slots() const { return total_slots_; }
-    /// The state of all servers.
+    /// The models of all servers.
     const std::vector<fake_upstream::ServerModel>& models() const { return models_; }
-    /// The state of one server.
+    /// The model of one server.
     fake_upstream::ServerModel& model(std::size_t server) { return models_[server]; }
 
-    /// Whether connections to it are refused.
+    /// Whether connections to a server are refused.
     bool is_down(std::size_t server) const { return is_down_[server]; }
-    /// Connections to it are refused until restart().
+    /// Makes a server refuse connections until restart().
     void set_down(std::size_t server) { is_down_[server] = true; }
-    /// It accepts connections again, cold.
+    /// Makes a server accept connections again, starting cold.
     void restart(std::size_t server, base::Timestamp now);
 
-    /// Copies the load reports that pick_by_stale_reports() goes by.
+    /// Copies the current load reports for pick_by_stale_reports().
     void refresh_stale_reports();
-    /// Draws a server with a chance in proportion to its capacity.
+    /// Draws a server with a probability proportional to its capacity.
     upstream_health::HostId pick_random(upstream_health::Random& random) {
         return capacity_sampler_.sample(random);
     }
-    /// The least utilized server by the last copy of the reports.
+    /// The server with the lowest utilization in the copied reports.
     upstream_health::HostId pick_by_stale_reports() const;
-    /// Join the shortest queue, by the true load; ties go to the first from a random start.
+    /// Join the shortest queue, by the true load. Of equals, the first one after a random index is chosen.
     upstream_health::HostId pick_shortest_queue(upstream_health::Random& random) const;
 
 private:
--- a/tools/emulator/fleet.cpp
+++ b/tools/emulator/fleet.cpp
@@ -3,7 +3,7 @@
 namespace cressledge::emulator {
 namespace {
 
-/// Length of the fleet's name, for the sizes of messages.
+/// Length of the fleet's name, used to estimate message sizes.
 constexpr std::size_t fleet_name_bytes = 5;
 
 std::uint64_t update_bytes(const membership::Message& message) {
@@ -141,7 +141,7 @@
     Member& member = members_[event.to];
     event.at = member.paused_until;
     if (event.message == nullptr) {
-        event.sequence = 0;  // timers go first when the member continues
+        event.sequence = 0;  // when the member continues, its timers fire before messages are delivered
         member.next_tick_at = member.paused_until;
     }
     events_.push(std::move(event));
--- a/tools/emulator/fleet.hpp
+++ b/tools/emulator/fleet.hpp
@@ -1,5 +1,5 @@
 /// An emulated fleet: a membership::MembershipTable for every member, over a simulated network with loss, delay and cut
-/// links. Nothing here waits; time is the emulator's own. For fleets that no machine holds in real time, and for
+/// links. It runs on simulated time without waiting, for fleets too large to run in real time on one machine and for
 /// thousands of seeded runs. The result depends only on the calls made and the seed.
 #pragma once
 
@@ -15,64 +15,65 @@
 using base::Duration;
 using base::Timestamp;
 
-/// The properties of every link.
+/// Properties of all links.
 struct NetworkModel {
     /// Probability that a datagram is lost.
     double loss_probability = 0.0;
-    /// The one-way delay is uniform between the two.
+    /// The one-way delay is uniformly distributed between the two.
     Duration min_delay{200}, max_delay{2'000};
 };
 
-/// Members are named by their index in the order they were started.
+/// Members are identified by their index in the order in which they were started.
 class Fleet {
 public:
-    /// `max_members`: members that will ever be started.
+    /// `max_members`: upper bound on the number of members that are started.
     Fleet(std::size_t max_members, const membership::MembershipSettings& settings,
           const NetworkModel& network, std::uint64_t seed);
 
-    /// Starts a new member that joins through `seeds`; its index.
+    /// Starts a new member that joins through `seeds`. Returns its index.
     std::size_t start(const std::vector<std::size_t>& seeds);
-    /// Starts `count` members that know each other already.
+    /// Starts `count` members whose tables already contain each other.
     void start_converged(std::size_t count);
-    /// Stops a member without notice.
+    /// Stops a member without an announcement.
     void crash(std::size_t index) { members_[index].table.reset(); }
-    /// Starts a crashed member again: the same id, a later start time.
+    /// Restarts a crashed member with the same id and a later start time.
     void restart(std::size_t index, const std::vector<std::size_t>& seeds);
     /// Makes a member announce its departure and stop.
     void leave(std::size_t index);
-    /// Suspends a member until then: messages and timers wait.
+    /// Suspends a member until `until`; its messages and timers are postponed.
     void pause(std::size_t index, Timestamp until);
-    /// Cuts the links for which `is_cut` holds, instead of those cut before. Empty: none.
+    /// Cuts the links for which `is_cut` returns true and restores all others. An empty function cuts none.
     void set_cut_links(std::function<bool(std::size_t from, std::size_t to)> is_cut) {
         is_cut_ = std::move(is_cut);
     }
 
-    /// Moves time on.
+    /// Advances time to `until`.
     void run(Timestamp until);
-    /// Moves time on until `is_done`, which is asked every `check_interval`; false: not by `until`.
+    /// Advances time until `is_done`, evaluated every `check_interval`, returns true. False if it does not by `until`.
     bool run(Timestamp until, Duration check_interval, const std::function<bool()>& is_done);
-    /// Emulated time.
+    /// Current simulated time.
     Timestamp now() const { return now_; }
 
-    /// Whether it has been started and has not crashed or left.
+    /// Whether a member has been started and has not crashed or left.
     bool running(std::size_t index) const { return members_[index].table != nullptr; }
     /// The table of a running member.
     const membership::MembershipTable& view(std::size_t index) const { return *members_[index].table; }
-    /// The id by which other members know it.
+    /// Id of a member in the fleet.
     const std::string& id(std::size_t index) const { return members_[index].id; }
-    /// Members that were ever started.
+    /// Number of members that have been started.
     std::size_t size() const { return members_.size(); }
-    /// Whether every running member's table has all running members alive and no other.
+    /// Whether every running member's table contains exactly the running members, all alive.
     bool has_converged() const;
-    /// Running members declared dead, counted in each table, where no link between the two was cut.
+    /// Number of times a running member's table declared another running member dead although no link between the two was
+    /// cut.
     std::uint64_t false_deaths() const { return false_deaths_; }
-    /// Bytes sent, at most: as membership::max_encoded_size has them, full exchanges included.
+    /// Upper bound on the bytes sent, by membership::max_encoded_size, full exchanges included.
     std::uint64_t bytes() const { return bytes_; }
 
 private:
     struct Member {
         std::string id;
-        /// Null: it does not run.
+        /// Null if the member is not running.
         std::unique_ptr<membership::MembershipTable> table;
         std::uint64_t incarnation = 0;
         Timestamp next_tick_at = Timestamp::max(), paused_until{0};
@@ -82,9 +83,9 @@
         Timestamp at;
         std::uint64_t sequence;
         std::size_t to, from;
-        /// The incarnation that a tick is for.
+        /// For a tick: the incarnation for which it was scheduled.
         std::uint64_t incarnation;
-        /// Null: a tick.
+        /// The message to deliver; null for a tick.
         std::shared_ptr<const membership::Message> message;
     };
     struct IsLater {
--- a/tools/emulator/load_spread_simulation.cpp
+++ b/tools/emulator/load_spread_simulation.cpp
@@ -11,9 +11,9 @@
 using upstream_health::HostId;
 using upstream_health::no_host;
 
-// Microseconds.
+// Both in microseconds.
 constexpr std::int64_t stale_report_interval = 1'000'000, tick_interval = 250'000;
-/// Connections that one call tries, if they are refused.
+/// Number of refused connections after which a call fails.
 constexpr std::size_t max_connect_attempts = 8;
 constexpr int batch_size = 10;
 
@@ -45,7 +45,7 @@
         schedule(0, EventType::refresh_stale_reports);
     for (std::size_t i = 0; i < scenario_.events.size(); ++i)
         schedule(warm_up_end_ + microseconds(scenario_.events[i].at_s), EventType::scenario_event, i);
-    // Calls that are open at the end are waited for: a quantile without the slowest would flatter.
+    // Waits for the calls that are open at the end: quantiles without the slowest calls would be too low.
     while (!events_.empty() && (events_.top().at <= end || open_calls_ > 0)) {
         const Event event = events_.top();
         events_.pop();
@@ -72,7 +72,7 @@
     result_.p95_ms = quantile_ms(0.95);
     result_.p99_ms = quantile_ms(0.99);
     result_.p999_ms = quantile_ms(0.999);
-    // Counted as a number until here.
+    // Until here error_rate holds the number of failed calls.
     result_.error_rate =
         finished_calls_ == 0 ? 0.0 : result_.error_rate / static_cast<double>(finished_calls_);
 }
@@ -225,7 +225,7 @@
 
 HostId LoadSpreadSimulation::connect(CallId id, HostId server) {
     Call& call = calls_.at(id);
-    // A refused connection proves that nothing ran, and the next server is tried at once.
+    // After a refused connection the call has not been executed, so the next server is tried immediately.
     while (server != no_host && servers_.is_down(server)) {
         call.tried_servers.push_back(server);
         if (!uses_balancer(scenario_.choice) || call.tried_servers.size() > max_connect_attempts)
--- a/tools/emulator/load_spread_simulation.hpp
+++ b/tools/emulator/load_spread_simulation.hpp
@@ -12,7 +12,7 @@
 
 namespace cressledge::emulator {
 
-/// What happens at a moment of simulated time.
+/// Type of an event of the simulation.
 enum class EventType : std::uint8_t {
     arrival,
     probes_at_servers,
@@ -26,14 +26,14 @@
     server_restarted,
 };
 
-/// An event; the order is that of std::priority_queue, the earliest first.
+/// An event of the simulation. Ordered for std::priority_queue, so that the earliest event is on top.
 struct Event {
-    /// Microseconds of the run.
+    /// Microseconds since the start of the run.
     std::int64_t at;
-    /// Events of one moment are handled in the order they were scheduled.
+    /// Events at the same time are handled in the order in which they were scheduled.
     std::uint64_t sequence;
     EventType type;
-    /// A call, a server or a scenario event, by type.
+    /// Id of a call or index of a server or scenario event, depending on the type.
     std::uint64_t subject;
     bool operator<(const Event& other) const {
         return at != other.at ? at > other.at : sequence > other.sequence;
@@ -43,9 +43,9 @@
 /// One run of a scenario: an event loop on simulated time.
 class LoadSpreadSimulation {
 public:
-    /// Starts the processes of the scenario.
+    /// Creates the servers and starts the processes of the scenario.
     explicit LoadSpreadSimulation(const LoadSpreadScenario& scenario);
-    /// Runs until the time is over and every call has finished; to be called once.
+    /// Runs until the configured time has passed and every call has finished. Must be called only once.
     LoadSpreadResult run();
 
 private:
@@ -86,16 +86,16 @@
     upstream_health::Random random_;
     EmulatedServers servers_;
     std::vector<BalancingProcess> processes_;
-    /// Processes that run; those behind it in `processes_` are stopped.
+    /// Number of running processes; those in `processes_` from this index on are stopped.
     std::size_t process_count_ = 0;
     std::vector<upstream_health::HostId> probe_targets_;
     CallTable calls_;
     std::priority_queue<Event> events_;
     std::uint64_t last_sequence_ = 0, finished_calls_ = 0, open_calls_ = 0;
-    /// Microseconds of the run.
+    /// Microseconds since the start of the run.
     std::int64_t now_ = 0, warm_up_end_ = 0;
     double call_rate_s_ = 0.0;
-    /// Of successful calls, in microseconds.
+    /// Latencies of successful calls, in microseconds.
     std::vector<float> latencies_;
     fake_upstream::LoadImbalanceMonitor monitor_;
     LoadSpreadResult result_;
--- a/tools/emulator/rollout_emulation.cpp
+++ b/tools/emulator/rollout_emulation.cpp
@@ -14,7 +14,7 @@
 using rollout::ClassMetrics;
 using rollout::MetricsByClass;
 
-/// A class of the request mix and its latencies (log-normal).
+/// A request class of the mix. Latencies are log-normal.
 struct RequestClass {
     const char* name;
     double fraction, median_ms, latency_sigma, latency_objective_ms;
@@ -22,7 +22,7 @@
 constexpr RequestClass request_classes[] = {{"trail-sheet", 0.46, 450.0, 0.6, 2900.0},
                                             {"route-profile", 0.46, 250.0, 0.5, 1500.0},
                                             {"map-order", 0.08, 700.0, 0.5, 3500.0}};
-/// The class that VersionDefects::error_rate is for.
+/// The class to which VersionDefects::error_rate applies.
 constexpr const RequestClass* defective_class = &request_classes[1];
 constexpr double change_time_s = 1.5, restart_time_s = 0.5, max_time_s = 7200.0;
 constexpr double shared_slowdown_time_s = 60.0;
@@ -32,10 +32,10 @@
 
 /// An emulated process.
 struct Process {
-    /// Of its machine: factors of latencies, and of errors.
+    /// Factors by which the process's machine changes latencies and errors.
     double latency_factor = 1.0, error_factor = 1.0;
     rollout::ProcessSpec active_spec, wanted_spec;
-    /// Seconds of the run; negative: not scheduled.
+    /// Seconds since the start of the run; negative if not scheduled.
     double change_at = -1.0, restart_at = -1.0;
     double started_at = 0.0;
     std::uint64_t generation = 1, crashes = 0;
@@ -69,9 +69,9 @@
     std::map<std::string, std::size_t> index_by_id_;
     std::optional<rollout::RolloutStateMachine> state_machine_;
     double now_s_ = 0.0;
-    /// Logarithm of the slow-down that all machines share.
+    /// Logarithm of the slowdown common to all machines.
     double shared_slowdown_ = 0.0;
-    /// Negative: not yet.
+    /// Start of the partition; negative if it has not started.
     double partitioned_at_ = -1.0;
     double requests_ = 0.0, new_version_requests_ = 0.0;
 };
@@ -102,7 +102,7 @@
             advance(scenario_.observation_interval_s);
         const auto observations = observe();
         auto actions = state_machine_->step(timestamp(), observations);
-        if (actions.must_save_state)  // it is saved: continue at once
+        if (actions.must_save_state)  // saving always succeeds here, so continue immediately
             actions = state_machine_->step(timestamp(), observations);
         apply(actions);
         if (actions.is_finished)
--- a/tools/install_packages.sh
+++ b/tools/install_packages.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that are missing: with "build" those that the program needs to be built, else also those
-# of the tests and linters.
+# Installs missing Debian packages. With the argument "build" only those needed to build the program, otherwise also those
+# needed by the tests and linters.
 set -euo pipefail
 missing=()
-need_command() { command -v "$1" >/dev/null || missing+=("$2"); }  # a command, and the package that has it
-need_file() { [ -e "$1" ] || missing+=("$2"); }                    # a file, and the package that has it
+need_command() { command -v "$1" >/dev/null || missing+=("$2"); }  # COMMAND PACKAGE: adds the package if the command is missing
+need_file() { [ -e "$1" ] || missing+=("$2"); }                    # FILE PACKAGE: adds the package if the file is missing
 need_command g++ g++
 need_command make make
 need_command cmake cmake
