--- a/tools/emulator/load_spread.cpp
+++ b/tools/emulator/load_spread.cpp
@@ -15,13 +15,13 @@
         case BalancingChoice::local_two_choices:
             return "two choices, own calls";
         case BalancingChoice::two_choices:
-            return "two-choices (today)";
+            return "two-choices (EWMA)";
         case BalancingChoice::probe_pool:
             return "probe-pool";
         case BalancingChoice::probe_first:
             return "probe-first";
         case BalancingChoice::join_shortest_queue:
-            return "all seen (JSQ)";
+            return "shortest queue (JSQ)";
     }
     return "";
 }
--- a/tools/emulator/load_spread_simulation.cpp
+++ b/tools/emulator/load_spread_simulation.cpp
@@ -13,7 +13,7 @@
 
 // Both in microseconds.
 constexpr std::int64_t stale_report_interval = 1'000'000, tick_interval = 250'000;
-/// Number of refused connections after which a call fails.
+/// A call fails when more connections than this are refused.
 constexpr std::size_t max_connect_attempts = 8;
 constexpr int batch_size = 10;
 
--- a/tools/experiment/experiment.cpp
+++ b/tools/experiment/experiment.cpp
@@ -38,11 +38,11 @@
                                              std::size_t server_count) {
     std::vector<std::size_t> indices;
     if (!list || !list.IsSequence() || list.size() == 0)
-        reader.fail(list, "servers", "no list of servers by number");
+        reader.fail(list, "servers", "must be a non-empty list of server indices");
     for (const auto& node : list) {
         std::size_t index = 0;
         if (!YAML::convert<std::size_t>::decode(node, index) || index >= server_count)
-            reader.fail(node, "servers", "no such server");
+            reader.fail(node, "servers", "must be a server index below " + std::to_string(server_count));
         indices.push_back(index);
     }
     return indices;
@@ -77,7 +77,7 @@
     capacities.clear();
     if (!list.IsSequence() || !YAML::convert<std::vector<double>>::decode(list, capacities) ||
         capacities.empty() || *std::min_element(capacities.begin(), capacities.end()) <= 0.0)
-        reader.fail(list, "capacities", "no list of numbers above 0");
+        reader.fail(list, "capacities", "must be a non-empty list of numbers above 0");
 }
 
 void read_servers(const YamlReader& reader, const YAML::Node& doc, Experiment& experiment) {
@@ -99,20 +99,21 @@
     profile.cold_start_speed = reader.number(node, "cold_speed", 0.01, 1.0, 0.2);
 }
 
-/// Checks the section as the program will check it.
+/// Reads the section `routing` with the checks that cressledge applies to it.
 void read_routing(const YamlReader& reader, const YAML::Node& doc, Experiment& experiment) {
     YAML::Node completed = YAML::Clone(doc);
     if (!completed["routing"])
         completed["routing"]["policy"] = experiment.policy;
     completed["fleet"]["id"] = "n0";
-    // A copy has no line numbers: it is read only where a subset needs the id that each process will have.
+    // A copy has no line numbers for errors, so it is read only if a subset needs the id that each process will have.
     const bool has_subset = doc["routing"] && doc["routing"].IsMap() && doc["routing"]["subset"];
     config::RoutingConfig routing;
     config::read_routing(reader, has_subset || !doc["routing"] ? completed : doc, routing);
     experiment.policy =
         completed["routing"]["policy"] ? completed["routing"]["policy"].Scalar() : "two-choices";
     if (choices.count(experiment.policy) == 0)
-        reader.fail(doc["routing"], "policy", "not emulated: " + experiment.policy);
+        reader.fail(doc["routing"], "policy",
+                    "none of two-choices, probe-pool, probe-first: " + experiment.policy);
     YAML::Emitter one_line;
     one_line << YAML::Flow << completed["routing"];
     experiment.routing = one_line.c_str();
@@ -131,7 +132,7 @@
     experiment.load = reader.number(node, "share", 0.001, 10.0, config::required);
     const std::string arrivals = reader.text(node, "arrivals", "poisson");
     if (arrivals != "poisson" && arrivals != "bursty")
-        reader.fail(node["arrivals"], "arrivals", "neither poisson nor bursty");
+        reader.fail(node["arrivals"], "arrivals", "neither poisson nor bursty: " + arrivals);
     experiment.bursty = arrivals == "bursty";
 }
 
--- a/tools/experiment/fake_upstream_process.cpp
+++ b/tools/experiment/fake_upstream_process.cpp
@@ -36,7 +36,7 @@
     start_reading();
     const json first_line = read_reply();
     if (!first_line.is_object())
-        throw std::runtime_error("the stand-in servers do not start");
+        throw std::runtime_error("the fake upstream service did not report its addresses");
     addresses_ = first_line.at("addresses").get<std::vector<std::string>>();
 }
 
@@ -118,9 +118,9 @@
 void FakeUpstreamProcess::write(const json& command) {
     const std::string line = command.dump() + '\n';
     uv_buf_t buffer = uv_buf_init(const_cast<char*>(line.data()), static_cast<unsigned>(line.size()));
-    // A line is shorter than what a pipe takes at once.
+    // A command is shorter than the buffer of a pipe, so that one write suffices.
     if (uv_try_write(as_stream(stdin_pipe_), &buffer, 1) != static_cast<int>(line.size()))
-        throw std::runtime_error("the stand-in servers take no command");
+        throw std::runtime_error("the fake upstream service did not accept a command");
 }
 
 void FakeUpstreamProcess::send(const json& command) {
--- a/tools/experiment/fake_upstream_process.hpp
+++ b/tools/experiment/fake_upstream_process.hpp
@@ -1,4 +1,4 @@
-/// The fake upstream service (experiment/fake_upstream_service.hpp) as a child process, and the commands to it.
+/// Runs the fake upstream service (experiment/fake_upstream_service.hpp) as a child process and sends it commands.
 #pragma once
 
 #include <uv.h>
@@ -15,19 +15,19 @@
 class FakeUpstreamProcess {
 public:
     /// Starts `program` (cressledge_lab) as the service of the experiment in `experiment_file` and waits until its
-    /// servers listen. Throws std::runtime_error where it does not start.
+    /// servers listen. Throws std::runtime_error if it does not start.
     FakeUpstreamProcess(net::Loop& loop, base::TimerQueue& timers, const std::string& program,
                         const std::string& experiment_file);
     ~FakeUpstreamProcess();
     FakeUpstreamProcess(const FakeUpstreamProcess&) = delete;
     FakeUpstreamProcess& operator=(const FakeUpstreamProcess&) = delete;
 
-    /// Sends a command and waits for its reply; null after ten seconds. Throws std::runtime_error where the service takes
-    /// no command.
+    /// Sends a command and waits for its reply; null after ten seconds or if the service has ended. Throws
+    /// std::runtime_error if the service does not accept the command.
     nlohmann::json request(const nlohmann::json& command);
     /// Sends a command whose reply is ignored. Throws as request() does.
     void send(const nlohmann::json& command);
-    /// Of each server.
+    /// Address of each server.
     const std::vector<std::string>& addresses() const { return addresses_; }
 
 private:
@@ -42,9 +42,9 @@
     uv_pipe_t stdin_pipe_{}, stdout_pipe_{};
     std::string received_;
     std::vector<char> buffer_;
-    /// Replies to commands of send() that have not arrived yet.
+    /// Number of replies to commands of send() that have not arrived yet.
     std::size_t ignored_replies_ = 0;
-    /// 0: it has ended.
+    /// Process id of the service; 0 if it has ended.
     int pid_ = 0;
     int open_handles_ = 0;
     std::vector<std::string> addresses_;
--- a/tools/experiment/fake_upstream_service.cpp
+++ b/tools/experiment/fake_upstream_service.cpp
@@ -20,7 +20,7 @@
         profile.slots = experiment.slots(i);
         profile.probe_round_trip = experiment.round_trip;
         spec.servers.push_back(profile);
-        // Addresses of their own: what the processes bind is above 127.0.
+        // 127.0.x.y is reserved for the servers; the processes bind addresses from 127.1.0.0 on.
         spec.addresses.push_back("127.0." + std::to_string(1 + i / 250) + '.' + std::to_string(1 + i % 250) +
                                  ":0");
     }
@@ -44,7 +44,7 @@
             {"calls_by_server", fleet.calls_by_server()}};
 }
 
-/// Carries out a command; its reply. Throws std::exception where it cannot.
+/// Executes a command and returns its reply. Throws std::exception if it is invalid.
 json execute(fake_upstream::Fleet& fleet, const json& command) {
     const std::string name = command.at("do");
     const auto for_each_server = [&](const auto& action) {
@@ -65,7 +65,7 @@
     } else if (name == "observe") {
         fleet.set_monitoring(command.at("on"));
     } else {
-        throw std::invalid_argument("no such command");
+        throw std::invalid_argument("unknown command \"" + name + '"');
     }
     return {{"done", name}};
 }
@@ -74,13 +74,13 @@
     std::cout << line.dump() << '\n' << std::flush;
 }
 
-/// Commands from standard input.
+/// Reads commands from standard input and writes their replies to standard output.
 class CommandReader {
 public:
     CommandReader(net::Loop& loop, fake_upstream::Fleet& fleet) : loop_(loop), fleet_(fleet) {
         uv_pipe_init(loop.uv(), &pipe_, 0);
         if (uv_pipe_open(&pipe_, 0) != 0)
-            throw std::runtime_error("stand-in: no pipe on its standard input");
+            throw std::runtime_error("stand-in: standard input is not a pipe");
         pipe_.data = this;
     }
     void start() {
--- a/tools/experiment/main.cpp
+++ b/tools/experiment/main.cpp
@@ -1,9 +1,9 @@
-// cressledge_lab: load balancing experiments from a YAML file, emulated or with real processes on loopback.
+// cressledge_lab: runs load balancing experiments described by YAML files, emulated or with real processes on loopback.
 //
 //   cressledge_lab run FILE [--program build/cressledge] [--out report.json] [--keep FOLDER]
 //   cressledge_lab emulate FILE [--out report.json]
 //   cressledge_lab compare REPORT REPORT        the figures of two reports side by side
-//   cressledge_lab stand-in FILE                the fake upstreams alone; commands on standard input
+//   cressledge_lab stand-in FILE                runs only the fake upstreams; commands on standard input
 #include <unistd.h>
 
 #include <cstdio>
@@ -25,11 +25,11 @@
     try {
         return ordered_json::parse(config::read_file(path));
     } catch (const nlohmann::json::exception&) {
-        throw config::ConfigError(path + ": not a report");
+        throw config::ConfigError(path + ": not a JSON report");
     }
 }
 
-/// Prints the figures that two reports have in common.
+/// Prints the figures that two reports have in common. Returns the exit status.
 int compare(const std::string& first_path, const std::string& second_path) {
     const ordered_json first = read_report(first_path);
     const ordered_json second = read_report(second_path);
@@ -45,7 +45,7 @@
     return 0;
 }
 
-/// Prints the figures of a report and writes the whole to `out`, if that is not empty.
+/// Prints the figures of a report and writes the complete report to the file `out`, unless that is empty.
 void write_report(const ordered_json& report, const std::string& out) {
     std::printf("%s\n", ordered_json{{"how", report["how"]}, {"figures", report["figures"]}}.dump(2).c_str());
     if (out.empty())
@@ -57,20 +57,21 @@
 }
 
 cxxopts::Options command_line() {
-    cxxopts::Options options("cressledge_lab", "experiments on the spread of load");
+    cxxopts::Options options("cressledge_lab", "runs load balancing experiments");
     options.positional_help("run|emulate|compare|stand-in FILE...");
     options.add_options()("command", "", cxxopts::value<std::string>()->default_value(""))(
         "files", "", cxxopts::value<std::vector<std::string>>()->default_value(""))(
-        "program", "run: the program", cxxopts::value<std::string>()->default_value("build/cressledge"))(
-        "out", "run, emulate: where the report goes", cxxopts::value<std::string>()->default_value(""))(
-        "keep", "run: a folder for the processes' files and logs",
-        cxxopts::value<std::string>()->default_value(""))("quiet", "run: no lines of progress")("h,help",
-                                                                                                "print this");
+        "program", "run: path of cressledge",
+        cxxopts::value<std::string>()->default_value("build/cressledge"))(
+        "out", "run, emulate: file for the report", cxxopts::value<std::string>()->default_value(""))(
+        "keep", "run: folder that keeps the processes' files and logs",
+        cxxopts::value<std::string>()->default_value(""))("quiet", "run: print no progress")(
+        "h,help", "print this help");
     options.parse_positional({"command", "files"});
     return options;
 }
 
-/// Runs an experiment with real processes, in a folder that is removed unless one was named.
+/// Runs an experiment with real processes, in a temporary folder that is removed afterwards or in the folder of --keep.
 ordered_json run_with_processes(const experiment::Experiment& experiment, const std::string& file,
                                 const cxxopts::ParseResult& arguments) {
     experiment::TrialEnvironment environment;
@@ -90,14 +91,14 @@
     return report;
 }
 
-/// Carries out the command; the exit status.
+/// Executes the command and returns the exit status.
 int run_command(const cxxopts::ParseResult& arguments) {
     const auto command = arguments["command"].as<std::string>(), out = arguments["out"].as<std::string>();
     const auto files = arguments["files"].as<std::vector<std::string>>();
     if (command == "compare" && files.size() == 2)
         return compare(files[0], files[1]);
     if (files.size() != 1 || files[0].empty())
-        throw config::ConfigError(command + ": names no file");
+        throw config::ConfigError(command + ": exactly one file is required (compare: two)");
     const experiment::Experiment experiment = experiment::load_experiment(files[0]);
     if (command == "stand-in")
         return experiment::run_fake_upstream_service(experiment);
@@ -106,7 +107,8 @@
         return 0;
     }
     if (command != "run")
-        throw config::ConfigError("no such command: " + command);
+        throw config::ConfigError("unknown command \"" + command +
+                                  "\": none of run, emulate, compare, stand-in");
     write_report(run_with_processes(experiment, files[0], arguments), out);
     return 0;
 }
--- a/tools/experiment/rollout_testbed.cpp
+++ b/tools/experiment/rollout_testbed.cpp
@@ -33,7 +33,7 @@
     return address;
 }
 
-/// One for each process, and others for testbeds beside this one.
+/// A loopback address for each process. Testbeds that run concurrently have different addresses.
 std::string loopback_ip(std::size_t process) {
     return "127." + std::to_string(1 + ::getpid() % 240) + '.' + std::to_string(100 + process / 250) + '.' +
            std::to_string(1 + process % 250);
@@ -43,7 +43,7 @@
     return loopback_ip(process) + ':' + std::to_string(gossip_port);
 }
 
-/// The path of a plan without its suffix.
+/// Path of a plan without its suffix.
 std::string plan_stem(const std::string& plan) {
     return plan.substr(0, plan.size() - plan_suffix.size());
 }
@@ -105,7 +105,7 @@
 
 RolloutTestbed::~RolloutTestbed() {
     watch_timer_.cancel();
-    // The supervisors stop their processes themselves, unless they are killed.
+    // SIGTERM, because supervisors that are killed do not stop their processes.
     for (const auto& supervisor : supervisors_)
         supervisor->send_signal(SIGTERM);
     const Timestamp deadline = loop_.unix_now() + duration(stop_timeout_s);
@@ -155,7 +155,7 @@
     std::vector<json> all;
     for (std::size_t ready = 0; ready < spec_.processes;) {
         if (loop_.unix_now() > deadline)
-            throw std::runtime_error("the processes are not ready within 30 s");
+            throw std::runtime_error("not all processes became ready within 30 s");
         run(0.05);
         all = processes();
         ready = static_cast<std::size_t>(std::count_if(
@@ -258,29 +258,32 @@
     for (const json& process : processes()) {
         const rollout::ProcessSpec spec{process["program"], process["overlay"]};
         const std::string id = process["id"];
-        if (!state) {  // the controller may have stopped before it changed anything
+        if (!state) {  // the controller may have ended before it changed any process
             if (spec != rollout::ProcessSpec{spec_.program, ""} && has_ended)
-                return id + ": changed, and no state says so";
+                return id + ": program or overlay changed, but no rollout state is saved";
             continue;
         }
         const auto target = std::find_if(state->targets.begin(), state->targets.end(),
                                          [&id](const auto& candidate) { return candidate.id == id; });
         if (target == state->targets.end())
-            return id + ": not in the state";
+            return id + ": missing in the saved rollout state";
         if (spec != target->original_spec && spec != target->updated_spec)
-            return id + ": has what no state names";
+            return id +
+                   ": program and overlay are neither the original nor the updated ones of the saved rollout "
+                   "state";
         if (spec == target->updated_spec && target->original_spec != target->updated_spec &&
             !target->is_updated)
-            return id + ": changed, and the state does not say so";
+            return id + ": updated, but not marked as updated in the saved rollout state";
         const bool is_rolled_back = state->phase == rollout::Phase::rolled_back;
         const rollout::ProcessSpec& final_spec =
             is_rolled_back ? target->original_spec : target->updated_spec;
         if (has_ended && (process["change"] == "under way" || spec != final_spec))
-            return id + ": not as the roll's end says";
+            return id +
+                   ": rollout ended, but program and overlay are not the final ones or a change is under way";
     }
     if (has_ended && state && state->phase != rollout::Phase::completed &&
         state->phase != rollout::Phase::rolled_back)
-        return "the roll is not over";
+        return "rollout not ended";
     return "";
 }
 
--- a/tools/experiment/trial.cpp
+++ b/tools/experiment/trial.cpp
@@ -27,15 +27,14 @@
     return Duration(std::llround(seconds * 1e6));
 }
 
-/// The operator's settings of each process, without its addresses. Capacity is ample, so that the program rejects nothing
-/// for want of it.
+/// The settings common to all operator's files. Capacity is ample, so that no request is rejected for lack of it.
 std::string operator_settings(const Experiment& experiment) {
     std::string text =
         "cores: 1024\nmemory_kb: 1000000\nrequest_kb: 1\nstop_ms: 3000\nconnections: 1000\nadmission: "
         "{descriptors: 4096}\n"
         "routing: " +
         experiment.routing + "\nclasses:\n";
-    // No deadline is near: what is measured is the spread of load, not what is abandoned.
+    // Deadlines are long, because the experiment measures the distribution of load and not cancelled requests.
     for (const load_generator::RequestClass& request_class : experiment.classes)
         text += "  - {name: " + request_class.name +
                 ", effect: " + (request_class.at_most_once ? "unsafe" : "safe") +
@@ -76,7 +75,7 @@
               max_connections) {}
 
     ordered_json run() {
-        // On a signal it ends, and with it the processes that it has started.
+        // On a signal, wait() throws and the destructors end the started processes.
         for (const int signal : {SIGINT, SIGTERM})
             loop_.on_signal(signal, [this] { is_interrupted_ = true; });
         start_cluster();
@@ -98,7 +97,7 @@
         while (cluster_.size() < experiment_.processes)
             add_process();
         if (!cluster_.wait_for_agreement(duration(ready_timeout_s)))
-            throw std::runtime_error("the processes do not see each other within a minute");
+            throw std::runtime_error("the processes did not agree on the membership within 60 s");
         if (experiment_.gossip_loss > 0.0)
             cluster_.relay().set_faults({experiment_.gossip_loss, 0.0, Duration(0), Duration(0)});
         update_targets();
@@ -131,7 +130,7 @@
         while (loop_.unix_now() < end) {
             cluster_.run(std::min(end, loop_.unix_now() + wait_step));
             if (is_interrupted_)
-                throw std::runtime_error("told to end");
+                throw std::runtime_error("interrupted by SIGINT or SIGTERM");
             if (!environment_.on_progress || (loop_.unix_now() < next_progress_at_ && loop_.unix_now() < end))
                 continue;
             next_progress_at_ = loop_.unix_now() + duration(progress_interval_s);
@@ -182,7 +181,7 @@
     ordered_json report(std::uint64_t probes) {
         const auto service = servers_.request({{"do", "report"}});
         if (!service.is_object())
-            throw std::runtime_error("no report from the stand-in servers");
+            throw std::runtime_error("the fake upstream service did not answer the command \"report\"");
         ordered_json json = report_header(experiment_, "real processes");
         const OutcomeStats stats = driver_.total_stats();
         const ordered_json imbalance = service["evenness"];
--- a/tools/experiment/trial.hpp
+++ b/tools/experiment/trial.hpp
@@ -1,5 +1,5 @@
-/// Runs of an experiment: with real processes (the program many times over, the fake upstreams behind them, the load
-/// driver in front, and the experiment's events at their times), or in the emulator. Both reports have the same figures.
+/// Runs an experiment with real processes (processes of cressledge, the fake upstreams, the load driver, and the events of
+/// the experiment at their times) or in the emulator. Both reports have the same figures.
 #pragma once
 
 #include <functional>
@@ -10,24 +10,24 @@
 
 namespace cressledge::experiment {
 
-/// The programs and files of a run with real processes.
+/// Programs and files of a run with real processes.
 struct TrialEnvironment {
-    /// The path of cressledge.
+    /// Path of cressledge.
     std::string program;
-    /// The path of cressledge_lab, which serves the fake upstreams as a child process.
+    /// Path of cressledge_lab, which is also started as a child process to run the fake upstreams.
     std::string lab_program;
     std::string experiment_file;
     /// An existing folder for files and logs.
     std::string directory;
-    /// Called with a line of progress every few seconds; empty: none.
+    /// Called with a progress message every few seconds, unless empty.
     std::function<void(const std::string&)> on_progress;
 };
 
-/// Runs an experiment with real processes; its report. Throws std::runtime_error where something does not start or is
-/// not ready within a minute, and on SIGINT and SIGTERM.
+/// Runs an experiment with real processes and returns its report. Throws std::runtime_error if a process does not start or
+/// is not ready within a minute, and on SIGINT and SIGTERM.
 nlohmann::ordered_json run_trial(const Experiment& experiment, const TrialEnvironment& environment);
 
-/// Runs an experiment in the emulator; its report.
+/// Runs an experiment in the emulator and returns its report.
 nlohmann::ordered_json emulate(const Experiment& experiment);
 
 }  // namespace cressledge::experiment
