--- a/tools/common/deferred_eraser.hpp
+++ b/tools/common/deferred_eraser.hpp
@@ -1,5 +1,5 @@
-/// Erases values of a slot map in the next iteration of the event loop. Used for connections that are closed from one of
-/// their own callbacks, whose code is still on the stack.
+/// Erases values of a slot map in the next iteration of the event loop. Used for connections that are closed from one
+/// of their own callbacks, whose code is still on the stack.
 #pragma once
 
 #include <utility>
--- a/tools/common/http_message_parser.hpp
+++ b/tools/common/http_message_parser.hpp
@@ -1,5 +1,5 @@
-/// A parser of HTTP/1.1 messages on one connection, for the fake upstreams (requests) and the load generator (responses).
-/// It stops after each message; pipelining is not supported.
+/// A parser of HTTP/1.1 messages on one connection, for the fake upstreams (requests) and the load generator
+/// (responses). It stops after each message; pipelining is not supported.
 #pragma once
 
 #include <http_parser.h>
@@ -15,13 +15,14 @@
 public:
     enum class Result { incomplete, complete, malformed };
 
-    /// `type`: requests (HTTP_REQUEST), whose URL and body are stored, or responses (HTTP_RESPONSE), of which neither is.
+    /// `type`: requests (HTTP_REQUEST), whose URL and body are stored, or responses (HTTP_RESPONSE), of which neither
+    /// is.
     explicit HttpMessageParser(http_parser_type type);
     HttpMessageParser(const HttpMessageParser&) = delete;
     HttpMessageParser& operator=(const HttpMessageParser&) = delete;
 
-    /// Parses `bytes` up to the end of a message. After `complete` the next call starts a new message. After `malformed`,
-    /// which includes a URL over 512 bytes or a body over 64 KiB, the connection must be closed.
+    /// Parses `bytes` up to the end of a message. After `complete` the next call starts a new message. After
+    /// `malformed`, which includes a URL over 512 bytes or a body over 64 KiB, the connection must be closed.
     Result parse(std::string_view bytes);
     /// Whether the last call of parse() did not consume all bytes.
     bool has_trailing_bytes() const { return has_trailing_bytes_; }
--- a/tools/emulator/balancing_process.cpp
+++ b/tools/emulator/balancing_process.cpp
@@ -121,8 +121,8 @@
 }
 
 HostId BalancingProcess::next_round_robin(const std::vector<upstream_health::HostSpec>& servers) {
-    // Smooth weighted round robin: each server's credit grows by its weight; the server with the highest credit is chosen
-    // and charged the sum of all weights.
+    // Smooth weighted round robin: each server's credit grows by its weight; the server with the highest credit is
+    // chosen and charged the sum of all weights.
     std::uint32_t best = 0;
     double total_weight = 0.0;
     for (std::uint32_t i = 0; i < round_robin_credit_.size(); ++i) {
--- a/tools/emulator/balancing_process.hpp
+++ b/tools/emulator/balancing_process.hpp
@@ -1,5 +1,5 @@
-/// An emulated process that balances calls over servers, with the production load_balancing::Balancer and HostSet or with
-/// a baseline policy.
+/// An emulated process that balances calls over servers, with the production load_balancing::Balancer and HostSet or
+/// with a baseline policy.
 #pragma once
 
 #include <cstdint>
--- a/tools/emulator/fleet.hpp
+++ b/tools/emulator/fleet.hpp
@@ -64,8 +64,8 @@
     std::size_t size() const { return members_.size(); }
     /// Whether every running member's table contains exactly the running members, all alive.
     bool has_converged() const;
-    /// Number of times a running member's table declared another running member dead although no link between the two was
-    /// cut.
+    /// Number of times a running member's table declared another running member dead although no link between the two
+    /// was cut.
     std::uint64_t false_deaths() const { return false_deaths_; }
     /// Upper bound on the bytes sent, by membership::max_encoded_size, full exchanges included.
     std::uint64_t bytes() const { return bytes_; }
--- a/tools/emulator/load_spread.hpp
+++ b/tools/emulator/load_spread.hpp
@@ -16,8 +16,8 @@
 
 using base::Duration;
 
-/// How a process chooses the server of a call. The first four and the last are baselines; the others are the policies of
-/// load_balancing::Balancer.
+/// How a process chooses the server of a call. The first four and the last are baselines; the others are the policies
+/// of load_balancing::Balancer.
 enum class BalancingChoice {
     /// Random, weighted by capacity.
     random,
@@ -25,7 +25,8 @@
     round_robin,
     /// The server with the lowest utilization according to reports of all servers that are refreshed every second.
     stale_reports,
-    /// Of two servers drawn by capacity, the one with fewer calls of this process in flight in relation to its capacity.
+    /// Of two servers drawn by capacity, the one with fewer calls of this process in flight in relation to its
+    /// capacity.
     local_two_choices,
     /// load_balancing::Balancer with two random choices by peak EWMA.
     two_choices,
--- a/tools/emulator/rollout_emulation.hpp
+++ b/tools/emulator/rollout_emulation.hpp
@@ -1,7 +1,7 @@
-/// Emulated rollouts: rollout::RolloutStateMachine with hundreds of processes whose metrics are random and as noisy as real
-/// ones. Machines differ in speed, all processes slow down together for a while, processes crash for reasons unrelated to
-/// the new version, observations are lost, and a part of the fleet can be cut off from the controller. The result depends
-/// only on the scenario and its seed.
+/// Emulated rollouts: rollout::RolloutStateMachine with hundreds of processes whose metrics are random and as noisy as
+/// real ones. Machines differ in speed, all processes slow down together for a while, processes crash for reasons
+/// unrelated to the new version, observations are lost, and a part of the fleet can be cut off from the controller. The
+/// result depends only on the scenario and its seed.
 #pragma once
 
 #include <string>
--- a/tools/experiment/experiment.hpp
+++ b/tools/experiment/experiment.hpp
@@ -1,5 +1,5 @@
-/// A load balancing experiment described by a YAML file. It can be emulated or run with real processes, and is reproducible
-/// by its seed. docs/operators/lab.md describes the fields.
+/// A load balancing experiment described by a YAML file. It can be emulated or run with real processes, and is
+/// reproducible by its seed. docs/operators/lab.md describes the fields.
 #pragma once
 
 #include <string>
--- a/tools/experiment/report.hpp
+++ b/tools/experiment/report.hpp
@@ -1,5 +1,5 @@
-/// The sections of a report that are common to emulated experiments and experiments with real processes. The keys are read
-/// by bench/plot_report.py and by `cressledge_lab compare`.
+/// The sections of a report that are common to emulated experiments and experiments with real processes. The keys are
+/// read by bench/plot_report.py and by `cressledge_lab compare`.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/tools/experiment/rollout_testbed.hpp
+++ b/tools/experiment/rollout_testbed.hpp
@@ -1,5 +1,6 @@
-/// Rollout testbed: a rollout on real processes. Supervisors run cressledge with fake upstreams, a load driver sends steady
-/// load, and the rollout controller runs as a separate process that tests can kill. Counts the outcome of every request.
+/// Rollout testbed: a rollout on real processes. Supervisors run cressledge with fake upstreams, a load driver sends
+/// steady load, and the rollout controller runs as a separate process that tests can kill. Counts the outcome of every
+/// request.
 #pragma once
 
 #include <memory>
--- a/tools/experiment/trial.hpp
+++ b/tools/experiment/trial.hpp
@@ -1,5 +1,5 @@
-/// Runs an experiment with real processes (processes of cressledge, the fake upstreams, the load driver, and the events of
-/// the experiment at their times) or in the emulator. Both reports have the same figures.
+/// Runs an experiment with real processes (processes of cressledge, the fake upstreams, the load driver, and the events
+/// of the experiment at their times) or in the emulator. Both reports have the same figures.
 #pragma once
 
 #include <functional>
@@ -23,8 +23,8 @@
     std::function<void(const std::string&)> on_progress;
 };
 
-/// Runs an experiment with real processes and returns its report. Throws std::runtime_error if a process does not start or
-/// is not ready within a minute, and on SIGINT and SIGTERM.
+/// Runs an experiment with real processes and returns its report. Throws std::runtime_error if a process does not start
+/// or is not ready within a minute, and on SIGINT and SIGTERM.
 nlohmann::ordered_json run_trial(const Experiment& experiment, const TrialEnvironment& environment);
 
 /// Runs an experiment in the emulator and returns its report.
--- a/tools/fake_upstream/load_imbalance.hpp
+++ b/tools/fake_upstream/load_imbalance.hpp
@@ -1,5 +1,5 @@
-/// Measures how unevenly load is distributed over a set of servers, sampled at a fixed interval. Does no I/O, so that the
-/// figures are computed alike for emulated servers and for servers on sockets.
+/// Measures how unevenly load is distributed over a set of servers, sampled at a fixed interval. Does no I/O, so that
+/// the figures are computed alike for emulated servers and for servers on sockets.
 #pragma once
 
 #include <cstddef>
--- a/tools/fake_upstream/server_model.hpp
+++ b/tools/fake_upstream/server_model.hpp
@@ -1,9 +1,9 @@
 /// A model of an upstream server, a queue with a fixed number of slots, used by the emulator and by the fake servers on
 /// sockets. Does no I/O; time and the random generator are arguments.
 ///
-/// A call that finds a free slot occupies it for a random service time; others wait in order of arrival (M/G/k). A server
-/// can be slowed down, made to fail every call, and restarted cold: its speed then grows linearly from `cold_start_speed`
-/// to 1 over `warm_up_time`.
+/// A call that finds a free slot occupies it for a random service time; others wait in order of arrival (M/G/k). A
+/// server can be slowed down, made to fail every call, and restarted cold: its speed then grows linearly from
+/// `cold_start_speed` to 1 over `warm_up_time`.
 #pragma once
 
 #include <deque>
@@ -54,8 +54,8 @@
     };
     /// Adds a call. Returns the start of its service, or nothing if it must wait for a slot.
     std::optional<ServiceStart> arrive(Timestamp now, CallId call, Random& random);
-    /// Removes a call that has finished or was cancelled by its caller. Returns the start of service of the waiting call
-    /// that takes its slot, if there is one.
+    /// Removes a call that has finished or was cancelled by its caller. Returns the start of service of the waiting
+    /// call that takes its slot, if there is one.
     std::optional<ServiceStart> depart(Timestamp now, CallId call, Random& random);
 
     /// Divides the speed by `factor`; 1 restores it.
--- a/tools/fault_injection/faulty_link.hpp
+++ b/tools/fault_injection/faulty_link.hpp
@@ -1,5 +1,5 @@
-/// A proxy between callers and one listening address on loopback that injects faults. A cut link forwards nothing and its
-/// connections hang; a lossy link closes a random fraction of new connections before it forwards anything.
+/// A proxy between callers and one listening address on loopback that injects faults. A cut link forwards nothing and
+/// its connections hang; a lossy link closes a random fraction of new connections before it forwards anything.
 #pragma once
 
 #include <memory>
--- a/tools/fault_injection/process_cluster.cpp
+++ b/tools/fault_injection/process_cluster.cpp
@@ -21,8 +21,8 @@
 /// Purpose of a loopback address of a process.
 enum class AddressUse : std::uint32_t { gossip, admin, http, relay };
 
-/// A loopback address 127.x.y.z for each use of each process. Testbeds that run concurrently have different addresses, so
-/// that no other process can take a port between free_endpoint() and its use.
+/// A loopback address 127.x.y.z for each use of each process. Testbeds that run concurrently have different addresses,
+/// so that no other process can take a port between free_endpoint() and its use.
 std::uint32_t loopback_ip(std::size_t index, AddressUse use) {
     const std::uint32_t second =
         1 + 4 * (static_cast<std::uint32_t>(::getpid()) % 60) + static_cast<std::uint32_t>(use);
--- a/tools/fault_injection/process_cluster.hpp
+++ b/tools/fault_injection/process_cluster.hpp
@@ -1,6 +1,6 @@
 /// Process cluster for fault injection: many processes of cressledge on loopback, each with its own operator's file,
-/// optionally with a relay between them. Starts, signals and ends them by index, and reads their membership views through
-/// their admin addresses.
+/// optionally with a relay between them. Starts, signals and ends them by index, and reads their membership views
+/// through their admin addresses.
 #pragma once
 
 #include <sys/types.h>
@@ -54,15 +54,15 @@
     ProcessCluster(const ProcessCluster&) = delete;
     ProcessCluster& operator=(const ProcessCluster&) = delete;
 
-    /// Adds and starts a process that joins through `seeds`. Returns its index. Throws std::runtime_error if it cannot be
-    /// started.
+    /// Adds and starts a process that joins through `seeds`. Returns its index. Throws std::runtime_error if it cannot
+    /// be started.
     std::size_t add(const std::vector<std::size_t>& seeds);
     /// Restarts a process that has ended, with the same id and addresses. Throws as add() does.
     void start(std::size_t index);
     /// Kills a process and starts it again when it has ended.
     void restart(std::size_t index);
-    /// Sends a signal; does nothing if the process is not running. An end by SIGKILL or SIGTERM from here is not counted
-    /// as a crash.
+    /// Sends a signal; does nothing if the process is not running. An end by SIGKILL or SIGTERM from here is not
+    /// counted as a crash.
     void send_signal(std::size_t index, int signal);
 
     /// Number of processes that have been added.
@@ -88,8 +88,8 @@
     /// The relay; only if ClusterSpec::has_relay.
     Relay& relay() { return *relay_; }
 
-    /// Runs the event loop until every process of `observers` reports exactly `expected` alive and none suspect, or until
-    /// `deadline`. Returns when each was first found to report this, or nothing for those that were not.
+    /// Runs the event loop until every process of `observers` reports exactly `expected` alive and none suspect, or
+    /// until `deadline`. Returns when each was first found to report this, or nothing for those that were not.
     std::vector<std::optional<Timestamp>> wait_for_view(const std::vector<std::size_t>& observers,
                                                         const std::vector<std::size_t>& expected,
                                                         Timestamp deadline);
--- a/tools/fault_injection/relay.hpp
+++ b/tools/fault_injection/relay.hpp
@@ -1,5 +1,5 @@
-/// A relay between the processes of a fleet on loopback that injects network faults per link, reproducibly from a seed: it
-/// drops, delays, duplicates and reorders datagrams, and cuts links.
+/// A relay between the processes of a fleet on loopback that injects network faults per link, reproducibly from a seed:
+/// it drops, delays, duplicates and reorders datagrams, and cuts links.
 ///
 /// Every process advertises an endpoint of the relay and binds another one. Datagrams to the advertised endpoint are
 /// forwarded to the bound one from the sender's endpoint at the relay, so that processes see advertised endpoints only.
--- a/tools/install_packages.sh
+++ b/tools/install_packages.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Installs missing Debian packages. With the argument "build" only those needed to build the program, otherwise also those
-# needed by the tests and linters.
+# Installs missing Debian packages. With the argument "build" only those needed to build the program, otherwise also
+# those needed by the tests and linters.
 set -euo pipefail
 missing=()
-need_command() { command -v "$1" >/dev/null || missing+=("$2"); }  # COMMAND PACKAGE: adds the package if the command is missing
-need_file() { [ -e "$1" ] || missing+=("$2"); }                    # FILE PACKAGE: adds the package if the file is missing
+need_command() { command -v "$1" >/dev/null || missing+=("$2"); }  # COMMAND PACKAGE
+need_file() { [ -e "$1" ] || missing+=("$2"); }                    # FILE PACKAGE
 need_command g++ g++
 need_command make make
 need_command cmake cmake
--- a/tools/load_generator/arrival_process.hpp
+++ b/tools/load_generator/arrival_process.hpp
@@ -1,5 +1,5 @@
-/// Arrival times and classes of requests in an open loop: arrivals do not depend on the outcomes of earlier requests. Does
-/// no I/O.
+/// Arrival times and classes of requests in an open loop: arrivals do not depend on the outcomes of earlier requests.
+/// Does no I/O.
 #pragma once
 
 #include <cmath>
@@ -23,8 +23,8 @@
     bool at_most_once = false;
 };
 
-/// A Poisson process of batches, each of `batch_size` simultaneous requests. The request rate does not depend on the batch
-/// size; the variance of the request count is `batch_size` times that of single arrivals.
+/// A Poisson process of batches, each of `batch_size` simultaneous requests. The request rate does not depend on the
+/// batch size; the variance of the request count is `batch_size` times that of single arrivals.
 class ArrivalProcess {
 public:
     /// `rate_s`: requests per second, above 0. `classes` must not be empty.
--- a/tools/load_generator/driver.hpp
+++ b/tools/load_generator/driver.hpp
@@ -1,6 +1,6 @@
-/// Open-loop load driver: sends HTTP/1.1 requests to the frontends of many processes and counts their outcomes. The latency
-/// of a request is measured from the time at which it was due, not from the time at which it was sent. The number of
-/// connections is bounded; a request for which none is available is counted as unsent.
+/// Open-loop load driver: sends HTTP/1.1 requests to the frontends of many processes and counts their outcomes. The
+/// latency of a request is measured from the time at which it was due, not from the time at which it was sent. The
+/// number of connections is bounded; a request for which none is available is counted as unsent.
 #pragma once
 
 #include <functional>
--- a/tools/load_generator/outcome_stats.hpp
+++ b/tools/load_generator/outcome_stats.hpp
@@ -1,5 +1,5 @@
-/// Outcomes of requests: counts and latencies. Latencies are stored in histograms (Boost.Histogram) whose bins grow by 2%
-/// each, from 0.1 ms to 100 s, so that the relative error of a quantile is at most 2%.
+/// Outcomes of requests: counts and latencies. Latencies are stored in histograms (Boost.Histogram) whose bins grow by
+/// 2% each, from 0.1 ms to 100 s, so that the relative error of a quantile is at most 2%.
 #pragma once
 
 #include <array>
