--- a/src/config/admission.cpp
+++ b/src/config/admission.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr double max_count = 1e6;
-/// Without a number of their own there is one rejection slot for so many connections, and at least the smallest number.
+/// Default number of rejection slots: one for each this many connections, but at least `min_rejection_slots`.
 constexpr std::uint32_t connections_per_rejection_slot = 16;
 constexpr std::uint32_t min_rejection_slots = 4;
-/// One customer's IPv6 network: within it an address costs nothing.
+/// The IPv6 network that one customer typically gets. A client can use any address in it at no cost.
 constexpr unsigned customer_v6_prefix_length = 64;
 
 connection_admission::SourceLimits read_source_limits(const YamlReader& reader, const YAML::Node& section) {
@@ -31,11 +31,11 @@
                    connection_admission::NetworkGroupTable& networks) {
     const YAML::Node list = section["networks"];
     if (!list || !list.IsSequence() || list.size() == 0)
-        reader.fail(list ? list : section, "networks", "no list");
+        reader.fail(list ? list : section, "networks", "must be a list with at least one entry");
     for (const YAML::Node& entry : list) {
         connection_admission::NetworkError error;
         if (!entry.IsScalar())
-            reader.fail(entry, "networks", "not a text");
+            reader.fail(entry, "networks", "must be an address or CIDR block");
         const auto network = connection_admission::parse_network(entry.Scalar(), error);
         if (!network || !networks.add(*network, group_index, error))
             reader.fail(entry, "networks", to_string(error));
@@ -59,23 +59,23 @@
     return group;
 }
 
-/// What the groups read so far reserve together.
+/// Sums of the reservations of the groups read so far.
 struct ReservedTotals {
     std::size_t connections = 0;
     std::size_t requests = 0;
 };
 
-// Something has to be left for sources that are not listed.
+// Sources outside all groups need at least one connection and one request.
 void check_reserves(const YamlReader& reader, const YAML::Node& section,
                     const connection_admission::Settings& settings, const ReservedTotals& totals) {
     if (totals.connections >= settings.max_connections)
-        reader.fail(
-            section, "reserve",
-            "the reserves take all of the " + std::to_string(settings.max_connections) + " connections");
+        reader.fail(section, "reserve",
+                    "the groups reserve all " + std::to_string(settings.max_connections) +
+                        " connections: sources outside them need at least one");
     if (settings.max_in_flight_requests != 0 && totals.requests >= settings.max_in_flight_requests)
-        reader.fail(
-            section, "reserve",
-            "the reserves take all of the " + std::to_string(settings.max_in_flight_requests) + " requests");
+        reader.fail(section, "reserve",
+                    "the groups reserve all " + std::to_string(settings.max_in_flight_requests) +
+                        " requests: sources outside them need at least one");
 }
 
 void read_groups(const YamlReader& reader, const YAML::Node& section,
@@ -84,14 +84,14 @@
     if (!groups)
         return;
     if (!groups.IsSequence())
-        reader.fail(groups, "groups", "no list");
+        reader.fail(groups, "groups", "must be a list");
     std::set<std::string> names;
     ReservedTotals totals;
     for (const YAML::Node& entry : groups) {
         settings.groups.push_back(read_group(reader, entry, settings.groups.size() + 1, settings.networks));
         const connection_admission::ClientGroup& group = settings.groups.back();
         if (!names.insert(group.name).second)
-            reader.fail(entry, "name", "a duplicate: " + group.name);
+            reader.fail(entry, "name", "duplicate group name: " + group.name);
         totals.connections += group.reserved_connections;
         totals.requests += group.reserved_requests;
         check_reserves(reader, entry, settings, totals);
--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -1,6 +1,6 @@
-/// The errors of this module: what is wrong with a configuration, in which file, on which line and with which value.
+/// Errors in a configuration, with file, line, field and value.
 ///
-/// Callers catch the types; the text is for operators and is never compared.
+/// Callers distinguish errors by type. The message is for operators only.
 #pragma once
 
 #include <cstddef>
@@ -11,31 +11,31 @@
 
 namespace cressledge::config {
 
-/// Where a fault stands. Parts that are not known are empty or 0.
+/// Location of an error. Members that are not known are empty or 0.
 struct ConfigLocation {
     std::optional<std::string> file;
-    /// From 1; of something that is missing, where it would belong.
+    /// Counted from 1. For a missing field, the line where it would belong.
     std::size_t line = 0;
     std::string field;
 };
 
-/// A configuration that cannot be used. The text is `FILE:LINE: FIELD: REASON`, without the parts that are not known.
+/// An invalid configuration. The message is `FILE:LINE: FIELD: REASON`, without the items that are not known.
 class ConfigError : public std::runtime_error {
 public:
-    /// A reason without a place, such as an error of the command line.
+    /// An error without a location, for example in the command line.
     explicit ConfigError(const std::string& reason) : ConfigError(ConfigLocation{}, reason) {}
-    /// `value`: the text that was found there; empty where something is missing.
+    /// `value` is the invalid text in the file; empty if a field is missing.
     ConfigError(ConfigLocation location, const std::string& reason, std::string value = {})
         : std::runtime_error(format(location, reason)),
           location_(std::move(location)),
           reason_(reason),
           value_(std::move(value)) {}
 
-    /// Where the error is: file, line and field, as far as known.
+    /// File, line and field of the error, as far as known.
     const ConfigLocation& location() const { return location_; }
-    /// What is wrong, without the place.
+    /// What is wrong, without the location.
     const std::string& reason() const { return reason_; }
-    /// The text that was found there; empty where something is missing.
+    /// The invalid text in the file; empty if a field is missing.
     const std::string& value() const { return value_; }
 
 private:
--- a/src/config/file.cpp
+++ b/src/config/file.cpp
@@ -11,7 +11,7 @@
 std::string read_file(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
     std::ostringstream out;
-    // Inserting an empty buffer would set the failure bit.
+    // Inserting an empty stream buffer would set the failure bit of `out`.
     if (in && in.peek() != std::ifstream::traits_type::eof())
         out << in.rdbuf();
     if (!in.is_open() || in.bad() || !out)
--- a/src/config/file.hpp
+++ b/src/config/file.hpp
@@ -1,17 +1,17 @@
-/// Files of configuration: their text, and paths relative to them. Owns nothing.
+/// Reads configuration files and resolves paths relative to them.
 #pragma once
 
 #include <string>
 
 namespace cressledge::config {
 
-/// The whole file. Throws ConfigError when it cannot be read.
+/// Returns the contents of the file. Throws ConfigError if it cannot be read.
 std::string read_file(const std::string& path);
 
-/// The last dot of a path and what follows it; empty where there is no dot.
+/// Returns the part of the path from its last dot on; empty if there is no dot.
 std::string file_extension(const std::string& path);
 
-/// `name` as seen from the folder of the file `path`: unchanged where it is absolute or empty.
+/// Resolves `name` relative to the directory of the file `path`. An absolute or empty `name` is returned unchanged.
 std::string resolve_relative_path(const std::string& path, const std::string& name);
 
 }  // namespace cressledge::config
--- a/src/config/fleet.cpp
+++ b/src/config/fleet.cpp
@@ -21,7 +21,7 @@
     std::string identifier = reader.text(section, name);
     if (!membership::is_valid_id(identifier))
         reader.fail(section[name], name,
-                    "not 1 to 64 letters, digits, dots, dashes and underscores: " + identifier);
+                    "must be 1 to 64 letters, digits, dots, dashes or underscores: " + identifier);
     return identifier;
 }
 
@@ -33,7 +33,8 @@
     const membership::Endpoint& reachable = is_advertised ? settings.advertise : settings.listen;
     const char* field = is_advertised ? "advertise" : "gossip";
     if (reachable.ip == 0)
-        reader.fail(section[field], field, "no address that others can reach: name one in advertise");
+        reader.fail(section[field], field,
+                    "other members cannot reach 0.0.0.0: set advertise to a reachable address");
 }
 
 void read_seeds(const YamlReader& reader, const YAML::Node& section, gossip::Settings& settings) {
@@ -41,7 +42,7 @@
     if (!seeds)
         return;
     if (!seeds.IsSequence())
-        reader.fail(seeds, "seeds", "no list");
+        reader.fail(seeds, "seeds", "must be a list");
     for (const auto& seed : seeds) {
         membership::Endpoint endpoint;
         if (seed.IsScalar())
--- a/src/config/fleet.hpp
+++ b/src/config/fleet.hpp
@@ -1,4 +1,4 @@
-/// The section `fleet` of the operator's file: gossip and membership.
+/// Reads the section `fleet` of the operator's file: gossip and membership.
 #pragma once
 
 #include <optional>
@@ -8,7 +8,7 @@
 
 namespace cressledge::config {
 
-/// None: the file has no such section, and the process keeps no membership table. Throws ConfigError.
+/// Reads the section. Without it, returns nothing and the process keeps no membership table. Throws ConfigError.
 std::optional<gossip::Settings> read_fleet(const YamlReader& reader, const YAML::Node& document);
 
 }  // namespace cressledge::config
--- a/src/config/inventory.cpp
+++ b/src/config/inventory.cpp
@@ -9,15 +9,15 @@
 
 namespace cressledge::config {
 
-std::vector<std::string> InventoryError::texts_of(const std::vector<ConfigError>& errors) {
-    std::vector<std::string> texts;
-    texts.reserve(errors.size());
+std::vector<std::string> InventoryError::messages_of(const std::vector<ConfigError>& errors) {
+    std::vector<std::string> messages;
+    messages.reserve(errors.size());
     for (const ConfigError& error : errors)
-        texts.emplace_back(error.what());
-    return texts;
+        messages.emplace_back(error.what());
+    return messages;
 }
 
-// What is wrong with the YAML is said when the file is read.
+// Invalid YAML is not an error here: it is reported when the file is loaded.
 bool is_inventory_file(const std::string& path) {
     try {
         const YAML::Node root = YAML::Load(read_file(path));
@@ -33,7 +33,8 @@
     if (extension == ".csv")
         return parse_csv_inventory(path, text);
     if (extension != ".yaml" && extension != ".yml")
-        throw ConfigError({path, 0, {}}, "neither .csv nor .yaml nor .yml");
+        throw ConfigError({path, 0, {}},
+                          "unsupported extension \"" + extension + "\": must be .csv, .yaml or .yml");
     try {
         return parse_yaml_inventory(path, YAML::Load(text));
     } catch (const YAML::Exception& error) {
--- a/src/config/inventory.hpp
+++ b/src/config/inventory.hpp
@@ -1,6 +1,7 @@
-/// The operator's servers: from CSV with a header row, or from YAML as configuration tools keep it.
+/// Loads the inventory of upstream servers from CSV with a header row, or from YAML in the form of configuration
+/// management tools.
 ///
-/// Invariant: an inventory is taken whole or not at all; names and addresses in it are unique.
+/// Invariant: an inventory with any bad row is rejected; names and addresses of its servers are unique.
 #pragma once
 
 #include <string>
@@ -13,26 +14,28 @@
 
 namespace cressledge::config {
 
-/// An inventory with bad rows. The text is that of the first one.
+/// An inventory with bad rows. The message is that of the first one.
 class InventoryError final : public ConfigError {
 public:
-    /// `all`: the error of each bad row, in the order of the file; not empty.
-    explicit InventoryError(std::vector<ConfigError> all)
-        : ConfigError(all.front()), errors(std::move(all)), row_errors(texts_of(errors)) {}
+    /// `errors_by_row` has one error for each bad row, in the order of the file; it is not empty.
+    explicit InventoryError(std::vector<ConfigError> errors_by_row)
+        : ConfigError(errors_by_row.front()),
+          errors(std::move(errors_by_row)),
+          row_errors(messages_of(errors)) {}
 
-    /// What is wrong with each bad row, up to a bound.
+    /// The errors of the bad rows, at most the first 100.
     const std::vector<ConfigError> errors;
-    /// Their texts, with file, line and field.
+    /// The messages of `errors`, with file, line and field.
     const std::vector<std::string> row_errors;
 
 private:
-    static std::vector<std::string> texts_of(const std::vector<ConfigError>& errors);
+    static std::vector<std::string> messages_of(const std::vector<ConfigError>& errors);
 };
 
-/// Throws InventoryError, and ConfigError where the file as a whole cannot be read.
+/// Loads the inventory. Throws InventoryError for bad rows, and ConfigError if the file cannot be read or parsed.
 std::vector<Upstream> load_inventory(const std::string& path);
 
-/// Whether the file is YAML with `all` at its root. Throws ConfigError when it cannot be read.
+/// Returns whether the file is YAML with the key `all` at its root. Throws ConfigError if it cannot be read.
 bool is_inventory_file(const std::string& path);
 
 }  // namespace cressledge::config
--- a/src/config/inventory_builder.cpp
+++ b/src/config/inventory_builder.cpp
@@ -39,9 +39,9 @@
     read_optional_fields(fields, line, upstream);
     check(upstream, line);
     if (!names_.insert(upstream.name).second)
-        fail(line, "name", "a duplicate: " + upstream.name, upstream.name);
+        fail(line, "name", "duplicate server name: " + upstream.name, upstream.name);
     if (!addresses_.insert(upstream.address).second)
-        fail(line, "address", "a duplicate: " + upstream.address, upstream.address);
+        fail(line, "address", "duplicate server address: " + upstream.address, upstream.address);
     upstreams_.push_back(std::move(upstream));
 }
 
@@ -77,7 +77,7 @@
         fail(line, "group", "missing");
     const std::string& address = upstream.address;
     if (address.empty())
-        fail(line, "address", "missing for " + upstream.name);
+        fail(line, "address", "missing for server " + upstream.name);
     if (!net::Address::parse(address) || address.substr(address.rfind(':')) == ":0")
         fail(line, "address", "not an address with a port: " + address, address);
     if (upstream.protocol != "http" && upstream.protocol != "scgi")
--- a/src/config/inventory_builder.hpp
+++ b/src/config/inventory_builder.hpp
@@ -1,6 +1,6 @@
-/// Collects the servers of one inventory and what is wrong with its rows, whatever the format of the file.
+/// Validates and collects the servers of one inventory and the errors in its rows, for every file format.
 ///
-/// Owns the servers until finish(). Invariant: no two servers have one name or one address.
+/// Owns the servers until finish(). Invariant: names and addresses of the servers are unique.
 #pragma once
 
 #include <cstddef>
@@ -15,19 +15,19 @@
 
 namespace cressledge::config {
 
-/// Fields of a server by their names in the file.
+/// Values of a server's fields by the field's name in the file.
 using InventoryFields = std::map<std::string, std::string>;
 
-/// The inventory of one file while it is read.
+/// Builds the inventory of one file.
 class InventoryBuilder {
 public:
-    /// `path`: the file that is read, for the text of errors.
+    /// `path` names the file in error messages.
     explicit InventoryBuilder(std::string path) : path_(std::move(path)) {}
 
-    /// Throws a ConfigError at a line of the file.
+    /// Throws a ConfigError for this line and field.
     [[noreturn]] void fail(std::size_t line, const std::string& field, const std::string& reason,
                            std::string value = {}) const;
-    /// Runs `add_row` and keeps the error it throws, so that all bad rows of a file are told at once.
+    /// Runs `add_row` and stores the ConfigError that it throws, so that all bad rows of a file are reported at once.
     template <class AddRow>
     void try_row(AddRow add_row) {
         try {
@@ -37,12 +37,13 @@
                 errors_.push_back(error);
         }
     }
-    /// Whether a row was bad.
+    /// Returns whether any row was bad.
     bool has_errors() const { return !errors_.empty(); }
 
-    /// Adds a server with the fields of its row. `group` is not among them in YAML. Throws ConfigError.
+    /// Adds a server with the fields of its row. Name, address, protocol and group are taken from `upstream`, the
+    /// optional fields from `fields`. Throws ConfigError.
     void add(Upstream upstream, const InventoryFields& fields, std::size_t line);
-    /// The servers. Throws InventoryError where a row was bad.
+    /// Returns the servers. Throws InventoryError if any row was bad.
     std::vector<Upstream> finish();
 
 private:
--- a/src/config/inventory_csv.hpp
+++ b/src/config/inventory_csv.hpp
@@ -1,4 +1,4 @@
-/// Inventories as CSV (RFC 4180): a header row, and one server a row; columns in any order.
+/// Parses inventories in CSV (RFC 4180): a header row, then one server per row. Columns may be in any order.
 #pragma once
 
 #include <string>
@@ -8,7 +8,8 @@
 
 namespace cressledge::config {
 
-/// `path` names the file in errors. Throws ConfigError, and InventoryError for bad rows.
+/// Parses an inventory. `path` names the file in errors. Throws InventoryError for bad rows, and ConfigError for invalid
+/// CSV.
 std::vector<Upstream> parse_csv_inventory(const std::string& path, const std::string& text);
 
 }  // namespace cressledge::config
--- a/src/config/inventory_diff.hpp
+++ b/src/config/inventory_diff.hpp
@@ -1,4 +1,4 @@
-/// What differs between two inventories. Owns nothing.
+/// Compares two inventories.
 #pragma once
 
 #include <cstddef>
@@ -9,20 +9,20 @@
 
 namespace cressledge::config {
 
-/// Names of the servers that differ, by how.
+/// Names of the servers that differ between two inventories.
 struct InventoryDiff {
     std::vector<std::string> added, removed, changed;
 
-    /// Whether the two inventories name the same servers with the same fields.
+    /// Returns whether both inventories have the same servers with the same fields.
     bool is_empty() const { return added.empty() && removed.empty() && changed.empty(); }
-    /// One line with at most `max_names` names of each kind.
+    /// Returns one line of text with at most `max_names` added, removed and changed names each.
     std::string summary(std::size_t max_names) const;
 };
 
-/// Compares by name; a server with any other field is changed.
+/// Matches servers by name. A server is changed if any of its fields differs.
 InventoryDiff diff_inventories(const std::vector<Upstream>& before, const std::vector<Upstream>& after);
 
-/// Whether more than a fraction of the servers has been removed.
+/// Returns whether more than `max_removed_fraction` of the servers has been removed.
 bool exceeds_removal_limit(const InventoryDiff& difference, std::size_t servers_before,
                            double max_removed_fraction);
 
--- a/src/config/inventory_yaml.cpp
+++ b/src/config/inventory_yaml.cpp
@@ -8,6 +8,7 @@
 namespace cressledge::config {
 namespace {
 
+/// Levels of groups below `all`.
 constexpr int max_depth = 16;
 
 bool is_present(const YAML::Node& node) {
@@ -28,10 +29,10 @@
 private:
     void require_map(const YAML::Node& node, const std::string& field) const {
         if (!node.IsMap())
-            builder_.fail(line_of(node), field, "not a mapping");
+            builder_.fail(line_of(node), field, "not a YAML mapping");
     }
 
-    // Values that are no scalars belong to other tools.
+    // Variables that are not scalars are for other tools and are ignored.
     void merge_vars(const YAML::Node& node, const std::string& field, InventoryFields& vars) const {
         if (!is_present(node))
             return;
@@ -45,16 +46,17 @@
         for (const auto& entry : group) {
             const std::string& key = entry.first.Scalar();
             if (key != "hosts" && key != "vars" && key != "children")
-                builder_.fail(line_of(entry.first), key, "none of hosts, vars and children", key);
+                builder_.fail(line_of(entry.first), key, "unknown key: must be hosts, vars or children", key);
         }
     }
 
-    // `vars` are those of the groups above; a group's own go before them, and a host's before both.
+    // `vars` are those of the enclosing groups. A group's own vars override them, and a host's vars override both.
     void parse_group(const std::string& name, const YAML::Node& node, InventoryFields vars, int depth) {
         if (node.IsNull())
             return;
         if (depth > max_depth)
-            builder_.fail(line_of(node), "children", "nested too deeply");
+            builder_.fail(line_of(node), "children",
+                          "nested more than " + std::to_string(max_depth) + " levels deep");
         require_map(node, name);
         require_known_keys(node);
         merge_vars(node["vars"], "vars", vars);
--- a/src/config/inventory_yaml.hpp
+++ b/src/config/inventory_yaml.hpp
@@ -1,4 +1,4 @@
-/// Inventories as YAML with groups, hosts and vars, in the form that configuration management tools keep.
+/// Parses inventories in YAML with groups, hosts and vars, in the form of configuration management tools.
 #pragma once
 
 #include <yaml-cpp/yaml.h>
@@ -10,7 +10,8 @@
 
 namespace cressledge::config {
 
-/// `path` names the file in errors. Throws ConfigError, and InventoryError for bad hosts.
+/// Parses an inventory. `path` names the file in errors. Throws InventoryError for bad hosts, and ConfigError for any
+/// other error.
 std::vector<Upstream> parse_yaml_inventory(const std::string& path, const YAML::Node& root);
 
 }  // namespace cressledge::config
--- a/src/config/node.cpp
+++ b/src/config/node.cpp
@@ -23,7 +23,8 @@
     return 1 + static_cast<std::size_t>(std::count(source.begin(), end, '\n'));
 }
 
-/// The line of the last of these keys, each looked for behind the one before. Where one is missing, of the one before it.
+/// Returns the line of the last key of the path; each key is searched for after the one before it. If a key is missing,
+/// returns the line of the key before it.
 std::size_t line_of_key(const std::string& source, KeyPath path) {
     std::size_t offset = 0;
     for (const std::string_view key : path) {
@@ -39,7 +40,7 @@
     return value.is_number() && value.get<double>() > 0.0;
 }
 
-std::string to_value(const json& value) {
+std::string dump_value(const json& value) {
     return value.is_null() ? std::string() : value.dump();
 }
 
@@ -52,9 +53,9 @@
         read_addresses(config);
         read_process_settings(config);
         read_settings(config);
-        // Without a dependency there is no such address.
+        // The address may be missing if requests call no dependency.
         if (config.policy_settings.dependency != policy::Dependency::none || document_.contains("records"))
-            config.records_address = text("records");
+            config.records_address = required_text("records");
         return config;
     }
 
@@ -74,30 +75,30 @@
         throw ConfigError({{}, line_of_key(source_, path), {}}, reason, std::move(value));
     }
 
-    std::string text(const char* name) const {
+    std::string required_text(const char* name) const {
         const json value = document_.value(name, json());
         if (!value.is_string())
-            fail({name}, std::string("missing text: ") + name, to_value(value));
+            fail({name}, std::string(name) + ": missing or not a string", dump_value(value));
         return value.get<std::string>();
     }
 
     void read_addresses(NodeConfig& config) const {
-        config.name = text("name");
-        config.listen_address = text("listen");
-        config.engine_address = text("engine");
-        config.directory_address = text("lookup");
+        config.name = required_text("name");
+        config.listen_address = required_text("listen");
+        config.engine_address = required_text("engine");
+        config.directory_address = required_text("lookup");
         if (document_.contains("control") && !document_["control"].is_null())
-            config.admin_address = text("control");
+            config.admin_address = required_text("control");
     }
 
     void read_process_settings(NodeConfig& config) const {
-        const std::string seed = text("seed");
+        const std::string seed = required_text("seed");
         const char* seed_end = seed.data() + seed.size();
         if (std::from_chars(seed.data(), seed_end, config.seed, 16).ptr != seed_end)
-            fail({"seed"}, "seed: not hexadecimal", seed);
+            fail({"seed"}, "seed: not a hexadecimal number: " + seed, seed);
         const json stop_ms = document_.value("stop_ms", json());
         if (!stop_ms.is_number())
-            fail({"stop_ms"}, "missing number: stop_ms", to_value(stop_ms));
+            fail({"stop_ms"}, "stop_ms: missing or not a number", dump_value(stop_ms));
         config.stop_delay = policy::Duration(std::llround(stop_ms.get<double>() * 1000.0));
         const json limits = document_.value("limits", json());
         const json sockets = limits.is_object() ? limits.value("sockets", json()) : json();
@@ -110,7 +111,7 @@
         using namespace nlohmann::literals;
         const json settings = document_.value("settings", json());
         if (!settings.is_object())
-            fail({"settings"}, "missing object: settings", to_value(settings));
+            fail({"settings"}, "settings: missing or not an object", dump_value(settings));
         for (const json& gauge : settings.value("/domain/gauges"_json_pointer, json::array()))
             if (gauge.is_string())
                 config.gauge_names.push_back(gauge.get<std::string>());
@@ -123,10 +124,10 @@
         }
     }
 
-    // Guards the classes in force against a file that gives one no name, or no time to be answered in.
+    // Rejects classes without a name or without a positive deadline, so that a reload keeps the settings in force.
     void check_classes(const json& classes) const {
         if (!classes.is_array() || classes.empty())
-            fail({"settings", "classes"}, "settings: no classes");
+            fail({"settings", "classes"}, "settings: classes must be a list with at least one entry");
         for (const json& request_class : classes)
             check_class(request_class);
     }
@@ -134,20 +135,20 @@
     void check_class(const json& request_class) const {
         const json name_value = request_class.is_object() ? request_class.value("name", json()) : json();
         if (!name_value.is_string() || name_value.get<std::string>().empty())
-            fail({"settings", "classes"}, "settings: a class without a name", to_value(name_value));
+            fail({"settings", "classes"}, "settings: a class has no name", dump_value(name_value));
         const std::string name = name_value.get<std::string>();
         const std::string prefix = "settings: class " + name + ": ";
         const json deadline = request_class.value("deadline", json());
         if (!is_positive_number(deadline))
-            fail({"settings", "classes", name, "deadline"}, prefix + "the deadline is not a number above 0",
-                 to_value(deadline));
-        // Without a window, repeats are recognised for as long as the deadline.
+            fail({"settings", "classes", name, "deadline"}, prefix + "deadline is not a number above 0",
+                 dump_value(deadline));
+        // Without a window, repeated requests are recognised for the length of the deadline.
         const auto window = request_class.find("repeat-window");
         const bool has_window =
             request_class.value("effect", json()) == "guarded" && window != request_class.end();
         if (has_window && !is_positive_number(*window))
             fail({"settings", "classes", name, "repeat-window"},
-                 prefix + "the repeat-window is not a number above 0", to_value(*window));
+                 prefix + "repeat-window is not a number above 0", dump_value(*window));
     }
 
     const std::string& source_;
--- a/src/config/node.hpp
+++ b/src/config/node.hpp
@@ -1,6 +1,6 @@
-/// What the platform tells one server: NODE_CONFIG, a JSON object.
+/// The configuration of one server on the platform: the JSON object in the file that NODE_CONFIG names.
 ///
-/// Owns the mapping from the object's words to settings of the modules.
+/// Maps the fields of the object to settings of the modules.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +13,31 @@
 
 namespace cressledge::config {
 
-/// What NODE_CONFIG says, with its defaults, and what the process adds to it at its start.
+/// The contents of the file, with defaults, and values that the process adds when it starts.
 struct NodeConfig {
     std::string name, listen_address, engine_address, directory_address;
-    /// Empty: requests call no dependency.
+    /// Empty if requests call no dependency.
     std::string records_address;
-    /// Empty: there is no admin address.
+    /// Empty if there is no admin listener.
     std::string admin_address;
     std::uint64_t seed = 0;
-    /// From the notice of a shutdown to the stop.
+    /// Time from the notice of a shutdown to the stop.
     policy::Duration stop_delay{3'000'000};
     std::size_t max_descriptors = 1024;
-    /// Descriptors that the process holds at its start.
+    /// File descriptors that are open when the process starts.
     std::size_t descriptors_at_start = 0;
-    /// The listening socket that the platform hands down. -1: `listen_address` is bound.
+    /// Listening socket inherited from the platform. -1: the process binds `listen_address` itself.
     int inherited_listener_fd = -1;
-    /// In the order in which the engine reports them.
+    /// Names of the gauges, in the order in which the engine reports them.
     std::vector<std::string> gauge_names;
     policy::Settings policy_settings;
-    /// The settings as read: a reload makes a new generation where they differ.
+    /// The settings as JSON text. A reload starts a new settings generation only if this differs.
     std::string settings_json;
 };
 
-/// Throws ConfigError with the line, and without a file.
+/// Parses a configuration. Throws ConfigError with the line but no file.
 NodeConfig node_from_json(const std::string& source);
-/// Throws ConfigError with file and line.
+/// Loads the file. Throws ConfigError with file and line.
 NodeConfig load_node_config(const std::string& path);
 
 }  // namespace cressledge::config
--- a/src/config/operator.cpp
+++ b/src/config/operator.cpp
@@ -12,7 +12,7 @@
 namespace cressledge::config {
 namespace {
 
-/// Running requests a core that a server survives, averaged over the window.
+/// Running requests per core that a server survives, averaged over `runnable_window`.
 constexpr double max_runnable_per_core = 5.0;
 constexpr policy::Duration runnable_window{2'000'000};
 
@@ -36,20 +36,20 @@
     request_class.latency_objective = reader.duration_ms(section, "target_ms", 1.0, required);
     request_class.answer_deadline = reader.duration_ms(section, "deadline_ms", 1.0, required);
     if (request_class.answer_deadline < request_class.latency_objective)
-        reader.fail(section["deadline_ms"], "deadline_ms", "before target_ms");
+        reader.fail(section["deadline_ms"], "deadline_ms", "must not be less than target_ms");
     return request_class;
 }
 
 void read_classes(const YamlReader& reader, const YAML::Node& document, policy::Settings& settings) {
     const YAML::Node classes = document["classes"];
     if (!classes || !classes.IsSequence() || classes.size() == 0)
-        reader.fail(classes ? classes : document, "classes", "no list");
+        reader.fail(classes ? classes : document, "classes", "must be a list with at least one entry");
     std::set<std::string> names;
     for (const auto& section : classes) {
         settings.classes.push_back(read_class(reader, section));
         const std::string& name = settings.classes.back().name;
         if (!names.insert(name).second)
-            reader.fail(section, "name", "a duplicate: " + name);
+            reader.fail(section, "name", "duplicate class name: " + name);
     }
 }
 
@@ -62,7 +62,7 @@
     config.http_address = reader.address(listen, "http");
     config.admin_address = reader.address(listen, "control");
     if (config.scgi_address.empty() && config.http_address.empty())
-        reader.fail(listen, "listen", "neither scgi nor http");
+        reader.fail(listen, "listen", "requires an address in scgi, in http or in both");
 }
 
 void read_process_settings(const YamlReader& reader, const YAML::Node& document, OperatorConfig& config) {
@@ -83,7 +83,7 @@
     settings.drain_grace = reader.duration_ms(document, "drain_grace_ms", 0.0, 2000.0);
     settings.max_runnable_per_core = max_runnable_per_core;
     settings.runnable_window = runnable_window;
-    // A call that nobody waits for is closed, and its work is lost.
+    // A call can only be stopped by closing it, and its work is then lost.
     settings.preemption = policy::Preemption::discard;
 }
 
@@ -93,7 +93,7 @@
         return;
     reader.require_known_keys(section, "learning",
                               {"folder", "node", "period_s", "half_life_h", "max_age_h"});
-    const auto hours = [&](const char* name, double max, double default_value) {
+    const auto read_hours = [&](const char* name, double max, double default_value) {
         const double value = reader.number(section, name, 0.01, max, default_value);
         return policy::Duration(std::llround(value * 3600.0 * 1e6));
     };
@@ -101,13 +101,13 @@
     config.node_name = reader.text(section, "node");
     config.save_interval =
         policy::Duration(std::llround(reader.number(section, "period_s", 0.1, 3600.0, 30.0) * 1e6));
-    config.half_life = hours("half_life_h", 8760.0, 24.0);
-    config.max_age = hours("max_age_h", 87'600.0, 336.0);
+    config.half_life = read_hours("half_life_h", 8760.0, 24.0);
+    config.max_age = read_hours("max_age_h", 87'600.0, 336.0);
     if (config.max_age < config.half_life)
-        reader.fail(section["max_age_h"], "max_age_h", "below half_life_h");
+        reader.fail(section["max_age_h"], "max_age_h", "must not be less than half_life_h");
 }
 
-/// The document without the fields that a reload may change.
+/// Returns the document as text, without the fields that a reload may change.
 std::string dump_restart_only(const YAML::Node& document) {
     YAML::Node restart_only = YAML::Clone(document);
     for (const char* name : {"inventory", "group", "connections", "admission", "routing", "fleet"})
--- a/src/config/reader.hpp
+++ b/src/config/reader.hpp
@@ -1,4 +1,4 @@
-/// The reader of YAML files under the path by which other modules include it, with what they use beside it.
+/// Includes YamlReader and the headers that modules reading their own YAML files need with it.
 #pragma once
 
 #include <cmath>
--- a/src/config/routing.cpp
+++ b/src/config/routing.cpp
@@ -5,7 +5,7 @@
 namespace cressledge::config {
 namespace {
 
-/// Load probes for each call, without a number in the file.
+/// Default number of load probes per call, by balancing policy.
 constexpr double default_probes_per_call = 3.0;
 constexpr double default_probes_first_per_call = 5.0;
 
@@ -19,11 +19,12 @@
     const auto policy = policies.find(reader.text(section, "policy", "two-choices"));
     if (policy == policies.end())
         reader.fail(section["policy"], "policy",
-                    "none of two-choices, round-robin, fewest-in-hand, probe-pool, probe-first");
+                    "none of two-choices, round-robin, fewest-in-hand, probe-pool, probe-first: " +
+                        section["policy"].Scalar());
     return policy->second;
 }
 
-// A process of a fleet is known by its id there, unless the section names it.
+// The default name of the process is its member id in the section `fleet`.
 std::string read_node_name(const YamlReader& reader, const YAML::Node& section, const YAML::Node& fleet) {
     const bool has_member_id = fleet && fleet.IsMap() && fleet["id"] && fleet["id"].IsScalar();
     const std::string member_id = has_member_id ? fleet["id"].Scalar() : std::string();
@@ -39,7 +40,8 @@
     config.max_calls_in_flight = reader.integer(section, "most_in_hand", 1.0, 1e6, 0.0);
     config.subset_size = reader.integer(section, "subset", 1.0, 1e6, 0.0);
     if (config.subset_size != 0 && config.node_name.empty())
-        reader.fail(section["subset"], "subset", "needs a node, by whose name it is chosen");
+        reader.fail(section["subset"], "subset",
+                    "requires a name of this process in routing.node or fleet.id");
     config.hedging_enabled = reader.flag(section, "hedging", false);
     config.key_affinity_enabled = reader.flag(section, "affinity", false);
     config.health_checks_enabled = reader.flag(section, "probes", true);
@@ -95,7 +97,7 @@
     health.slow_start_time = reader.duration_ms(section, "slow_start_ms", 1.0, 10'000.0);
     health.health_check_interval = reader.duration_ms(section, "probe_ms", 50.0, 2000.0);
     if (health.max_ejection_time < health.base_ejection_time)
-        reader.fail(section["eject_most_ms"], "eject_most_ms", "below eject_ms");
+        reader.fail(section["eject_most_ms"], "eject_most_ms", "must not be less than eject_ms");
 }
 
 void read_slow_start(const YamlReader& reader, const YAML::Node& section, bool is_in_fleet,
@@ -108,7 +110,7 @@
         slow_start.window = reader.duration_ms(section, "window_ms", 10.0, 2000.0);
         slow_start.assumed_processes = reader.number(section, "peers", 1.0, 1e5, 32.0);
         if (is_in_fleet && config.node_name.empty())
-            reader.fail(section, "slow_start", "needs a node, by whose name the calls are shared out");
+            reader.fail(section, "slow_start", "requires a name of this process in routing.node or fleet.id");
     }
     slow_start.warm_up_time = config.upstream_health.slow_start_time;
 }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -11,16 +11,16 @@
 using nlohmann::json;
 using policy::Duration;
 
-/// The member `name`; null where `object` is no object or lacks it.
+/// Returns the member `name`; null if `object` is not an object or has no such member.
 const json& member(const json& object, const char* name) {
-    static const json nothing;
+    static const json null_value;
     if (!object.is_object())
-        return nothing;
+        return null_value;
     const auto it = object.find(name);
-    return it != object.end() ? *it : nothing;
+    return it != object.end() ? *it : null_value;
 }
 
-/// The element `index`; null where `list` is no array or too short.
+/// Returns the element `index`; null if `list` is not an array or is too short.
 json element(const json& list, std::size_t index) {
     return list.is_array() && index < list.size() ? list[index] : json();
 }
@@ -33,7 +33,8 @@
 double required_number(const json& object, const char* name) {
     const json& value = member(object, name);
     if (!value.is_number())
-        throw ConfigError({}, std::string("missing number: ") + name, value.is_null() ? "" : value.dump());
+        throw ConfigError({}, std::string(name) + ": missing or not a number",
+                          value.is_null() ? "" : value.dump());
     return value.get<double>();
 }
 
@@ -47,7 +48,7 @@
     return value.is_string() ? value.get<std::string>() : std::string();
 }
 
-/// A duration in milliseconds.
+/// Reads a duration in milliseconds.
 Duration duration_or(const json& object, const char* name, Duration default_value) {
     const json& value = member(object, name);
     return value.is_number() ? Duration(std::llround(value.get<double>() * 1000.0)) : default_value;
@@ -89,7 +90,7 @@
 void read_classes(const json& document, const json& domain, policy::Settings& settings) {
     const json& classes = member(document, "classes");
     if (!classes.is_array())
-        throw ConfigError("missing setting: classes");
+        throw ConfigError("classes: missing or not a list");
     const json& calls = member(domain, "class-calls");
     const json& skip_weights = member(domain, "class-skip-worth");
     for (std::size_t i = 0; i < classes.size(); ++i)
@@ -150,7 +151,7 @@
 policy::Settings settings_from_json(std::string_view source) {
     const json document = json::parse(source, nullptr, false);
     if (!document.is_object())
-        throw ConfigError("the settings are not a JSON object");
+        throw ConfigError("settings: not a JSON object");
     const json& domain = member(document, "domain");
     policy::Settings settings;
     settings.cores = static_cast<int>(required_number(domain, "cores"));
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,5 +1,5 @@
-/// The one mapping from the settings object, as the simulator's first message and NODE_CONFIG give it, to the settings of
-/// the admission controller. The simulator adapter and the server share it, so that both decide alike.
+/// Maps the settings object of the simulator's `born` message and of the node configuration to the settings of the
+/// admission controller. The simulator adapter and the server share this mapping so that both decide alike.
 #pragma once
 
 #include <string_view>
@@ -9,7 +9,8 @@
 
 namespace cressledge::config {
 
-/// Throws ConfigError where the object lacks what is necessary. What else is missing or of another type keeps its default.
+/// Parses the settings. Throws ConfigError if `domain.cores`, `domain.memory-kb` or `classes` is missing or of the wrong
+/// type. Any other such field keeps its default.
 policy::Settings settings_from_json(std::string_view source);
 
 }  // namespace cressledge::config
--- a/src/config/upstream_server.hpp
+++ b/src/config/upstream_server.hpp
@@ -1,4 +1,4 @@
-/// A server of the operator's inventory, whatever format the file has. Owns nothing but the values.
+/// A server of the operator's inventory, independent of the file's format.
 #pragma once
 
 #include <algorithm>
@@ -7,23 +7,23 @@
 
 namespace cressledge::config {
 
-/// One server that calls may go to.
+/// One server that can be called.
 struct Upstream {
     std::string name, address;
     /// "http" or "scgi".
     std::string protocol;
     std::string group;
-    /// The groups that its group stands in, outermost first.
+    /// The groups that contain its group, outermost first.
     std::vector<std::string> parent_groups;
     std::string data_centre, machine_model;
-    /// Of the calls that it gets, beside 1 for other servers.
+    /// Weight in load balancing, relative to 1 for an ordinary server.
     double weight = 1.0;
-    /// Nothing new goes there.
+    /// Whether the server gets no new calls.
     bool is_drained = false;
     std::vector<std::string> tags;
 
     bool operator==(const Upstream&) const = default;
-    /// Whether its group, or one that this stands in, is `group_name`.
+    /// Returns whether `group_name` is its group or one that contains it.
     bool belongs_to(const std::string& group_name) const {
         return group_name == group ||
                std::find(parent_groups.begin(), parent_groups.end(), group_name) != parent_groups.end();
--- a/src/config/yaml_reader.cpp
+++ b/src/config/yaml_reader.cpp
@@ -12,7 +12,7 @@
 constexpr double max_duration_ms = 3'600'000.0;
 constexpr double max_duration_s = 86'400.0;
 
-/// A number without trailing zeros.
+/// Formats a number without trailing zeros.
 std::string format_number(double number) {
     std::string text = std::to_string(number);
     text.erase(text.find_last_not_of('0') + 1);
@@ -21,11 +21,16 @@
     return text;
 }
 
-/// Marks count from 0, and are negative where there is no place.
+/// Converts a mark of the YAML parser, which counts lines from 0 and is negative if there is no location.
 std::size_t line_of_mark(const YAML::Mark& mark) {
     return static_cast<std::size_t>(std::max(0, mark.line)) + 1;
 }
 
+/// Returns ": VALUE" for an error message; empty if the node is not defined or not a scalar.
+std::string value_suffix(const YAML::Node& node) {
+    return node.IsDefined() && node.IsScalar() ? ": " + node.Scalar() : std::string();
+}
+
 }  // namespace
 
 std::size_t line_of(const YAML::Node& node) {
@@ -44,14 +49,14 @@
 void YamlReader::require_known_keys(const YAML::Node& map, const std::string& section,
                                     std::initializer_list<const char*> known_keys) const {
     if (!map.IsMap())
-        fail(map, section, "not a mapping");
+        fail(map, section, "not a YAML mapping");
     std::set<std::string> seen;
     for (const auto& entry : map) {
         const std::string key = entry.first.Scalar();
         if (std::find(known_keys.begin(), known_keys.end(), key) == known_keys.end())
             fail(entry.first, key, "no such field");
         if (!seen.insert(key).second)
-            fail(entry.first, key, "a duplicate");
+            fail(entry.first, key, "duplicate field");
     }
 }
 
@@ -62,7 +67,7 @@
     if (!value)
         fail(map, name, "missing");
     if (!value.IsScalar() || value.Scalar().empty())
-        fail(value, name, "not a text");
+        fail(value, name, "must be a non-empty string");
     return value.Scalar();
 }
 
@@ -70,7 +75,7 @@
     const YAML::Node value = map[name];
     bool result = default_value;
     if (value && !YAML::convert<bool>::decode(value, result))
-        fail(value, name, "neither true nor false");
+        fail(value, name, "neither true nor false" + value_suffix(value));
     return result;
 }
 
@@ -83,7 +88,8 @@
         fail(map, name, "missing");
     double result = 0.0;
     if (!YAML::convert<double>::decode(value, result) || !(result >= min && result <= max))
-        fail(value, name, "not a number from " + format_number(min) + " to " + format_number(max));
+        fail(value, name,
+             "not a number from " + format_number(min) + " to " + format_number(max) + value_suffix(value));
     return result;
 }
 
@@ -91,7 +97,7 @@
                                   double default_value) const {
     const double value = number(map, name, min, max, default_value);
     if (value != std::floor(value))
-        fail(map[name], name, "not a whole number");
+        fail(map[name], name, "not a whole number" + value_suffix(map[name]));
     return static_cast<std::uint32_t>(value);
 }
 
--- a/src/config/yaml_reader.hpp
+++ b/src/config/yaml_reader.hpp
@@ -1,6 +1,6 @@
-/// Reads fields of a YAML document within their ranges; every error names file, line and field.
+/// Reads fields of a YAML document and checks their ranges. Every error names file, line and field.
 ///
-/// Owns the path of the file for its errors, and nothing of the document. Every function throws ConfigError.
+/// Every function that reads a field throws ConfigError.
 #pragma once
 
 #include <yaml-cpp/yaml.h>
@@ -17,53 +17,53 @@
 
 namespace cressledge::config {
 
-/// As a default value of a number: there is none, and the field must be there.
+/// Passed as the default value of a number: the field is required.
 constexpr double required = std::numeric_limits<double>::quiet_NaN();
 
-/// Reads one file. Where a function takes a default value, it stands for a missing field.
+/// Reads the fields of one file. A default value is returned if the field is missing.
 class YamlReader {
 public:
-    /// `path`: the file that is read, for the text of errors.
+    /// `path` names the file in error messages.
     explicit YamlReader(std::string path) : path_(std::move(path)) {}
 
-    /// The file that is read.
+    /// Path of the file.
     const std::string& path() const { return path_; }
 
-    /// Throws a ConfigError at the place of `at`, or at the file's first line where that is not defined.
+    /// Throws a ConfigError with the line of `at`, or line 1 if `at` is not defined.
     [[noreturn]] void fail(const YAML::Node& at, const std::string& field, const std::string& reason) const;
-    /// Guards against a misspelt name that would quietly leave a default in force, and against duplicates.
+    /// Rejects unknown and duplicate keys. A misspelt key would otherwise leave a default in force unnoticed.
     void require_known_keys(const YAML::Node& map, const std::string& section,
                             std::initializer_list<const char*> known_keys) const;
-    /// A text that is not empty. Without a default the field must be there.
+    /// Reads a non-empty string. Without a default value the field is required.
     std::string text(const YAML::Node& map, const char* name, const char* default_value = nullptr) const;
-    /// true or false.
+    /// Reads `true` or `false`.
     bool flag(const YAML::Node& map, const char* name, bool default_value) const;
-    /// A number from `min` to `max`.
+    /// Reads a number from `min` to `max`.
     double number(const YAML::Node& map, const char* name, double min, double max,
                   double default_value) const;
-    /// A whole number from `min` to `max`.
+    /// Reads a whole number from `min` to `max`.
     std::uint32_t integer(const YAML::Node& map, const char* name, double min, double max,
                           double default_value) const;
-    /// A field in milliseconds, up to an hour.
+    /// Reads a duration in milliseconds, up to an hour.
     policy::Duration duration_ms(const YAML::Node& map, const char* name, double min_ms,
                                  double default_ms) const;
-    /// A field in seconds, up to a day.
+    /// Reads a duration in seconds, up to a day.
     policy::Duration duration_s(const YAML::Node& map, const char* name, double min_s,
                                 double default_s) const;
-    /// An address with a port; empty where the field is missing.
+    /// Reads an address with a port; empty if the field is missing.
     std::string address(const YAML::Node& map, const char* name) const;
 
 private:
     const std::string path_;
 };
 
-/// The line of a node, from 1.
+/// Returns the line of a node, counted from 1; 1 if the node is not defined.
 std::size_t line_of(const YAML::Node& node);
 
-/// The ConfigError of a fault that the YAML parser found.
+/// Converts an error of the YAML parser.
 ConfigError yaml_error(const std::string& path, const YAML::Exception& error);
 
-/// What `read(path, document)` makes of a file. Throws ConfigError, also for what the YAML parser finds wrong.
+/// Parses the file and returns `read(path, document)`. Throws ConfigError, also for invalid YAML.
 template <class Read>
 auto load_yaml(const std::string& path, const Read& read) {
     const std::string text = read_file(path);
--- a/tests/cressledge/upstream_gateway_test.cpp
+++ b/tests/cressledge/upstream_gateway_test.cpp
@@ -80,7 +80,7 @@
         switch (i % 8) {
             case 0:
                 text += fixture.inventory_row(0);
-                expected_errors = {"s.csv:8: name: a duplicate: tiles-0"};
+                expected_errors = {"s.csv:8: name: duplicate server name: tiles-0"};
                 break;
             case 1:
                 text += "x,127.0.0.1:9,ftp,maps,,1\ny,nowhere,http,maps,,1\nz,127.0.0.1:9,http,maps,,heavy\n";
