--- a/src/command/check.hpp
+++ b/src/command/check.hpp
@@ -1,4 +1,4 @@
-/// `cressledge check FILE...`: says what each file is and what is in force with it.
+/// `cressledge check FILE...`: validates configuration files and inventories and prints what each one is.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace cressledge::command {
 
-/// Returns the exit status. Throws config::ConfigError for the first bad file, or where there is none.
+/// Returns the exit status. Throws config::ConfigError for the first invalid file, or if `paths` is empty.
 int check(const std::vector<std::string>& paths);
 
 }  // namespace cressledge::command
--- a/src/command/inventory.cpp
+++ b/src/command/inventory.cpp
@@ -9,7 +9,7 @@
 namespace cressledge::command {
 namespace {
 
-/// Names of each kind in the text of an inventory's diff.
+/// Maximum number of added, removed and changed names each that a diff prints.
 constexpr std::size_t max_names_in_diff = 1000;
 
 void print_diff(const config::InventoryDiff& difference, bool prints_json) {
@@ -23,18 +23,18 @@
 }
 
 void print_servers_json(const std::vector<config::Upstream>& servers) {
-    nlohmann::json all = nlohmann::json::array();
+    nlohmann::json document = nlohmann::json::array();
     for (const config::Upstream& server : servers)
-        all.push_back({{"name", server.name},
-                       {"address", server.address},
-                       {"protocol", server.protocol},
-                       {"group", server.group},
-                       {"data_centre", server.data_centre},
-                       {"model", server.machine_model},
-                       {"weight", server.weight},
-                       {"drained", server.is_drained},
-                       {"tags", server.tags}});
-    std::cout << all.dump(2) << '\n';
+        document.push_back({{"name", server.name},
+                            {"address", server.address},
+                            {"protocol", server.protocol},
+                            {"group", server.group},
+                            {"data_centre", server.data_centre},
+                            {"model", server.machine_model},
+                            {"weight", server.weight},
+                            {"drained", server.is_drained},
+                            {"tags", server.tags}});
+    std::cout << document.dump(2) << '\n';
 }
 
 void print_servers(const std::vector<config::Upstream>& servers) {
@@ -46,13 +46,13 @@
                   << (server.is_drained ? " drained" : "") << '\n';
 }
 
-void run_verb(const std::vector<std::string>& arguments, bool prints_json) {
-    const std::string& verb = arguments[0];
+void run_action(const std::vector<std::string>& arguments, bool prints_json) {
+    const std::string& action = arguments[0];
     const std::string& path = arguments[1];
     const auto servers = config::load_inventory(path);
-    if (verb == "diff")
+    if (action == "diff")
         print_diff(config::diff_inventories(servers, config::load_inventory(arguments[2])), prints_json);
-    else if (verb == "check")
+    else if (action == "check")
         std::cout << path << ": inventory of " << servers.size() << " servers\n";
     else if (prints_json)
         print_servers_json(servers);
@@ -64,11 +64,11 @@
 
 int inventory(const std::vector<std::string>& arguments, bool prints_json) {
     const bool is_diff = !arguments.empty() && arguments[0] == "diff";
-    const std::size_t expected = is_diff ? 3 : 2;
-    if (arguments.size() != expected || (!is_diff && arguments[0] != "check" && arguments[0] != "show"))
-        throw config::ConfigError("inventory: check or show and a file, or diff and two");
+    const std::size_t expected_count = is_diff ? 3 : 2;
+    if (arguments.size() != expected_count || (!is_diff && arguments[0] != "check" && arguments[0] != "show"))
+        throw config::ConfigError("inventory: usage: inventory check|show FILE, or inventory diff FILE FILE");
     try {
-        run_verb(arguments, prints_json);
+        run_action(arguments, prints_json);
         return exit_success;
     } catch (const config::InventoryError& error) {
         for (const std::string& row : error.row_errors)
--- a/src/command/inventory.hpp
+++ b/src/command/inventory.hpp
@@ -1,5 +1,5 @@
-/// `cressledge inventory check|show FILE`, `diff FILE FILE`: what is wrong with an inventory, what is in one, what differs
-/// between two.
+/// `cressledge inventory check|show FILE` and `cressledge inventory diff FILE FILE`: validates an inventory, prints its
+/// servers, or compares two inventories.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace cressledge::command {
 
-/// `arguments`: the verb and the files. Returns the exit status; what is wrong with rows goes to standard error. Throws
-/// config::ConfigError.
+/// `arguments`: the action (`check`, `show` or `diff`) and the files. Returns the exit status. Errors in rows are printed to
+/// standard error. Throws config::ConfigError for any other error.
 int inventory(const std::vector<std::string>& arguments, bool prints_json);
 
 }  // namespace cressledge::command
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -19,7 +19,8 @@
     base::TimerQueue timers;
     net::Loop loop(timers);
     std::optional<platform::PlatformNode> node;
-    // Handled before the file is read: a signal that comes meanwhile has it read once more, and ends nothing.
+    // The handler is installed before the file is read: a SIGHUP that arrives meanwhile then reloads the file instead of
+    // terminating the process.
     loop.on_signal(SIGHUP, [&] { node->reload(path); });
     config::NodeConfig settings = config::load_node_config(path);
     settings.descriptors_at_start = net::count_open_descriptors();
--- a/src/command/state.cpp
+++ b/src/command/state.cpp
@@ -18,7 +18,7 @@
 void throw_if_failed(const std::string& directory, int error) {
     if (error == 0)
         return;
-    const char* reason = error == EWOULDBLOCK ? "in use by a process" : std::strerror(error);
+    const char* reason = error == EWOULDBLOCK ? "in use by another process" : std::strerror(error);
     throw config::ConfigError({directory, 0, {}}, reason);
 }
 
@@ -26,7 +26,7 @@
     store::Store state(files);
     throw_if_failed(directory, state.open());
     throw_if_failed(directory, state.reset());
-    std::cout << directory << ": nothing is kept now\n";
+    std::cout << directory << ": learned state deleted\n";
 }
 
 void print_state_json(const store::Store& state, bool with_entries) {
@@ -41,9 +41,9 @@
 
 void print_state(const store::Store& state, const std::string& directory, bool with_entries) {
     std::cout << directory << ": generation " << state.generation() << ", " << state.replayed_records()
-              << " records of its log, " << state.entries().size() << " entries\n";
+              << " log records, " << state.entries().size() << " entries\n";
     for (const std::string& reason : state.skipped_files())
-        std::cout << "refused: " << reason << '\n';
+        std::cout << "skipped file: " << reason << '\n';
     if (with_entries)
         std::cout << learned_state::to_json(state.entries()) << '\n';
 }
@@ -51,23 +51,23 @@
 }  // namespace
 
 int state(const std::vector<std::string>& arguments, bool prints_json) {
-    static const std::vector<std::string> verbs = {"show", "check", "export", "reset"};
-    if (arguments.size() != 2 || std::find(verbs.begin(), verbs.end(), arguments[0]) == verbs.end())
-        throw config::ConfigError("state: show, check, export or reset, and a folder");
-    const std::string& verb = arguments[0];
+    static const std::vector<std::string> actions = {"show", "check", "export", "reset"};
+    if (arguments.size() != 2 || std::find(actions.begin(), actions.end(), arguments[0]) == actions.end())
+        throw config::ConfigError("state: usage: state show|check|export|reset FOLDER");
+    const std::string& action = arguments[0];
     const std::string& directory = arguments[1];
     store::PosixFileSystem files(directory);
     store::Store saved(files);
     throw_if_failed(directory, saved.open_read_only());
-    if (verb == "reset")
+    if (action == "reset")
         reset_state(files, directory);
-    else if (verb == "export")
+    else if (action == "export")
         std::cout << learned_state::to_json(saved.entries()) << '\n';
     else if (prints_json)
-        print_state_json(saved, verb == "show");
+        print_state_json(saved, action == "show");
     else
-        print_state(saved, directory, verb == "show");
-    return verb == "check" && !saved.skipped_files().empty() ? exit_check_failed : exit_success;
+        print_state(saved, directory, action == "show");
+    return action == "check" && !saved.skipped_files().empty() ? exit_check_failed : exit_success;
 }
 
 }  // namespace cressledge::command
--- a/src/command/state.hpp
+++ b/src/command/state.hpp
@@ -1,5 +1,5 @@
-/// `cressledge state show|check|export|reset FOLDER`: what is saved of the estimates, in the folder of the operator's
-/// file's section `learning`.
+/// `cressledge state show|check|export|reset FOLDER`: prints, validates, exports or deletes learned state. FOLDER is
+/// `learning.folder` of the operator's file.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace cressledge::command {
 
-/// `arguments`: the verb and the folder. Returns the exit status, which tells whether a check found a file it cannot use.
-/// Throws config::ConfigError.
+/// `arguments`: the action and the folder. Returns the exit status: `exit_check_failed` if a check found a file that cannot
+/// be used. Throws config::ConfigError.
 int state(const std::vector<std::string>& arguments, bool prints_json);
 
 }  // namespace cressledge::command
--- a/src/command/supervise.hpp
+++ b/src/command/supervise.hpp
@@ -1,11 +1,12 @@
-/// `cressledge supervise FILE`: keeps the processes of a file up until a signal ends it.
+/// `cressledge supervise FILE`: runs and restarts the processes listed in the file until SIGTERM or SIGINT.
 #pragma once
 
 #include <string>
 
 namespace cressledge::command {
 
-/// Returns the exit status after SIGTERM or SIGINT. Throws config::ConfigError.
+/// Runs the supervisor. Returns the exit status once all processes have ended after SIGTERM or SIGINT. Throws
+/// config::ConfigError.
 int supervise(const std::string& config_path);
 
 }  // namespace cressledge::command
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The command line of cressledge: parses it and runs the one sub-command.
+// Parses the command line of cressledge and runs the sub-command.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -27,10 +27,10 @@
 
 using Arguments = std::vector<std::string>;
 
-/// What was asked for. Values that were not given are missing or empty.
+/// The parsed command line. Options that were not given are empty.
 struct CommandLine {
     std::string command;
-    /// The words behind the command.
+    /// The positional arguments after the command.
     std::optional<Arguments> arguments;
     bool prints_json = false;
     bool rolls_back = false;
@@ -38,29 +38,33 @@
     std::string report_path;
 };
 
-int run_serve(const CommandLine& line) {
-    if (line.operator_path) {
-        if (line.node_config_path)
-            throw config::ConfigError("serve: --config and --operator exclude each other");
-        return command::serve_gateway(*line.operator_path);
+int run_serve(const CommandLine& command_line) {
+    if (command_line.operator_path) {
+        if (command_line.node_config_path)
+            throw config::ConfigError("serve: --config and --operator cannot be used together");
+        return command::serve_gateway(*command_line.operator_path);
     }
-    const char* environment = std::getenv("NODE_CONFIG");
-    if (!line.node_config_path && environment == nullptr)
-        throw config::ConfigError("serve: neither --config nor --operator nor NODE_CONFIG names a file");
-    return command::serve_node(line.node_config_path ? *line.node_config_path : environment);
+    const char* environment_path = std::getenv("NODE_CONFIG");
+    if (!command_line.node_config_path && environment_path == nullptr)
+        throw config::ConfigError(
+            "serve: requires --config FILE, --operator FILE or the environment variable NODE_CONFIG");
+    return command::serve_node(command_line.node_config_path ? *command_line.node_config_path
+                                                             : environment_path);
 }
 
-const std::string& only_argument(const CommandLine& line, const Arguments& arguments) {
+const std::string& single_argument(const CommandLine& command_line, const Arguments& arguments) {
     if (arguments.size() != 1)
-        throw config::ConfigError(line.command + ": needs one file");
+        throw config::ConfigError(command_line.command + ": requires exactly one file, " +
+                                  std::to_string(arguments.size()) + " given");
     return arguments[0];
 }
 
-int run_roll(const CommandLine& line, const Arguments& arguments) {
-    const std::string& plan_path = only_argument(line, arguments);
-    if (!line.state_directory)
-        throw config::ConfigError("roll: --state names no folder");
-    return command::roll(plan_path, *line.state_directory, line.report_path, line.rolls_back);
+int run_roll(const CommandLine& command_line, const Arguments& arguments) {
+    const std::string& plan_path = single_argument(command_line, arguments);
+    if (!command_line.state_directory)
+        throw config::ConfigError("roll: requires --state FOLDER");
+    return command::roll(plan_path, *command_line.state_directory, command_line.report_path,
+                         command_line.rolls_back);
 }
 
 cxxopts::Options make_options() {
@@ -68,19 +72,23 @@
     options.positional_help("[serve|check|inventory|state|supervise|roll|version] [FILE...]");
     auto add = options.add_options();
     add("command",
-        "serve: the default; check: read files and say what is wrong; "
+        "serve: run a server (default); check: validate files; "
         "inventory check|show FILE, diff FILE FILE; "
-        "state show|check|export|reset FOLDER: what was learned; "
-        "supervise FILE: keep processes up; roll PLAN: change a fleet in stages; version",
+        "state show|check|export|reset FOLDER: learned state; "
+        "supervise FILE: run and restart processes; roll PLAN: roll out a change to a fleet in stages; "
+        "version",
         cxxopts::value<std::string>()->default_value("serve"));
-    add("files", "the files to check", cxxopts::value<Arguments>()->default_value(""));
+    add("files", "arguments of the command, for example the files to check",
+        cxxopts::value<Arguments>()->default_value(""));
     add("json", "state, inventory: print JSON");
-    add("state", "roll: the folder of its state", cxxopts::value<std::string>());
-    add("report", "roll: where its report goes", cxxopts::value<std::string>()->default_value(""));
-    add("take-back", "roll: take the change back");
-    add("c,config", "serve: the node's configuration instead of $NODE_CONFIG", cxxopts::value<std::string>());
-    add("o,operator", "serve: an operator's file, for SCGI and an inventory", cxxopts::value<std::string>());
-    add("h,help", "print this");
+    add("state", "roll: folder of the rollout's state", cxxopts::value<std::string>());
+    add("report", "roll: file for the report", cxxopts::value<std::string>()->default_value(""));
+    add("take-back", "roll: roll the change back");
+    add("c,config", "serve: file with the node configuration, instead of $NODE_CONFIG",
+        cxxopts::value<std::string>());
+    add("o,operator", "serve: operator's file, for HTTP and SCGI callers and an inventory",
+        cxxopts::value<std::string>());
+    add("h,help", "print this help");
     options.parse_positional({"command", "files"});
     return options;
 }
@@ -92,40 +100,42 @@
 }
 
 CommandLine to_command_line(const cxxopts::ParseResult& parsed_options) {
-    CommandLine line;
-    line.command = parsed_options["command"].as<std::string>();
+    CommandLine command_line;
+    command_line.command = parsed_options["command"].as<std::string>();
     if (parsed_options.count("files") != 0)
-        line.arguments = parsed_options["files"].as<Arguments>();
-    line.prints_json = parsed_options.count("json") != 0;
-    line.rolls_back = parsed_options.count("take-back") != 0;
-    line.state_directory = text_option(parsed_options, "state");
-    line.node_config_path = text_option(parsed_options, "config");
-    line.operator_path = text_option(parsed_options, "operator");
-    line.report_path = parsed_options["report"].as<std::string>();
-    return line;
+        command_line.arguments = parsed_options["files"].as<Arguments>();
+    command_line.prints_json = parsed_options.count("json") != 0;
+    command_line.rolls_back = parsed_options.count("take-back") != 0;
+    command_line.state_directory = text_option(parsed_options, "state");
+    command_line.node_config_path = text_option(parsed_options, "config");
+    command_line.operator_path = text_option(parsed_options, "operator");
+    command_line.report_path = parsed_options["report"].as<std::string>();
+    return command_line;
 }
 
-int run(const CommandLine& line) {
-    const Arguments arguments = line.arguments.value_or(Arguments());
-    if (line.command == "check")
+int run(const CommandLine& command_line) {
+    const Arguments arguments = command_line.arguments.value_or(Arguments());
+    if (command_line.command == "check")
         return command::check(arguments);
-    if (line.command == "state")
-        return command::state(arguments, line.prints_json);
-    if (line.command == "inventory")
-        return command::inventory(arguments, line.prints_json);
-    if (line.command == "supervise")
-        return command::supervise(only_argument(line, arguments));
-    if (line.command == "roll")
-        return run_roll(line, arguments);
-    if (line.arguments)
-        throw config::ConfigError(line.command + ": takes no files");
-    if (line.command == "version") {
+    if (command_line.command == "state")
+        return command::state(arguments, command_line.prints_json);
+    if (command_line.command == "inventory")
+        return command::inventory(arguments, command_line.prints_json);
+    if (command_line.command == "supervise")
+        return command::supervise(single_argument(command_line, arguments));
+    if (command_line.command == "roll")
+        return run_roll(command_line, arguments);
+    if (command_line.arguments)
+        throw config::ConfigError(command_line.command + ": takes no files, " +
+                                  std::to_string(arguments.size()) + " given");
+    if (command_line.command == "version") {
         std::cout << "cressledge " << version << '\n';
         return command::exit_success;
     }
-    if (line.command != "serve")
-        throw config::ConfigError("no such command: " + line.command);
-    return run_serve(line);
+    if (command_line.command != "serve")
+        throw config::ConfigError("unknown command: " + command_line.command +
+                                  " (must be serve, check, inventory, state, supervise, roll or version)");
+    return run_serve(command_line);
 }
 
 }  // namespace
--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -1,24 +1,24 @@
 #!/bin/sh
-# The command line: good files pass, and each bad use is one line on standard error and a non-zero status.
+# Tests of the command line: valid files pass; every invalid use prints one line to standard error and exits non-zero.
 set -u
 unset NODE_CONFIG
 root=$(dirname "$0")/..
-"$1" version | grep -q '^cressledge [0-9]' || { echo "no version"; exit 1; }
+"$1" version | grep -q '^cressledge [0-9]' || { echo "version prints no version"; exit 1; }
 "$1" check "$root/deploy/scgi.yaml" >/dev/null || { echo "deploy/scgi.yaml does not pass its check"; exit 1; }
-"$1" check "$root/deploy/scgi.yaml" | grep -q ' 3 servers' || { echo "a group leaves out those below it"; exit 1; }
+"$1" check "$root/deploy/scgi.yaml" | grep -q ' 3 servers' || { echo "a group does not include its child groups"; exit 1; }
 bad() {
     err=$("$@" 2>&1 >/dev/null) && { echo "accepted: $*"; exit 1; }
-    [ -z "$("$@" 2>/dev/null)" ] || { echo "half a sentence on standard output: $*"; exit 1; }
+    [ -z "$("$@" 2>/dev/null)" ] || { echo "unexpected text on standard output: $*"; exit 1; }
     if [ -z "$err" ] || [ "$(printf '%s\n' "$err" | wc -l)" -ne 1 ]; then
-        echo "not one line: $err"
+        echo "not one line on standard error: $err"
         exit 1
     fi
 }
-"$1" inventory show "$root/deploy/inventory.yaml" --json | grep -q '"weight": 1.0' || { echo "no inventory shown"; exit 1; }
-"$1" inventory diff "$root/deploy/inventory.yaml" "$root/example/servers.csv" | grep -q '^+1 (toy) -3 (' || { echo "no diff"; exit 1; }
+"$1" inventory show "$root/deploy/inventory.yaml" --json | grep -q '"weight": 1.0' || { echo "inventory show prints no servers"; exit 1; }
+"$1" inventory diff "$root/deploy/inventory.yaml" "$root/example/servers.csv" | grep -q '^+1 (toy) -3 (' || { echo "inventory diff prints no summary"; exit 1; }
 folder=$(mktemp -d)
-"$1" state reset "$folder" >/dev/null || { echo "no state"; exit 1; }
-"$1" state show "$folder" --json | grep -q '"entries": 0' || { echo "no state"; exit 1; }
+"$1" state reset "$folder" >/dev/null || { echo "state reset failed"; exit 1; }
+"$1" state show "$folder" --json | grep -q '"entries": 0' || { echo "state show prints no entry count"; exit 1; }
 rm -r "$folder"
 bad "$1"
 bad "$1" dance
