--- a/src/simulator_adapter/action_writer.hpp
+++ b/src/simulator_adapter/action_writer.hpp
@@ -1,4 +1,4 @@
-// Actions of the admission controller in the simulator's JSON.
+// Writes actions of the admission controller as the simulator's JSON.
 #pragma once
 
 #include <rapidjson/stringbuffer.h>
@@ -12,7 +12,7 @@
 
 using JsonWriter = rapidjson::Writer<rapidjson::StringBuffer>;
 
-/// Writes actions of one instance; a visitor of policy::Action.
+/// Writes the actions of one instance. Visitor of policy::Action.
 class ActionWriter {
 public:
     /// Both must outlive the writer.
--- a/src/simulator_adapter/event_reader.hpp
+++ b/src/simulator_adapter/event_reader.hpp
@@ -1,4 +1,4 @@
-// Events of the admission controller out of the simulator's JSON.
+// Converts the simulator's JSON messages to events of the admission controller.
 #pragma once
 
 #include <charconv>
@@ -13,13 +13,13 @@
 /// Index of each class or tenant in the settings, by its name.
 using IndexByName = std::unordered_map<std::string, std::size_t>;
 
-/// The index of a name; `policy::unknown_index` where it has none.
+/// Returns the index of a name; `policy::unknown_index` if the name is unknown.
 inline std::size_t find_index(const IndexByName& indexes, const std::string& name) {
     const auto it = indexes.find(name);
     return it == indexes.end() ? policy::unknown_index : it->second;
 }
 
-/// An outcome that the adapter does not know counts as an error.
+/// Reads the field `code`. An unknown or missing code is read as `policy::Outcome::error`.
 inline policy::Outcome read_outcome(const rapidjson::Value& body) {
     static const std::unordered_map<std::string, policy::Outcome> outcomes{
         {"delivered", policy::Outcome::ok},      {"shed", policy::Outcome::rejected},
@@ -30,7 +30,7 @@
     return it == outcomes.end() ? policy::Outcome::error : it->second;
 }
 
-/// Throws MalformedBatch if the request has no id. Any other absent field leaves its default.
+/// Reads a request. Throws MalformedBatch if it has no id. Any other missing field keeps its default.
 inline policy::RequestArrived read_request(const rapidjson::Value& body, const IndexByName& classes,
                                            const IndexByName& tenants) {
     policy::RequestArrived request;
@@ -52,7 +52,7 @@
     return request;
 }
 
-/// Nothing if the gauge is not given.
+/// Reads a gauge; empty if it is missing or not a number.
 inline std::optional<double> read_gauge(const rapidjson::Value& usage, const char* name) {
     const rapidjson::Value* value = find_field(usage, name);
     if (value == nullptr || !value->IsNumber())
@@ -60,6 +60,7 @@
     return value->GetDouble();
 }
 
+/// Reads the token and the gauges of a timer. Missing fields keep their defaults.
 inline policy::TimerFired read_timer(const rapidjson::Value& body) {
     policy::TimerFired timer;
     const std::string label = text_or_empty(body, "label");
@@ -73,7 +74,7 @@
     return timer;
 }
 
-/// The event of a message; nothing for a message that the adapter does not know. Throws MalformedBatch.
+/// Converts a message to an event; empty if the name is unknown. Throws MalformedBatch if a required field is missing.
 inline std::optional<policy::Event> read_event(const std::string& name, const rapidjson::Value& body,
                                                const IndexByName& classes, const IndexByName& tenants) {
     if (name == "born")
--- a/src/simulator_adapter/json_fields.hpp
+++ b/src/simulator_adapter/json_fields.hpp
@@ -1,4 +1,4 @@
-// Fields of the simulator's JSON objects. A field that is absent, null or of another type counts as not given.
+// Reads fields of the simulator's JSON objects. A field that is null or of the wrong type counts as missing.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -14,7 +14,7 @@
 
 inline constexpr double microseconds_per_millisecond = 1000.0;
 
-/// Null if `object` is no object, or has no such field.
+/// Returns the field; null if `object` is not an object or the field is missing or null.
 inline const rapidjson::Value* find_field(const rapidjson::Value& object, const char* name) {
     if (!object.IsObject())
         return nullptr;
@@ -22,27 +22,27 @@
     return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
 
-/// The number, or `fallback` if the field is not given.
-inline double number_or(const rapidjson::Value& object, const char* name, double fallback) {
+/// Returns the number, or `default_value` if the field is missing.
+inline double number_or(const rapidjson::Value& object, const char* name, double default_value) {
     const rapidjson::Value* value = find_field(object, name);
-    return value != nullptr && value->IsNumber() ? value->GetDouble() : fallback;
+    return value != nullptr && value->IsNumber() ? value->GetDouble() : default_value;
 }
 
-/// Throws MalformedBatch if the field is not given.
+/// Returns the number. Throws MalformedBatch if the field is missing.
 inline double required_number(const rapidjson::Value& object, const char* name) {
     const rapidjson::Value* value = find_field(object, name);
     if (value == nullptr || !value->IsNumber())
-        throw MalformedBatch(std::string("missing number: ") + name);
+        throw MalformedBatch(std::string(name) + ": missing or not a number");
     return value->GetDouble();
 }
 
-/// Whether the field is given and true.
+/// Returns whether the field is present and true.
 inline bool flag_or_false(const rapidjson::Value& object, const char* name) {
     const rapidjson::Value* value = find_field(object, name);
     return value != nullptr && value->IsBool() && value->GetBool();
 }
 
-/// The string, or an empty one if the field is not given.
+/// Returns the string; empty if the field is missing.
 inline std::string text_or_empty(const rapidjson::Value& object, const char* name) {
     const rapidjson::Value* value = find_field(object, name);
     if (value == nullptr || !value->IsString())
@@ -50,25 +50,25 @@
     return {value->GetString(), value->GetStringLength()};
 }
 
-/// Throws MalformedBatch if the field is not given.
+/// Returns the id. Throws MalformedBatch if the field is missing or not an unsigned integer.
 inline policy::RequestId required_id(const rapidjson::Value& object, const char* name) {
     const rapidjson::Value* value = find_field(object, name);
     if (value == nullptr || !value->IsUint64())
-        throw MalformedBatch(std::string("missing id: ") + name);
+        throw MalformedBatch(std::string(name) + ": missing or not an unsigned integer");
     return value->GetUint64();
 }
 
-/// Rounded to whole microseconds.
+/// Converts milliseconds to a duration, rounded to whole microseconds.
 inline policy::Duration from_milliseconds(double milliseconds) {
     return policy::Duration(std::llround(milliseconds * microseconds_per_millisecond));
 }
 
-/// With fractions of a millisecond.
+/// Converts a duration to milliseconds, with fractions.
 inline double to_milliseconds(policy::Duration duration) {
     return static_cast<double>(duration.count()) / microseconds_per_millisecond;
 }
 
-/// A field in milliseconds; 0 if it is not given.
+/// Reads a duration in milliseconds; 0 if the field is missing.
 inline policy::Duration duration_or_zero(const rapidjson::Value& object, const char* name) {
     return from_milliseconds(number_or(object, name, 0.0));
 }
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// Runs the admission controller for the simulator: one batch a line on standard input, one reply a line on
-// standard output. Exits with 1 and one message at a line that is no batch.
+// Runs the admission controller for the simulator: reads one batch per line from standard input and writes one reply per
+// line to standard output. On a malformed batch, prints one message to standard error and exits with 1.
 #include <iostream>
 #include <string>
 
--- a/src/simulator_adapter/malformed_batch.hpp
+++ b/src/simulator_adapter/malformed_batch.hpp
@@ -1,11 +1,11 @@
-// The error of the adapter for input that it cannot read.
+// The error that the adapter throws for invalid input.
 #pragma once
 
 #include <stdexcept>
 
 namespace cressledge::simulator_adapter {
 
-/// A line that is not a batch of the simulator, or lacks a field that is needed.
+/// A line that is not a batch of the simulator, or a batch without a required field.
 struct MalformedBatch : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -12,9 +12,10 @@
 namespace cressledge::simulator_adapter {
 namespace {
 
+/// Distinct warnings printed by one adapter.
 constexpr std::size_t max_warnings = 100;
 
-// The real server's mapping: both decide by the same settings.
+// Uses the server's own mapping so that both decide by the same settings.
 policy::Settings read_settings(const rapidjson::Value& info) {
     rapidjson::StringBuffer json;
     JsonWriter writer(json);
@@ -28,13 +29,13 @@
 
 }  // namespace
 
-/// An object with one member: the name of the event, and its body.
+/// A JSON object with one member, whose name is the event's name and whose value is its body.
 struct SimulatorAdapter::Message {
     explicit Message(const rapidjson::Value& message) : body(single_member(message).value) {
         name = single_member(message).name.GetString();
         instance_name = text_or_empty(body, "who");
         if (instance_name.empty())
-            throw MalformedBatch("a message without who: " + name);
+            throw MalformedBatch("message " + name + ": who: missing or empty");
     }
 
     const rapidjson::Value& body;
@@ -44,7 +45,7 @@
 private:
     static const rapidjson::Value::Member& single_member(const rapidjson::Value& message) {
         if (!message.IsObject() || message.MemberCount() != 1)
-            throw MalformedBatch("a message without a single name");
+            throw MalformedBatch("a message is not an object with exactly one member");
         return *message.MemberBegin();
     }
 };
@@ -57,7 +58,7 @@
 void SimulatorAdapter::start_instance(const Message& message) {
     const rapidjson::Value* info = find_field(message.body, "info");
     if (info == nullptr)
-        throw MalformedBatch("born without info");
+        throw MalformedBatch("message born: info: missing");
     const policy::Settings settings = read_settings(*info);
     Instance instance;
     for (std::size_t i = 0; i < settings.classes.size(); ++i)
@@ -77,21 +78,21 @@
     }
     if (message.name == "born")
         start_instance(message);
-    const auto found = instances_.find(message.instance_name);
-    if (found == instances_.end()) {
-        warn_once("an event for an instance that was not born: " + message.name);
+    const auto it = instances_.find(message.instance_name);
+    if (it == instances_.end()) {
+        warn_once("event for an unknown instance: " + message.name);
         return {};
     }
-    const Instance& instance = found->second;
+    const Instance& instance = it->second;
     const std::optional<policy::Event> event =
         read_event(message.name, message.body, instance.class_indexes, instance.tenant_indexes);
     if (!event) {
-        warn_once("an unknown kind of event: " + message.name);
+        warn_once("unknown event: " + message.name);
         return {};
     }
     const auto* request = std::get_if<policy::RequestArrived>(&*event);
     if (request != nullptr && request->class_index == policy::unknown_index)
-        warn_once("a request of an unknown class");
+        warn_once("request of an unknown class");
     std::vector<policy::Action> actions;
     instance.controller->handle(now, *event, actions);
     return actions;
@@ -101,10 +102,10 @@
     rapidjson::Document document;
     document.Parse(batch.data(), batch.size());
     if (document.HasParseError() || !document.IsObject())
-        throw MalformedBatch("a line that is not a batch");
+        throw MalformedBatch("the line is not a batch: not a JSON object");
     const rapidjson::Value* messages = find_field(document, "msgs");
     if (messages == nullptr || !messages->IsArray())
-        throw MalformedBatch("a batch without msgs");
+        throw MalformedBatch("batch: msgs: missing or not an array");
     const policy::Timestamp now = from_milliseconds(required_number(document, "time"));
     rapidjson::StringBuffer reply;
     JsonWriter writer(reply);
--- a/src/simulator_adapter/simulator_adapter.hpp
+++ b/src/simulator_adapter/simulator_adapter.hpp
@@ -1,4 +1,5 @@
-// The simulator's wire: batches of JSON events in, replies of JSON actions out. Translation only; no decisions.
+// Translates between the simulator's protocol (batches of JSON events in, JSON actions out) and the admission controller.
+// Makes no decisions of its own.
 #pragma once
 
 #include <map>
@@ -12,10 +13,10 @@
 
 namespace cressledge::simulator_adapter {
 
-/// One admission controller for each instance that the simulator has started. Instances share nothing.
+/// Runs one admission controller for each instance that the simulator has started. Instances share no state.
 class SimulatorAdapter {
 public:
-    /// One line in, one line out, both without the newline. Throws MalformedBatch.
+    /// Handles one line of input and returns one line of output, both without the newline. Throws MalformedBatch.
     std::string handle_batch(const std::string& batch);
 
 private:
--- a/tests/adapter_exit.sh
+++ b/tests/adapter_exit.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The adapter's exit status: 0 at the end of input, non-zero with one message on a line that is no batch.
+# Tests of the adapter's exit status: 0 at the end of input; non-zero with one message for a malformed batch.
 set -u
 out=$(printf '{"time":1,"msgs":[]}\n' | "$1") || exit 1
 [ "$out" = '{"actions":[]}' ] || { echo "unexpected reply: $out"; exit 1; }
--- a/tests/policy/simulator_adapter_test.cpp
+++ b/tests/policy/simulator_adapter_test.cpp
@@ -1,4 +1,4 @@
-// The simulator adapter: short hand-written batches in, actions out.
+// Tests of the simulator adapter: which actions short batches of events give.
 #include "simulator_adapter/simulator_adapter.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 using cressledge::simulator_adapter::MalformedBatch;
 using cressledge::simulator_adapter::SimulatorAdapter;
 
-// Settings with a dependency, a load advertisement and preemption; `extra` goes into the domain.
+// Settings with a dependency, a load advertisement and preemption; `extra` is added to the domain.
 std::string born_message(const std::string& who, const std::string& extra = "") {
     return R"({"born":{"who":")" + who +
            R"(","salt":7,"info":{"accounts":[{"name":"t","share":1,"allowance-per-s":50}],)"
@@ -26,8 +26,8 @@
     return R"({"inbound":{"who":")" + who + R"(","txn":)" + std::to_string(id) + R"(,"type":")" + type +
            R"(","by":3,"lay":1,"held-kb":10)" + more + "}}";
 }
-bool contains(const std::string& text, const std::string& part) {
-    return text.find(part) != std::string::npos;
+bool contains(const std::string& text, const std::string& substring) {
+    return text.find(substring) != std::string::npos;
 }
 
 TEST(SimulatorAdapterTest, EmptyBatchGetsEmptyReply) {
@@ -70,7 +70,7 @@
     reply = adapter.handle_batch(
         batch(40, R"({"downstream":{"who":"b","txn":1,"code":"dropped","wait-time":5}})"));
     EXPECT_TRUE(contains(reply, R"({"respond-error":{"who":"b","txn":1}})"))
-        << reply;  // may have run: neither again nor skipped
+        << reply;  // the call may have run: it is neither retried nor skipped
     reply = adapter.handle_batch(batch(50, R"({"expired":{"who":"b","txn":2}})"));
     EXPECT_TRUE(contains(reply, R"({"take-off":{"who":"b","txn":2}})")) << reply;
     reply = adapter.handle_batch(
