--- a/bench/balancing_simulation.cpp
+++ b/bench/balancing_simulation.cpp
@@ -12,7 +12,7 @@
 
 constexpr int concurrent_calls_per_server = 4;
 constexpr double mean_work_seconds = 0.05;
-/// Fraction of what all servers but the black holes can do.
+/// Offered load as a fraction of the capacity of all servers but the black holes.
 constexpr double offered_load = 0.65;
 constexpr double slow_server_speed = 0.6;
 constexpr Duration request_timeout{2'000'000};
@@ -198,7 +198,7 @@
         return;
     const bool is_black_hole = server_of(it->second.host_id).is_black_hole;
     conclude_attempt(attempt_id, CallResult::timeout);
-    // Any other server completes the call, though nobody waits for it.
+    // Any other server completes the call even if its caller has stopped waiting.
     if (is_black_hole)
         attempts_.erase(attempt_id);
 }
@@ -330,7 +330,7 @@
 }
 
 void BalancingSimulation::retry_or_fail(std::uint64_t request_id, Request& request, CallResult result) {
-    // Nothing ran at a server that refused the connection: the next attempt takes nothing from the budget.
+    // A server that refused the connection ran nothing, so the next attempt is not charged to the retry budget.
     const bool is_free =
         result == CallResult::connection_refused && request.attempts < hosts_.listed_hosts().size();
     if (!is_free && (!variant_.retries || request.attempts >= retry_settings_.max_attempts ||
--- a/bench/balancing_simulation.hpp
+++ b/bench/balancing_simulation.hpp
@@ -1,6 +1,6 @@
-// Discrete-event simulation of one process that balances calls over a fleet of servers, under the real code of
+// Discrete-event simulation of one process that balances calls over a fleet of servers with the production code of
 // src/load_balancing, src/retry and src/upstream_health. Time is simulated, in microseconds; the random numbers are
-// seeded, so that a run gives the same numbers on every machine.
+// seeded, so that a run gives the same figures on every machine.
 //
 // Half of the servers run at 0.6 of the speed, one in twenty never answers, a rolling restart takes a tenth of them
 // down; in the outage scenario every server fails each call from the middle of the run on.
@@ -29,28 +29,28 @@
 struct PolicyVariant {
     const char* name;
     BalancingPolicy policy;
-    /// Outliers are ejected.
+    /// Whether outliers are ejected.
     bool outlier_detection;
-    /// Failed requests are attempted again, within the retry budget.
+    /// Whether failed requests are retried, within the retry budget.
     bool retries;
-    /// Slow requests get a second attempt, within the retry budget.
+    /// Whether slow requests are hedged, within the retry budget.
     bool hedging;
 };
 
-/// Whether the servers fail in the middle of the run.
+/// Whether all servers fail from the middle of the run on.
 enum class Scenario : std::uint8_t { usual, outage };
 
-/// What a run has measured.
+/// Measurements of one run.
 struct SimulationResult {
     double p50_ms = 0.0;
     double p99_ms = 0.0;
     double failed_percent = 0.0;
     double attempts_per_request = 0.0;
-    /// Of the requests that arrived during the outage; 0 without one.
+    /// Mean for the requests that arrived during the outage; 0 without an outage.
     double attempts_per_request_in_outage = 0.0;
 };
 
-/// One run.
+/// One seeded run of the simulation.
 class BalancingSimulation {
 public:
     /// `seconds`: simulated time in which requests arrive.
@@ -62,14 +62,14 @@
 
 private:
     struct Server {
-        /// Relative to the fastest.
+        /// Speed relative to the fastest server.
         double speed = 1.0;
-        /// Takes calls and never answers.
+        /// Whether it accepts calls and never answers.
         bool is_black_hole = false;
-        /// Refuses connections.
+        /// Whether it refuses connections.
         bool is_down = false;
         int running_calls = 0;
-        /// Ids of attempts.
+        /// Ids of the attempts that wait to run.
         std::deque<std::uint64_t> queue;
     };
 
@@ -79,9 +79,9 @@
         HostId host_id = upstream_health::no_host;
         Timestamp started_at{0};
         Timestamp deadline{0};
-        /// At a server of speed 1.
+        /// Duration of the call at a server of speed 1.
         double work_seconds = 0.0;
-        /// The caller has its result or waits no longer; the server may still work on it.
+        /// The caller has the result or has stopped waiting; the server may still run the call.
         bool is_concluded = false;
     };
 
@@ -112,7 +112,7 @@
         EventType type;
         /// Id of the attempt or request, or index of the server, by type.
         std::uint64_t subject_id;
-        /// The earliest event is the greatest, as std::priority_queue gives the greatest first.
+        /// Orders the earliest event as the greatest, because std::priority_queue returns the greatest first.
         bool operator<(const Event& other) const {
             return std::tie(other.time, other.sequence) < std::tie(time, sequence);
         }
@@ -141,14 +141,14 @@
 
     void start_attempt(std::uint64_t request_id);
     std::uint64_t record_attempt(std::uint64_t request_id, Request& request, HostId host_id);
-    /// The server gets the call: refuses, fails, ignores, queues or runs it.
+    /// Delivers the call to its server, which refuses, fails, ignores, queues or runs it.
     void deliver(std::uint64_t attempt_id);
     void run_call(Server& server, std::uint64_t attempt_id);
     void conclude_attempt(std::uint64_t attempt_id, upstream_health::CallResult result);
     void retry_or_fail(std::uint64_t request_id, Request& request, upstream_health::CallResult result);
     void finish_request(std::uint64_t request_id, bool succeeded);
 
-    /// The first inventory numbers the hosts in its order.
+    /// Host ids follow the order of the first inventory, and so index `servers_`.
     Server& server_of(HostId host_id) { return servers_[host_id]; }
     double latency_quantile_ms(double quantile) const;
 
@@ -164,7 +164,7 @@
     const Scenario scenario_;
     bool in_outage_ = false;
     std::vector<Server> servers_;
-    /// Calls a second that all servers but the black holes can complete.
+    /// Calls per second that all servers but the black holes can complete.
     double fleet_capacity_ = 0.0;
     std::priority_queue<Event> events_;
     std::map<std::uint64_t, Request> requests_;
@@ -178,7 +178,7 @@
     std::uint64_t outage_request_count_ = 0;
     std::uint64_t outage_attempt_count_ = 0;
     Timestamp now_{0};
-    /// Of the requests that succeeded, in seconds.
+    /// Latencies of the requests that succeeded, in seconds.
     std::vector<double> latencies_;
 };
 
--- a/bench/connection_limiter_bench.cpp
+++ b/bench/connection_limiter_bench.cpp
@@ -1,9 +1,9 @@
-// What a decision of the connection limiter costs, by the number of sources it has seen. The table is full, so that
+// Measures the cost of a connection limiter decision by the number of sources it has seen. The table is full, so that
 // each accepted connection also chooses one to evict.
 //
-//   connection_limiter_bench        flags of Google Benchmark, such as --benchmark_filter=accept_one
+//   connection_limiter_bench        takes the flags of Google Benchmark, such as --benchmark_filter=accept_one
 //
-// Prints ns a decision; for accept_one also the memory of the limiter (`bytes`) and the sources it tracks (`known`).
+// Prints ns per decision; for accept_one also the memory of the limiter (`bytes`) and the sources it tracks (`known`).
 #include <benchmark/benchmark.h>
 
 #include <random>
@@ -59,7 +59,7 @@
 }
 BENCHMARK(accept_one)->Arg(10)->Arg(10'000)->Arg(1'000'000);
 
-// A rejection: the source is over its rate.
+// Rejects a connection of a source that exceeds its rate.
 void refuse_one(benchmark::State& state) {
     ConnectionLimiter limiter = make_limiter({max_connections, max_connections, 50.0, 100.0});
     const IpAddress source = IpAddress::from_v4(0x0a000001U);
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -12,7 +12,7 @@
 
 
 def free_port():
-    """Returns a port on loopback that nobody listens on."""
+    """Returns an unused port on loopback."""
     with socket.create_server((HOST, 0)) as listener:
         return listener.getsockname()[1]
 
@@ -23,7 +23,7 @@
 
 
 async def wait_until_listening(port, timeout_s):
-    """Returns when the port accepts a connection, or after that many seconds of retries."""
+    """Retries until the port accepts a connection, or after `timeout_s` seconds of retries."""
     for _ in range(round(timeout_s / LISTEN_RETRY_S)):
         try:
             _, writer = await asyncio.open_connection(HOST, port)
@@ -61,7 +61,7 @@
             return
 
     async def answer(self, words, reader, writer):
-        """Reads the rest of a command and answers it."""
+        """Reads the body of a command, if any, and answers it."""
         command = words[0]
         if command == b"ATTACH":
             writer.write(b"HELLO LOADED 60000\r\n")
--- a/bench/gossip_fuzz.cpp
+++ b/bench/gossip_fuzz.cpp
@@ -1,7 +1,7 @@
-// Entry of a coverage-guided fuzzer (libFuzzer) for what arrives at the gossip port: each input is decoded, applied to
+// Entry point of a coverage-guided fuzzer (libFuzzer) for the input of the gossip port: each input is decoded, applied to
 // a membership table as a datagram and as a full exchange, and encoded again. Aborts if an input that is not well
 // formed changes the table, if a message is not the same after encoding and decoding, or if a bound is exceeded; the
-// sanitizers find the rest. Prints libFuzzer's own lines: inputs run, coverage, inputs a second.
+// sanitizers detect other faults. Prints libFuzzer's own lines: inputs run, coverage, inputs per second.
 //
 //   clang++ -std=c++20 -O1 -g -fsanitize=fuzzer,address,undefined -Isrc bench/gossip_fuzz.cpp src/membership/*.cpp -o build-plain/gossip_fuzz
 //   build-plain/gossip_fuzz -runs=1000000 -max_len=1500 -seed=1
@@ -18,10 +18,10 @@
 constexpr std::string_view fleet_name = "maps";
 constexpr membership::Endpoint sender_endpoint{0x7F000002U, 7946};
 constexpr base::Duration time_between_inputs{10'000};
-/// Of a message with more updates `encode` may leave the last ones out to keep it within its bound.
+/// `encode` may omit the last updates of a message with this many or more, to keep it within its size bound.
 constexpr std::size_t max_reencoded_updates = 20;
 
-/// How an input reaches the table.
+/// Whether an input is applied as a datagram or as a full exchange.
 enum class Channel : std::uint8_t { datagram, exchange };
 
 void require(bool holds) {
@@ -44,7 +44,7 @@
     }
 };
 
-/// The input after a correct message header, as otherwise most inputs end at the fleet's name.
+/// Prepends a correct message header; without it most inputs are rejected for their fleet name.
 std::string with_header(std::string_view input) {
     return std::string("\x98\x01\xA4maps", 7) + std::string(input);
 }
--- a/bench/json_line.hpp
+++ b/bench/json_line.hpp
@@ -1,4 +1,5 @@
-// Output of the benchmarks with real processes: one JSON object a line, flushed at once so that a log can be followed.
+// Output of the benchmarks with real processes: one JSON object per line, flushed at once so that a log can be
+// followed.
 #pragma once
 
 #include <cstdio>
@@ -6,6 +7,7 @@
 
 namespace cressledge::bench {
 
+/// Writes `object` as one line to standard output and flushes it.
 inline void print_json_line(const nlohmann::ordered_json& object) {
     std::printf("%s\n", object.dump().c_str());
     std::fflush(stdout);
--- a/bench/load_balancing_bench.cpp
+++ b/bench/load_balancing_bench.cpp
@@ -1,8 +1,8 @@
-// What one choice of a host costs with the probing policies, and the assignment of subsets, by the number of servers.
+// Measures the cost of choosing a host with the probing policies, and of assigning subsets, by the number of servers.
 //
-//   load_balancing_bench            flags of Google Benchmark, such as --benchmark_filter=pool_pick
+//   load_balancing_bench            takes the flags of Google Benchmark, such as --benchmark_filter=pool_pick
 //
-// Prints ns a choice, ms an assignment; for choose_of_five also the memory a server takes (`bytes/server`).
+// Prints ns per choice and ms per assignment; for choose_of_five also the memory per server (`bytes/server`).
 #include <benchmark/benchmark.h>
 
 #include "load_balancing/load_probes.hpp"
@@ -16,7 +16,7 @@
 constexpr unsigned probes_per_call = 5;
 constexpr std::size_t subset_size = 20;
 
-// Both halves of a choice by `probe_first`: the hosts to probe, and the host to call by their answers.
+// Both steps of a choice by `probe_first`: sampling the hosts to probe, and choosing one by their answers.
 void choose_of_five(benchmark::State& state) {
     std::vector<double> capacities;
     for (std::int64_t i = 0; i < state.range(0); ++i)
@@ -36,7 +36,7 @@
     state.counters["bytes/server"] = sizeof(double) + sizeof(std::uint32_t);
 }
 
-// A choice by `probe_pool`, with the answers to its probes.
+// A choice by `probe_pool`, including adding the answers to its probes.
 void pool_pick(benchmark::State& state) {
     const auto host_count = static_cast<std::uint32_t>(state.range(0));
     load_balancing::ProbePool pool({}, host_count);
@@ -51,7 +51,7 @@
     }
 }
 
-// The subsets of all processes, of a fleet with as many servers.
+// Assigns subsets to all processes, with as many servers as processes.
 void subsets_of_all(benchmark::State& state) {
     std::vector<std::string> processes;
     std::vector<std::string> servers;
--- a/bench/load_spread_sim.cpp
+++ b/bench/load_spread_sim.cpp
@@ -1,13 +1,13 @@
 // Emulates many balancing processes, each with a partial view, before many servers of capacities 1, 2 and 4, and
-// measures how evenly each balancing policy spreads the load. Bounded; the same numbers on every machine for one seed.
+// measures how evenly each balancing policy spreads the load. Bounded in time; deterministic for a given seed.
 //
 //   load_spread_sim [--processes 300] [--servers 300] [--slots 16] [--seconds 10] [--load 80,95]
 //              [--trouble none|slow|fails|burst|cold|restart|crowd|dead]
 //
-// Prints a table, a row for each load and policy. "worst p99": 99th percentile over time of the busiest server's
+// Prints a table with a row for each load and policy. "worst p99": 99th percentile over time of the busiest server's
 // utilization over the mean; "over 2 s": longest time, in seconds, for which it was over 2; "cv": coefficient of
 // variation of the utilizations; "idle": percent of server time without calls while another server queues; "x JSQ": the
-// p99 latency over that of join-the-shortest-queue; "errors": percent of calls; "probes": probes a call; "moved":
+// p99 latency over that of join-the-shortest-queue; "errors": percent of calls; "probes": probes per call; "moved":
 // percent of subset places that a change in the number of processes moved.
 #include <cstdio>
 #include <cxxopts.hpp>
@@ -21,7 +21,7 @@
 constexpr std::size_t crowd_processes_before = 50;
 constexpr double crowd_processes_during = 300.0;
 
-// The faults of a named scenario. They begin a quarter of the time in.
+// Returns the faults of a named scenario. The first begins after a quarter of the simulated time.
 std::vector<ScenarioEvent> faults_of(const std::string& scenario, const LoadSpreadScenario& spread) {
     const double start_s = spread.seconds / 4;
     if (scenario == "none")
@@ -96,7 +96,7 @@
                 "over 2 s", "cv", "idle", "p50 ms", "p99 ms", "x JSQ", "errors", "probes", "moved");
 }
 
-// A row for each policy at one load; the first is join-the-shortest-queue, to which the others are compared.
+// Prints a row for each policy at one load; the first is join-the-shortest-queue, to which the others are compared.
 void print_rows(LoadSpreadScenario spread, double load_percent) {
     double shortest_queue_p99_ms = 0.0;
     for (const BalancingChoice choice :
--- a/bench/membership_rig.cpp
+++ b/bench/membership_rig.cpp
@@ -1,10 +1,10 @@
-// Many real processes of the program on loopback with a relay that injects faults between them: how long their
-// membership tables take to agree after faults. Bounded in count and time; every process that it starts is ended.
+// Runs many real processes on loopback with a relay that injects faults between them, and measures how long their
+// membership tables take to agree after a fault. Bounded in count and time; every process that it starts is ended.
 //
 //   membership_rig join|kill|leave|loss|partition|pause|replace|bytes [--processes 200] [--program build/cressledge]
 //
 // Prints one JSON object a line for each measurement: times in ms (`*_ms`) or s (`seconds`), rates in bytes or
-// datagrams a second and process (`*_per_process_s`).
+// datagrams per second and process (`*_per_process_s`).
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
@@ -31,14 +31,14 @@
 using bench::to_seconds;
 using nlohmann::ordered_json;
 
-/// Graceful departures begin so many members after the seeds, so that crashes before them took others.
+/// Graceful departures begin this many members after the seeds, past those killed by an earlier `kill` scenario.
 constexpr std::size_t first_departing_offset = 40;
 constexpr double start_timeout_s = 60;
 constexpr double agreement_timeout_s = 30;
 constexpr double progress_interval_s = 30;
 constexpr double pause_s = 3;
 constexpr double replacement_s = 7;
-/// New members exchange more than others for so long.
+/// Duration for which new members exchange more data than others.
 constexpr double settling_s = 10;
 
 /// Starts all processes; the time counts from the start of the last one.
@@ -246,7 +246,7 @@
         throw std::invalid_argument(name + ": no such scenario");
 }
 
-/// The processes are ended when it returns or throws.
+/// Runs the named scenarios in order; every process has ended when it returns or throws.
 void run_scenarios(const fault_injection::ClusterSpec& plan, const cxxopts::ParseResult& arguments) {
     MembershipTestbed testbed(plan);
     run_join(testbed, arguments["processes"].as<std::size_t>());
--- a/bench/membership_testbed.cpp
+++ b/bench/membership_testbed.cpp
@@ -1,4 +1,4 @@
-// The cluster's processes, and how their membership tables agree.
+// Starts the processes of the cluster and measures when their membership tables agree.
 #include "membership_testbed.hpp"
 
 #include <algorithm>
--- a/bench/membership_testbed.hpp
+++ b/bench/membership_testbed.hpp
@@ -1,4 +1,4 @@
-// Testbed of membership_rig: a cluster of real processes and the event loop that drives it, and how long their
+// Testbed of membership_rig: a cluster of real processes and the event loop that drives it. Measures how long their
 // membership tables take to agree. The destructor of the cluster ends every process.
 #pragma once
 
@@ -14,7 +14,7 @@
 using base::Duration;
 using base::Timestamp;
 
-/// The first processes: the others join through them.
+/// Number of processes, started first, through which the others join.
 constexpr std::size_t seed_members = 3;
 
 inline Duration to_duration(double seconds) {
@@ -35,6 +35,7 @@
 
     Timestamp now() { return loop.unix_now(); }
 
+    /// Runs the cluster for `seconds`.
     void wait(double seconds);
 
     /// Starts one more process that joins through the seeds.
@@ -46,10 +47,10 @@
                                              const std::vector<std::size_t>& members, Timestamp start,
                                              double timeout_s);
 
-    /// The same for all running processes.
+    /// Measures the agreement of all running processes on each other.
     nlohmann::ordered_json measure_agreement(Timestamp start, double timeout_s);
 
-    /// Sums of metrics `fleet.*` over the running processes.
+    /// Returns the sum of each metric `fleet.NAME` over the running processes.
     nlohmann::ordered_json sum_metrics(std::initializer_list<const char*> names);
 };
 
--- a/bench/plot_roll.py
+++ b/bench/plot_roll.py
@@ -16,18 +16,18 @@
 
 SAMPLES_PER_POINT = 10
 GROUPS = (("unchanged", "tab:blue"), ("changed", "tab:orange"))
-# Field of a point and label of its axis.
+# Field of a sample and label of its axis.
 AXES = (("errors", "errors, %"), ("shed", "refused, %"), ("late", "late, %"), ("p99_ms", "p99, ms"))
 RATES = ("errors", "shed", "late")
 
 
 def seconds_between(start_us, time_us):
-    """Seconds from one time in microseconds to another."""
+    """Returns the seconds from one time in microseconds to another."""
     return (time_us - start_us) / 1e6
 
 
 def points_of(samples, group):
-    """The points of a group: their times in seconds, and the values of each axis."""
+    """Returns the times of a group's points, in seconds, and their values by axis."""
     start_us = samples[0]["at_us"]
     times = []
     values = {name: [] for name, _ in AXES}
@@ -53,7 +53,7 @@
 
 
 def draw_stage(axes, start_us, stage):
-    """Marks the beginning of a stage, and writes what it came to."""
+    """Marks the beginning of a stage with its verdict."""
     began = seconds_between(start_us, stage["began_us"])
     for axis in axes:
         axis.axvline(began, color="grey", linestyle=":")
--- a/bench/save_bench.cpp
+++ b/bench/save_bench.cpp
@@ -1,10 +1,10 @@
-// How long a save of the learned state blocks the event loop, and how many bytes it writes. Ten seconds without saves
-// and ten with one every 50 ms, of 3 classes and 200 upstreams that all change each time; a timer each millisecond
-// measures how late the loop is.
+// Measures how long a save of the learned state blocks the event loop, and how many bytes it writes. Runs ten seconds
+// without saves and ten with a save every 50 ms, of 3 classes and 200 upstreams that all change each time; a timer
+// every millisecond measures the delay of the loop.
 //
 //   save_bench FOLDER               on the disk to be measured
 //
-// Prints quantiles of the loop's lateness and the longest part of a save on the loop, us; bytes a commit, and kB an
+// Prints quantiles of the loop's lateness and the longest part of a save on the loop, us; bytes per commit, and kB per
 // hour with a save every 30 s. Exits with 1 if a commit failed.
 #include <algorithm>
 #include <chrono>
@@ -25,7 +25,7 @@
 constexpr int ticks = 10'000;
 constexpr std::chrono::milliseconds tick_interval{1};
 constexpr int ticks_per_save = 50;
-/// Saves an hour at the default period of 30 s.
+/// Saves per hour at the default period of 30 s.
 constexpr double saves_per_hour = 120.0;
 
 double microseconds_since(Clock::time_point start) {
@@ -43,7 +43,7 @@
     }
 };
 
-/// Saves a state of which every entry has changed.
+/// Changes every entry of a learned state and saves it.
 class StateSaver {
 public:
     StateSaver(net::Loop& loop, store::BackgroundWriter& writer) : loop_(loop), writer_(writer) {
@@ -63,7 +63,7 @@
         longest_us_ = std::max(longest_us_, microseconds_since(start));
     }
 
-    /// The longest time that a save took of the loop.
+    /// The longest time, in microseconds, for which a save occupied the loop.
     double longest_us() const { return longest_us_; }
 
 private:
@@ -86,7 +86,7 @@
     double longest_us_ = 0.0;
 };
 
-/// Runs the loop for ten seconds; saves if there is a saver.
+/// Runs the loop for ten seconds and saves periodically if `saver` is not null.
 LatenessSamples measure_lateness(net::Loop& loop, base::TimerQueue& timers, StateSaver* saver) {
     LatenessSamples samples;
     for (int tick = 0; tick < ticks; ++tick) {
--- a/example/ask.py
+++ b/example/ask.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""An old client: asks cressledge over SCGI. Use: ask.py [CLASS [TEXT]]"""
+"""Sends one request to cressledge over SCGI and prints the response. Use: ask.py [CLASS [TEXT]]"""
 import socket
 import sys
 
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,6 +1,5 @@
 #!/usr/bin/env python3
-"""A toy SCGI map server: draws for a moment, then answers with what it was asked. For trying cressledge
-only."""
+"""A toy SCGI map server for trying cressledge: waits 0.2 s, then returns the path and body of the request."""
 import socketserver
 import time
 
