--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -23,7 +23,7 @@
 
 
 async def wait_until_listening(port, timeout_s):
-    """Retries until the port accepts a connection, or after `timeout_s` seconds of retries."""
+    """Waits until the port accepts a connection; gives up silently after `timeout_s` seconds of retries."""
     for _ in range(round(timeout_s / LISTEN_RETRY_S)):
         try:
             _, writer = await asyncio.open_connection(HOST, port)
