--- a/tests/cressledge/upstream_gateway_test.cpp
+++ b/tests/cressledge/upstream_gateway_test.cpp
@@ -42,7 +42,8 @@
     take_log();
     write_config("policy: probe-first, probing: {per_call: 0}, probes: false, watch_ms: 0, subset: 2");
     fixture.gateway->reload();
-    CHECK(take_log().find("o.yaml:6: subset: needs a node") != std::string::npos);
+    CHECK(take_log().find("o.yaml:6: subset: requires a name of this process in routing.node or fleet.id") !=
+          std::string::npos);
     CHECK(fixture.gateway->executor().candidate_count() == 4);
     write_config("policy: probe-first, probing: {per_call: 4, patience_ms: 200}, probes: false, watch_ms: 0");
     fixture.gateway->reload();
